--- a/crates/decision/src/agent/announce.rs
+++ b/crates/decision/src/agent/announce.rs
@@ -101,7 +101,7 @@
 
     /// Tells every open flow again from time to time, spread over the ticks by bucket.
     pub(super) fn refresh_announcements(&mut self, now: Millis) {
-        let period_ms = limits::REFRESH_MS / u64::from(rank::BUCKET_COUNT);
+        let period_ms = limits::ANNOUNCE_REFRESH_INTERVAL_MS / u64::from(rank::BUCKET_COUNT);
         if now < self.refresh_at || mutated!(self, RedirectsNotReannounced) {
             return;
         }
@@ -190,9 +190,9 @@
             return;
         }
         let period_ms = match (peer.suspected, leaving) {
-            (true, _) => limits::ANNOUNCE_SUSPECTED_MS,
-            (false, true) => limits::RESEND_MS,
-            (false, false) => limits::ANNOUNCE_MS,
+            (true, _) => limits::ANNOUNCE_INTERVAL_SUSPECTED_MS,
+            (false, true) => limits::RESEND_INTERVAL_MS,
+            (false, false) => limits::ANNOUNCE_INTERVAL_MS,
         };
         let Some((sequence, batch)) = peer.outbox.due(now, period_ms) else { return };
         let notes = batch.into_iter().map(|pending| self.note(now, pending)).collect();
--- a/crates/decision/src/agent/claimant.rs
+++ b/crates/decision/src/agent/claimant.rs
@@ -49,14 +49,14 @@
             Witnesses::Former(asked) => asked,
             Witnesses::Quorum => self.settings.cuts.witnesses(),
         };
-        let wait_ms = if quorum { limits::QUORUM_WAIT_MS } else { limits::WITNESS_WAIT_MS };
+        let wait_ms = if quorum { limits::QUORUM_TIMEOUT_MS } else { limits::WITNESS_TIMEOUT_MS };
         let mut pending = PendingClaim {
             attempt,
             hold: self.new_hold(),
             quorum,
             votes: asked.into_iter().map(|id| (id, None)).collect(),
             deadline: now.after(wait_ms),
-            resend_at: now.after(limits::RESEND_MS),
+            resend_at: now.after(limits::RESEND_INTERVAL_MS),
         };
         self.vote_myself(now, &mut pending);
         self.request(&pending, out);
@@ -99,7 +99,7 @@
         for opening in due {
             let Some(mut pending) = self.pending.remove(opening) else { continue };
             if now < pending.deadline {
-                pending.resend_at = now.after(limits::RESEND_MS);
+                pending.resend_at = now.after(limits::RESEND_INTERVAL_MS);
                 self.vote_myself(now, &mut pending);
                 self.request(&pending, out);
             }
@@ -234,7 +234,7 @@
     /// Its upstream may have begun to drain meanwhile.
     fn chosen_anew_if_late(&mut self, now: Millis, pending: &PendingClaim) -> Attempt {
         let attempt = pending.attempt;
-        let late = now.since(pending.deadline) >= limits::PAUSE_MS;
+        let late = now.since(pending.deadline) >= limits::PAUSE_THRESHOLD_MS;
         let mine = attempt.claim == Claim::Run(self.config.upstream);
         if !late || !mine || !self.must_not_admit() {
             return attempt;
@@ -310,8 +310,8 @@
         let life = self.config.incarnation;
         pending.attempt.claim = Claim::Refuse;
         pending.attempt.refusal = Reason::InDoubt;
-        pending.deadline = now.after(limits::QUORUM_WAIT_MS);
-        pending.resend_at = now.after(limits::RESEND_MS);
+        pending.deadline = now.after(limits::QUORUM_TIMEOUT_MS);
+        pending.resend_at = now.after(limits::RESEND_INTERVAL_MS);
         pending.votes.iter_mut().for_each(|(_, vote)| *vote = None);
         if !self.has_voted_otherwise(now, opening, Claim::Refuse) {
             self.claims.put(now, opening, Claim::Refuse, life, Stage::Pending);
--- a/crates/decision/src/agent/early.rs
+++ b/crates/decision/src/agent/early.rs
@@ -2,7 +2,7 @@
 //! handshake only.
 //!
 //! The home arbitrates. It asks former homes first, if there are any, and does not wait for the
-//! silent ones longer than [`limits::WITNESS_WAIT_MS`].
+//! silent ones longer than [`limits::WITNESS_TIMEOUT_MS`].
 
 use super::claimant::Witnesses;
 use super::claims::Stage;
@@ -97,7 +97,7 @@
     /// Whether the upstream has answered for an older connection on the ports, and its caller has heard nothing
     /// of this one since: a caller that had would have gone on by now.
     fn has_never_run(&self, now: Millis, opening: Opening) -> bool {
-        let old = |flow: &Flow| now.since(flow.opened_at) >= limits::GOES_ON_WITHIN_MS;
+        let old = |flow: &Flow| now.since(flow.opened_at) >= limits::CALLER_PROGRESS_MS;
         self.was_not_understood(opening) && self.flows.get(opening.flow).is_some_and(old)
     }
 
@@ -149,7 +149,7 @@
 
     /// Whether copies of openings that its earlier life has passed on may still come.
     fn has_just_restarted(&self, now: Millis) -> bool {
-        self.config.may_have_past && now.since(self.started_at) < limits::FORMER_HOME_MS
+        self.config.may_have_past && now.since(self.started_at) < limits::FORMER_HOME_TTL_MS
     }
 
     /// An opening that this agent has given to another has come back: who got it could not take it.
--- a/crates/decision/src/agent/flows.rs
+++ b/crates/decision/src/agent/flows.rs
@@ -260,7 +260,7 @@
             let Some((_, id)) = self.openings.pop_front() else { break };
             ended.extend(self.remove(id).map(|flow| (id, flow)));
         }
-        if now.since(self.swept_at) >= limits::SWEEP_MS {
+        if now.since(self.swept_at) >= limits::IDLE_SWEEP_INTERVAL_MS {
             self.swept_at = now;
             self.expire_idle(now, lifetimes.idle_ms, &mut ended);
         }
@@ -372,5 +372,5 @@
 /// Whether two sequence numbers can be of packets that are on their way at the same time.
 fn are_near(one: u32, other: u32) -> bool {
     let ahead = one.wrapping_sub(other);
-    ahead.min(ahead.wrapping_neg()) <= limits::SEQUENCE_WINDOW
+    ahead.min(ahead.wrapping_neg()) <= limits::SEQUENCE_WINDOW_BYTES
 }
--- a/crates/decision/src/agent/handover.rs
+++ b/crates/decision/src/agent/handover.rs
@@ -36,7 +36,8 @@
     ///
     /// An agent that may hold flows unknown to itself can't say so.
     pub(super) fn hand_over(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let waits = self.handover.said_at.is_some_and(|at| now.since(at) < limits::ANNOUNCE_MS);
+        let waits =
+            self.handover.said_at.is_some_and(|at| now.since(at) < limits::ANNOUNCE_INTERVAL_MS);
         if !self.leaving || waits || self.is_unsure(now) || !self.has_told_all() {
             return;
         }
--- a/crates/decision/src/agent/health.rs
+++ b/crates/decision/src/agent/health.rs
@@ -99,7 +99,7 @@
         }
         let sick = self.is_sick(now);
         let Some(report) = self.health.report else { return !sick };
-        let progressing = now.since(self.flows.last_progress()) < limits::SICK_MS
+        let progressing = now.since(self.flows.last_progress()) < limits::UNHEALTHY_AFTER_MS
             && self.flows.last_progress() > self.started_at;
         let unhealthy = !report.healthy && !progressing;
         !(report.shedding || unhealthy || sick)
@@ -121,19 +121,23 @@
     /// An upstream that reports to be well but completes no handshake gets no more of them, until
     /// the old ones have expired.
     fn is_sick(&mut self, now: Millis) -> bool {
-        if self.settings.datagrams || self.flows.unanswered() < limits::SICK_UNANSWERED {
+        if self.settings.datagrams
+            || self.flows.unanswered() < limits::UNHEALTHY_UNANSWERED_OPENINGS
+        {
             return false;
         }
         let oldest = self.flows.oldest_unanswered();
-        let stuck = oldest.is_some_and(|opened_at| now.since(opened_at) > limits::SICK_MS);
-        stuck && now.since(self.flows.last_progress()) > limits::SICK_MS
+        let stuck =
+            oldest.is_some_and(|opened_at| now.since(opened_at) > limits::UNHEALTHY_AFTER_MS);
+        stuck && now.since(self.flows.last_progress()) > limits::UNHEALTHY_AFTER_MS
     }
 
     /// Share of the weight that the own upstream takes for now.
     pub(super) fn ramp_percent(&self, now: Millis) -> u64 {
         let Some(started_at) = self.health.upstream_started_at else { return 100 };
         let span = 100 - limits::RAMP_START_PERCENT;
-        let grown = span * now.since(started_at).min(limits::RAMP_MS) / limits::RAMP_MS;
+        let grown =
+            span * now.since(started_at).min(limits::RAMP_DURATION_MS) / limits::RAMP_DURATION_MS;
         limits::RAMP_START_PERCENT + grown
     }
 
--- a/crates/decision/src/agent/home.rs
+++ b/crates/decision/src/agent/home.rs
@@ -22,12 +22,12 @@
 impl Doubts {
     /// `upstream` may have stood in for this agent in every bucket.
     pub(super) fn add(&mut self, now: Millis, upstream: UpstreamId) {
-        self.everywhere.insert(upstream, now.after(limits::FORMER_HOME_MS));
+        self.everywhere.insert(upstream, now.after(limits::FORMER_HOME_TTL_MS));
     }
 
     /// `upstream` was home of `bucket` until now.
     pub(super) fn add_home(&mut self, now: Millis, bucket: BucketIndex, upstream: UpstreamId) {
-        self.by_bucket.insert((bucket, upstream), now.after(limits::FORMER_HOME_MS));
+        self.by_bucket.insert((bucket, upstream), now.after(limits::FORMER_HOME_TTL_MS));
     }
 
     pub(super) fn expire(&mut self, now: Millis) {
@@ -114,7 +114,7 @@
     /// A pause that this agent has noticed: everybody may have stood in for it, and nobody's
     /// silence during it counts.
     pub(super) fn check_pause(&mut self, now: Millis) {
-        if now.since(self.last_tick) < limits::PAUSE_MS {
+        if now.since(self.last_tick) < limits::PAUSE_THRESHOLD_MS {
             return;
         }
         self.last_tick = now;
--- a/crates/decision/src/agent/install.rs
+++ b/crates/decision/src/agent/install.rs
@@ -127,9 +127,12 @@
 fn lifetimes(only_datagrams: bool) -> FlowLifetimes {
     if only_datagrams {
         return FlowLifetimes {
-            idle_ms: limits::DATAGRAM_IDLE_MS,
-            unanswered_ms: limits::DATAGRAM_UNANSWERED_MS,
+            idle_ms: limits::DATAGRAM_IDLE_TIMEOUT_MS,
+            unanswered_ms: limits::DATAGRAM_UNANSWERED_TIMEOUT_MS,
         };
     }
-    FlowLifetimes { idle_ms: limits::IDLE_MS, unanswered_ms: limits::UNANSWERED_MS }
+    FlowLifetimes {
+        idle_ms: limits::FLOW_IDLE_TIMEOUT_MS,
+        unanswered_ms: limits::HANDSHAKE_TIMEOUT_MS,
+    }
 }
--- a/crates/decision/src/agent/lookup.rs
+++ b/crates/decision/src/agent/lookup.rs
@@ -122,7 +122,7 @@
         for flow in due {
             self.conclude(now, flow, out);
             let Some(lookup) = self.lookups.get_mut(flow) else { continue };
-            lookup.resend_at = now.after(limits::RESEND_MS);
+            lookup.resend_at = now.after(limits::RESEND_INTERVAL_MS);
             let lookup = lookup.clone();
             self.ask(flow, &lookup, true, out);
         }
@@ -141,8 +141,8 @@
                 .map(|(id, _)| (id, None))
                 .collect(),
             began_at: now,
-            deadline: now.after(limits::LOOKUP_WAIT_MS),
-            resend_at: now.after(limits::RESEND_MS),
+            deadline: now.after(limits::LOOKUP_TIMEOUT_MS),
+            resend_at: now.after(limits::RESEND_INTERVAL_MS),
         }
     }
 
--- a/crates/decision/src/agent/once.rs
+++ b/crates/decision/src/agent/once.rs
@@ -123,7 +123,7 @@
             .flows
             .get(opening.flow)
             .filter(|flow| flow.state == FlowState::Open && flow.nonce == Some(opening.nonce))
-            .is_some_and(|flow| now.since(flow.opened_at) < limits::COPY_MS);
+            .is_some_and(|flow| now.since(flow.opened_at) < limits::OPENING_COPY_MS);
         if self.settings.datagrams || !open {
             return Verdict::Drop(Reason::Duplicate);
         }
--- a/crates/decision/src/agent/packet.rs
+++ b/crates/decision/src/agent/packet.rs
@@ -161,7 +161,7 @@
     ) -> Verdict {
         let is_home = self.home(rank::bucket_of(packet.flow)) == Some(self.config.upstream);
         let from_home = is_home || packet.passed != Passed::Fresh;
-        let recent = now.since(flow.last_seen) < limits::CLOSING_CERTAIN_MS;
+        let recent = now.since(flow.last_seen) < limits::CLOSING_TRUST_MS;
         let rests = recent && flow.state != FlowState::Reset;
         if flow.hearsay || !from_home || !rests {
             return self.look_up(now, packet, out);
--- a/crates/decision/src/agent/peers.rs
+++ b/crates/decision/src/agent/peers.rs
@@ -83,14 +83,14 @@
         if self.listed && !self.retired {
             return true;
         }
-        self.last_heard.is_some() && self.silent_ms(now) < limits::RETIRED_SILENT_MS
-            || self.listed && self.silent_ms(now) < limits::RETIRED_SILENT_MS
+        self.last_heard.is_some() && self.silent_ms(now) < limits::RETIRED_PEER_TIMEOUT_MS
+            || self.listed && self.silent_ms(now) < limits::RETIRED_PEER_TIMEOUT_MS
     }
 }
 
 /// Period of heartbeats in a service of `peers` other agents.
 pub(super) fn heartbeat_ms(peers: usize) -> u64 {
-    limits::MIN_HEARTBEAT_MS.max(limits::HEARTBEAT_MS_PER_PEER * peers as u64)
+    limits::MIN_HEARTBEAT_INTERVAL_MS.max(limits::HEARTBEAT_MS_PER_PEER * peers as u64)
 }
 
 /// Silence after which a peer is suspected: three heartbeats and half a period for the network.
--- a/crates/decision/src/agent/recall.rs
+++ b/crates/decision/src/agent/recall.rs
@@ -93,11 +93,11 @@
     ///
     /// It waits first. Failure: a claimant counts a grant of the earlier life while this life asks
     /// around. Symptom: the claim wins after a witness has told that it knows nothing of it. A
-    /// claimant counts no grant after [`limits::QUORUM_WAIT_MS`], so after a longer wait every claim
+    /// claimant counts no grant after [`limits::QUORUM_TIMEOUT_MS`], so after a longer wait every claim
     /// that can still win is recorded by its majority.
     pub(super) fn recall(&mut self, now: Millis, out: &mut Vec<Action>) {
         let once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
-        let early = now.since(self.started_at) < limits::RECALL_WAIT_MS;
+        let early = now.since(self.started_at) < limits::RECALL_DELAY_MS;
         if !once || early || self.recall.complete || !self.may_have_voted(now) {
             return;
         }
--- a/crates/decision/src/agent/relearn.rs
+++ b/crates/decision/src/agent/relearn.rs
@@ -66,7 +66,7 @@
     pub(super) fn is_unsure(&self, now: Millis) -> bool {
         match self.past {
             Past::Known | Past::Resumed => false,
-            Past::Relearning => now.since(self.started_at) < limits::UNSURE_MAX_MS,
+            Past::Relearning => now.since(self.started_at) < limits::MAX_INCOMPLETE_STATE_MS,
             Past::Doubtful { until } => now < until || self.must_have_more(now),
         }
     }
@@ -74,7 +74,7 @@
     /// Whether the upstream reports more flows than this agent knows. The doubt lasts until they are found,
     /// since with another agent in doubt no packet of theirs can be tried here.
     fn must_have_more(&self, now: Millis) -> bool {
-        let young = now.since(self.started_at) < limits::UNSURE_MAX_MS;
+        let young = now.since(self.started_at) < limits::MAX_INCOMPLETE_STATE_MS;
         young && self.unknown_flows() == Some(Unknown::Some)
     }
 
@@ -137,7 +137,7 @@
     /// A holder announces all that it has taken within a moment.
     fn never_ran(&self, redirect: &Redirect) -> bool {
         let Some(peer) = self.peers.get(redirect.holder) else { return false };
-        let due_at = redirect.opened_at.after(limits::ANNOUNCED_WITHIN_MS);
+        let due_at = redirect.opened_at.after(limits::ANNOUNCE_DEADLINE_MS);
         let lived_on = |(life, at): (Incarnation, Millis)| life == redirect.life && at > due_at;
         let announced = peer.announced_at.is_some_and(|at| at > due_at);
         let outlived = peer.past_beat.is_some_and(lived_on);
@@ -231,7 +231,7 @@
         let all_done = asked.iter().all(|peer| peer.cursor.done);
         let alone = asked.is_empty();
         if alone || (all_done && incomplete <= 1) {
-            self.past = Past::Doubtful { until: now.after(limits::DOUBT_MS) };
+            self.past = Past::Doubtful { until: now.after(limits::UNANNOUNCED_FLOWS_MS) };
         }
         self.check_resumed();
     }
