--- a/crates/agent/src/explain.rs
+++ b/crates/agent/src/explain.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use decision::agent::{Evidence, Explanation, Standing, Whereabouts};
+use decision::agent::{AgentStatus, Evidence, Explanation, FlowLocation};
 use decision::keys::{UpstreamId, Version};
 use serde::Serialize;
 
@@ -40,12 +40,12 @@
 
 impl Explained {
     pub(crate) fn new(instance: Arc<str>, version: Version, explanation: &Explanation) -> Self {
-        let rank = |(upstream, standing): &(UpstreamId, Standing)| Rank {
+        let rank = |(upstream, standing): &(UpstreamId, AgentStatus)| Rank {
             upstream: hex(*upstream),
             standing: match standing {
-                Standing::Up => "up",
-                Standing::Silent => "silent",
-                Standing::Leaving => "leaving",
+                AgentStatus::Up => "up",
+                AgentStatus::Suspected => "silent",
+                AgentStatus::Leaving => "leaving",
             },
         };
         Self {
@@ -54,17 +54,17 @@
             bucket: explanation.bucket.0,
             ranking: explanation.ranking.iter().map(rank).collect(),
             home: explanation.home.map(hex),
-            place: Place::from(explanation.whereabouts),
+            place: Place::from(explanation.location),
         }
     }
 }
 
-impl From<Whereabouts> for Place {
-    fn from(whereabouts: Whereabouts) -> Self {
-        let (state, redirect) = match whereabouts {
-            Whereabouts::Here(state) => (state_word(state), None),
-            Whereabouts::At(redirect) => ("elsewhere", Some(redirect)),
-            Whereabouts::Unknown => ("unknown", None),
+impl From<FlowLocation> for Place {
+    fn from(location: FlowLocation) -> Self {
+        let (state, redirect) = match location {
+            FlowLocation::Local(state) => (state_word(state), None),
+            FlowLocation::Remote(redirect) => ("elsewhere", Some(redirect)),
+            FlowLocation::Unknown => ("unknown", None),
         };
         let evidence = redirect.map(|redirect| match redirect.evidence {
             Evidence::Found => "found",
--- a/crates/agent/src/plane/carry.rs
+++ b/crates/agent/src/plane/carry.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use decision::agent::{Passed, Reason, Verdict};
+use decision::agent::{Forwarding, Reason, Verdict};
 use decision::keys::{FlowId, UpstreamId};
 use decision::message::Message;
 use settings::codes;
@@ -37,7 +37,9 @@
     ) {
         match verdict {
             Verdict::Deliver => self.deliver(content, bytes),
-            Verdict::Forward { to, passed } => self.pass_on(to, passed, content, header, bytes),
+            Verdict::Forward { to, forwarding } => {
+                self.pass_on(to, forwarding, content, header, bytes)
+            }
             Verdict::Refuse(reason) => self.refuse(reason, content, bytes),
             Verdict::Drop(reason) => self.drop_packet(reason.into()),
             Verdict::Hold(key) => {
@@ -59,7 +61,7 @@
             log::error!("message not sent: {error}");
             return;
         }
-        let header = self.own_header(FlowId(to.0), 0, Passed::Fresh);
+        let header = self.own_header(FlowId(to.0), 0, Forwarding::Direct);
         let mut private = [0; SEALED_BYTES];
         let payload = Payload::Control(&self.body);
         if self.config.keyring.seal(&header, payload, &mut private).is_err() {
@@ -82,7 +84,7 @@
     fn pass_on(
         &mut self,
         to: UpstreamId,
-        passed: Passed,
+        forwarding: Forwarding,
         content: Content,
         header: &Header,
         bytes: &[u8],
@@ -91,7 +93,7 @@
             return self.drop_packet(codes::NO_AGENT);
         };
         let Ok(packet) = inner::parse(bytes) else { return self.drop_packet(codes::MALFORMED) };
-        let own = self.own_header(header.flow, header.hops.saturating_add(1), passed);
+        let own = self.own_header(header.flow, header.hops.saturating_add(1), forwarding);
         let payload = Payload::Packet { bytes, header_bytes: packet.header_bytes };
         let mut private = [0; SEALED_BYTES];
         if self.config.keyring.seal(&own, payload, &mut private).is_err() {
@@ -126,11 +128,11 @@
         }
     }
 
-    pub(super) fn own_header(&self, flow: FlowId, hops: u8, passed: Passed) -> Header {
+    pub(super) fn own_header(&self, flow: FlowId, hops: u8, forwarding: Forwarding) -> Header {
         let identity = &self.config.identity;
         Header {
             hops,
-            passed,
+            passed: forwarding,
             account: identity.account,
             service: identity.service,
             flow,
--- a/crates/agent/src/plane/leave.rs
+++ b/crates/agent/src/plane/leave.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use decision::agent::Passed;
+use decision::agent::Forwarding;
 use decision::keys::FlowId;
 use decision::spread::Member;
 use decision::time::Millis;
@@ -107,7 +107,7 @@
 
     fn send_notice(&mut self, notice: Notice, to: &[SocketAddr]) {
         let body = notice::encode(notice);
-        let header: Header = self.own_header(FlowId(0), 0, Passed::Fresh);
+        let header: Header = self.own_header(FlowId(0), 0, Forwarding::Direct);
         let mut private = [0; SEALED_BYTES];
         if self.config.keyring.seal(&header, Payload::Control(&body), &mut private).is_err() {
             return;
--- a/crates/agent/src/plane/mod.rs
+++ b/crates/agent/src/plane/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use decision::agent::{Action, Agent, Event, Packet, Passed, TICK_MS, Verdict};
+use decision::agent::{Action, Agent, Event, Forwarding, Packet, TICK_MS, Verdict};
 use decision::keys::{ServiceKey, UpstreamId, Version};
 use decision::time::Millis;
 use decision::view::{View, WhenInDoubt};
@@ -126,7 +126,7 @@
             let mut fresh = None;
             for (slot, datagram) in receiver.datagrams().enumerate() {
                 self.counts.add(Count::Received, 1);
-                if self.datagram(now, slot, datagram, &mut sender) == Some(Passed::Fresh) {
+                if self.datagram(now, slot, datagram, &mut sender) == Some(Forwarding::Direct) {
                     fresh = fresh.or(Some(slot));
                 }
                 self.run_actions();
@@ -177,7 +177,7 @@
         slot: usize,
         datagram: &[u8],
         sender: &mut Sender,
-    ) -> Option<Passed> {
+    ) -> Option<Forwarding> {
         let config = &self.config;
         match gate::check(&config.identity, &config.keyring, &self.view, datagram) {
             Err(code) => {
@@ -207,7 +207,7 @@
                     sequence: inner.sequence(),
                     view: header.version,
                     hops: header.hops,
-                    passed: header.passed,
+                    forwarding: header.passed,
                 };
                 match self.agent.packet(now, &packet, &mut self.actions) {
                     Verdict::Deliver => self.queue_delivery(content, slot, sender),
--- a/crates/agent/src/plane/requests.rs
+++ b/crates/agent/src/plane/requests.rs
@@ -2,7 +2,7 @@
 
 use std::sync::mpsc;
 
-use decision::agent::{Event, Explanation, FlowState, Whereabouts};
+use decision::agent::{Event, Explanation, FlowLocation, FlowState};
 use decision::keys::{FlowId, UpstreamId, Version};
 use decision::time::Millis;
 
@@ -87,12 +87,12 @@
     }
 
     fn find(&self, now: Millis, flow: FlowId) -> FlowEntry {
-        match self.agent.explain(now, flow).whereabouts {
-            Whereabouts::Here(state) => held(flow, state),
-            Whereabouts::At(redirect) => {
+        match self.agent.explain(now, flow).location {
+            FlowLocation::Local(state) => held(flow, state),
+            FlowLocation::Remote(redirect) => {
                 FlowEntry { flow, state: "elsewhere", holder: Some(redirect.holder) }
             }
-            Whereabouts::Unknown => FlowEntry { flow, state: "unknown", holder: None },
+            FlowLocation::Unknown => FlowEntry { flow, state: "unknown", holder: None },
         }
     }
 }
--- a/crates/agent/src/plane/tests.rs
+++ b/crates/agent/src/plane/tests.rs
@@ -7,7 +7,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use decision::agent::{Agent, AgentConfig, Event, FlowState, Passed, Whereabouts};
+use decision::agent::{Agent, AgentConfig, Event, FlowLocation, FlowState, Forwarding};
 use decision::keys::{AccountId, FlowId, Incarnation, ServiceId, UpstreamId, Version};
 use decision::message::{Claim, ClaimAnswer, Heartbeat, Knowledge, Memory, Message};
 use decision::rank;
@@ -163,7 +163,7 @@
     fn send(&self, sender: UpstreamId, flow: FlowId, content: Content, body: &[u8]) {
         let header = Header {
             hops: 0,
-            passed: Passed::Fresh,
+            passed: Forwarding::Direct,
             account: AccountId::of("cascadia"),
             service: service(),
             flow,
@@ -251,7 +251,7 @@
     bench.requests.send(Request::Explain(FlowId(5), reply)).unwrap();
     let (version, explanation) = answer.recv_timeout(TIMEOUT).unwrap();
     assert_eq!((version, explanation.ranking.len()), (Version(7), 1));
-    assert_eq!(explanation.whereabouts, Whereabouts::Here(FlowState::Open));
+    assert_eq!(explanation.location, FlowLocation::Local(FlowState::Open));
     assert!(bench.timeline.after(Default::default()).iter().any(|e| e.kind == "admitted"));
 }
 
@@ -272,7 +272,7 @@
     let bench = bench(WhenInDoubt::Admit, true);
     bench.send_packet(flow_of("peer"), &tcp("S"));
     let (header, packet) = bench.passed_to_peer();
-    assert_eq!((header.hops, header.passed), (1, Passed::Redirected));
+    assert_eq!((header.hops, header.passed), (1, Forwarding::Redirected));
     assert_eq!((header.flow, header.sender), (flow_of("peer"), SenderId(upstream("own").0)));
     assert_eq!(packet, tcp("S"));
 }
--- a/crates/agent/tests/gate.rs
+++ b/crates/agent/tests/gate.rs
@@ -1,7 +1,7 @@
 //! What is checked before a datagram reaches the decision core.
 
 use agent::gate::{Admitted, Identity, check, datagram_nonce};
-use decision::agent::Passed;
+use decision::agent::Forwarding;
 use decision::keys::{AccountId, FlowId, ServiceId, UpstreamId, Version};
 use decision::message::Message;
 use decision::view::{self, AccountSpec, Endpoint, ServiceSpec, Transport, View, WhenInDoubt};
@@ -75,7 +75,7 @@
 fn header(sent: &Sent) -> Header {
     Header {
         hops: 0,
-        passed: Passed::Fresh,
+        passed: Forwarding::Direct,
         account: AccountId::of(sent.account),
         service: ServiceId::of(sent.account, sent.service),
         flow: sent.flow,
--- a/crates/agent/tests/hold.rs
+++ b/crates/agent/tests/hold.rs
@@ -1,7 +1,7 @@
 //! Held packets.
 
 use agent::hold::{HELD_MAX, Held, HoldTable};
-use decision::agent::{HoldKey, Passed};
+use decision::agent::{Forwarding, HoldKey};
 use decision::keys::{AccountId, FlowId, ServiceId, Version};
 use wire::gue::Content;
 use wire::sealed::{Header, SenderId};
@@ -9,7 +9,7 @@
 fn held(byte: u8) -> Held {
     let header = Header {
         hops: 0,
-        passed: Passed::Fresh,
+        passed: Forwarding::Direct,
         account: AccountId(1),
         service: ServiceId(2),
         flow: FlowId(3),
--- a/crates/balancer/src/forward.rs
+++ b/crates/balancer/src/forward.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use decision::agent::Passed;
+use decision::agent::Forwarding;
 use decision::keys::AccountId;
 use shell::udp::Prefix;
 use wire::gue::{self, Content};
@@ -62,7 +62,7 @@
     let entry = snapshot.service(key);
     let header = Header {
         hops: 0,
-        passed: Passed::Fresh,
+        passed: Forwarding::Direct,
         account: entry.account,
         service: entry.service,
         flow,
--- a/crates/balancer/tests/forward.rs
+++ b/crates/balancer/tests/forward.rs
@@ -6,7 +6,7 @@
 use balancer::counters::Dropped;
 use balancer::forward::{Identity, PAYLOAD_START, forward};
 use balancer::snapshot::Snapshot;
-use decision::agent::Passed;
+use decision::agent::Forwarding;
 use decision::keys::{AccountId, ServiceId, UpstreamId, Version};
 use decision::view::{
     self, AccountSpec, Endpoint, ServiceSpec, Transport, UpstreamSpec, UpstreamState, WhenInDoubt,
@@ -135,7 +135,7 @@
     let header = ring.open(received.private, payload).unwrap().header;
     assert_eq!(header.service, ServiceId::of("cascadia", service));
     assert_eq!(header.flow, inner::parse(&packet).unwrap().flow_id(&[1; 16]));
-    assert_eq!((header.version, header.hops, header.passed), (Version(7), 0, Passed::Fresh));
+    assert_eq!((header.version, header.hops, header.passed), (Version(7), 0, Forwarding::Direct));
 }
 
 /// Two balancers with the same settings and liveness send a flow to the same agent, and pass over
--- a/crates/balancer/tests/notices.rs
+++ b/crates/balancer/tests/notices.rs
@@ -4,7 +4,7 @@
 
 use balancer::notices::{LEAVING_MS, LeavingAgents, read};
 use balancer::snapshot::Snapshot;
-use decision::agent::Passed;
+use decision::agent::Forwarding;
 use decision::keys::{AccountId, FlowId, ServiceId, UpstreamId, Version};
 use decision::time::Millis;
 use decision::view::{
@@ -52,7 +52,7 @@
 fn datagram(key_of: &str, named: &str, control_type: u8) -> Vec<u8> {
     let header = Header {
         hops: 0,
-        passed: Passed::Fresh,
+        passed: Forwarding::Direct,
         account: AccountId::of(named),
         service: ServiceId::of("cascadia", "shelf"),
         flow: FlowId(0),
--- a/crates/decision/src/agent/early.rs
+++ b/crates/decision/src/agent/early.rs
@@ -10,7 +10,7 @@
 use super::mutant::mutated;
 use super::pending::Attempt;
 use super::redirects::{Evidence, Redirect};
-use super::{Action, Agent, Note, Packet, Passed, Reason, Verdict, limits};
+use super::{Action, Agent, Forwarding, Note, Packet, Reason, Verdict, limits};
 use crate::keys::{Incarnation, UpstreamId};
 use crate::message::{Claim, Opening};
 use crate::rank;
@@ -37,7 +37,7 @@
             };
         }
         let hops = packet.hops;
-        if packet.passed == Passed::Assigned {
+        if packet.forwarding == Forwarding::Assigned {
             return self.take_assigned(now, hops, opening, out);
         }
         if let Some(holder) = self.redirect_of_opening(now, opening) {
@@ -46,7 +46,7 @@
         if let Some(home) = self.other_home(now, packet, out) {
             self.flows.remove(opening.flow);
             self.forget_closing(opening);
-            return self.forward(packet.hops, home, Passed::Redirected);
+            return self.forward(packet.hops, home, Forwarding::Redirected);
         }
         let claim = self.choose_early(now).map_or(Claim::Refuse, Claim::Run);
         self.start_early(now, hops, opening, claim, out)
@@ -70,7 +70,7 @@
         opening: Opening,
         out: &mut Vec<Action>,
     ) -> Verdict {
-        if packet.passed == Passed::Assigned {
+        if packet.forwarding == Forwarding::Assigned {
             self.yield_to(now, opening, Claim::Run(self.config.upstream), out);
         }
         Verdict::Drop(Reason::Duplicate)
@@ -262,7 +262,7 @@
         holder: UpstreamId,
         out: &mut Vec<Action>,
     ) -> Verdict {
-        let verdict = self.forward(hops, holder, Passed::Assigned);
+        let verdict = self.forward(hops, holder, Forwarding::Assigned);
         if !matches!(verdict, Verdict::Forward { .. }) {
             return verdict;
         }
@@ -304,5 +304,5 @@
 
 /// Whether a packet was assigned by an agent that had itself been given it.
 fn has_returned(packet: &Packet) -> bool {
-    packet.passed == Passed::Assigned && packet.hops >= 2
+    packet.forwarding == Forwarding::Assigned && packet.hops >= 2
 }
--- a/crates/decision/src/agent/lookup.rs
+++ b/crates/decision/src/agent/lookup.rs
@@ -8,7 +8,7 @@
 use super::health::Unknown;
 use super::redirects::{Evidence, Redirect};
 use super::sorted::Sorted;
-use super::{Action, Agent, HoldKey, Packet, PacketKind, Passed, Reason, Verdict, limits};
+use super::{Action, Agent, Forwarding, HoldKey, Packet, PacketKind, Reason, Verdict, limits};
 use crate::keys::{FlowId, Incarnation, UpstreamId};
 use crate::message::{Knowledge, Message};
 use crate::time::Millis;
@@ -231,8 +231,8 @@
     ) -> Verdict {
         let Packet { flow, kind, hops, .. } = *packet;
         match finding {
-            Finding::Holder(holder) => self.forward(hops, holder, Passed::Redirected),
-            Finding::Only(peer) => self.forward(hops, peer, Passed::Adopt),
+            Finding::Holder(holder) => self.forward(hops, holder, Forwarding::Redirected),
+            Finding::Only(peer) => self.forward(hops, peer, Forwarding::Adopt),
             Finding::OnlyMe => {
                 self.adopt(now, flow, out);
                 self.deliver_certain(now, packet, out);
--- a/crates/decision/src/agent/mod.rs
+++ b/crates/decision/src/agent/mod.rs
@@ -43,7 +43,7 @@
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
 pub use redirects::{Evidence, Redirect};
-pub use status::{Explanation, Standing, Stats, Whereabouts};
+pub use status::{AgentStatus, Explanation, FlowLocation, Stats};
 pub use types::*;
 
 use crate::keys::{ServiceKey, UpstreamId, Version};
--- a/crates/decision/src/agent/once.rs
+++ b/crates/decision/src/agent/once.rs
@@ -10,7 +10,7 @@
 use super::flows::FlowState;
 use super::mutant::mutated;
 use super::pending::Attempt;
-use super::{Action, Agent, Packet, Passed, Reason, Verdict, limits};
+use super::{Action, Agent, Forwarding, Packet, Reason, Verdict, limits};
 use crate::message::{Claim, Opening};
 use crate::time::Millis;
 
@@ -39,7 +39,7 @@
         if wanted && held.is_some_and(|flow| flow.is_certainly_open()) {
             return self.claim_once(now, packet.hops, opening, Claim::Run(me), out);
         }
-        if packet.passed == Passed::Assigned {
+        if packet.forwarding == Forwarding::Assigned {
             let claim = self.claim_of_assigned(now, packet.hops);
             return self.propose(now, packet.hops, opening, claim, out);
         }
@@ -50,7 +50,7 @@
         if let Some(home) = self.other_home(now, packet, out) {
             self.flows.remove(opening.flow);
             self.forget_closing(opening);
-            return self.forward(packet.hops, home, Passed::Redirected);
+            return self.forward(packet.hops, home, Forwarding::Redirected);
         }
         let claim = self.choose(now, false).map_or(Claim::Refuse, Claim::Run);
         self.propose(now, packet.hops, opening, claim, out)
@@ -96,7 +96,9 @@
             // Whoever has assigned it to this agent may know that the other one cannot take it.
             // The vote that this agent has given to that one stands.
             (Stage::Witnessed, Claim::Run(holder))
-                if holder == me || packet.passed == Passed::Assigned || !self.is_up(holder) =>
+                if holder == me
+                    || packet.forwarding == Forwarding::Assigned
+                    || !self.is_up(holder) =>
             {
                 let claim = self.claim_of_assigned(now, packet.hops);
                 self.propose(now, packet.hops, opening, claim, out)
--- a/crates/decision/src/agent/packet.rs
+++ b/crates/decision/src/agent/packet.rs
@@ -2,7 +2,7 @@
 
 use super::flows::{Flow, FlowState};
 use super::mutant::mutated;
-use super::{Action, Agent, Note, Packet, PacketKind, Passed, Reason, Verdict, limits};
+use super::{Action, Agent, Forwarding, Note, Packet, PacketKind, Reason, Verdict, limits};
 use crate::keys::{FlowId, UpstreamId};
 use crate::message::Opening;
 use crate::rank;
@@ -59,11 +59,11 @@
     }
 
     /// Passes a packet on, unless it has been passed on too often.
-    pub(super) fn forward(&self, hops: u8, to: UpstreamId, passed: Passed) -> Verdict {
+    pub(super) fn forward(&self, hops: u8, to: UpstreamId, forwarding: Forwarding) -> Verdict {
         if hops >= limits::MAX_HOPS {
             return Verdict::Drop(Reason::TooManyHops);
         }
-        Verdict::Forward { to, passed }
+        Verdict::Forward { to, forwarding }
     }
 
     /// Takes a flow into the table and tells its home and second rank.
@@ -129,7 +129,7 @@
         if mutated!(self, AdoptAlways) {
             return Verdict::Deliver;
         }
-        if packet.passed == Passed::Adopt {
+        if packet.forwarding == Forwarding::Adopt {
             return self.adopt_if_unsure(now, packet, out);
         }
         let own = self.flows.get(packet.flow).copied();
@@ -140,7 +140,7 @@
         let holder = redirect.filter(|holder| self.may_hold_flows(now, *holder));
         // A packet that was already redirected twice follows stale redirects; asking ends that.
         if let Some(holder) = holder.filter(|_| packet.hops < 2) {
-            return self.forward(packet.hops, holder, Passed::Redirected);
+            return self.forward(packet.hops, holder, Forwarding::Redirected);
         }
         self.look_up(now, packet, out)
     }
@@ -160,7 +160,7 @@
         out: &mut Vec<Action>,
     ) -> Verdict {
         let is_home = self.home(rank::bucket_of(packet.flow)) == Some(self.config.upstream);
-        let from_home = is_home || packet.passed != Passed::Fresh;
+        let from_home = is_home || packet.forwarding != Forwarding::Direct;
         let recent = now.since(flow.last_seen) < limits::CLOSING_TRUST_MS;
         let rests = recent && flow.state != FlowState::Reset;
         if flow.hearsay || !from_home || !rests {
--- a/crates/decision/src/agent/status.rs
+++ b/crates/decision/src/agent/status.rs
@@ -37,22 +37,22 @@
 
 /// Where a flow is, as one agent knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whereabouts {
+pub enum FlowLocation {
     /// At the own upstream.
-    Here(FlowState),
+    Local(FlowState),
     /// At another agent.
-    At(Redirect),
+    Remote(Redirect),
     /// Not known; a packet would lead to a lookup.
     Unknown,
 }
 
 /// Whether an agent can be the home of a bucket, as another one sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum AgentStatus {
     /// It can.
     Up,
     /// It is suspected, because nothing was heard from it.
-    Silent,
+    Suspected,
     /// It has said that it leaves.
     Leaving,
 }
@@ -63,11 +63,11 @@
     /// Bucket of the flow.
     pub bucket: BucketIndex,
     /// Agents of the bucket from first to last rank.
-    pub ranking: Vec<(UpstreamId, Standing)>,
+    pub ranking: Vec<(UpstreamId, AgentStatus)>,
     /// Home as this agent sees it.
     pub home: Option<UpstreamId>,
     /// Where the flow is.
-    pub whereabouts: Whereabouts,
+    pub location: FlowLocation,
 }
 
 impl Agent {
@@ -121,21 +121,21 @@
     /// Why a packet of the flow goes where it goes.
     pub fn explain(&self, now: Millis, flow: FlowId) -> Explanation {
         let bucket = rank::bucket_of(flow);
-        let here = self.flows.get(flow).map(|flow| Whereabouts::Here(flow.state));
-        let redirect = self.redirects.get(now, flow).map(|known| Whereabouts::At(*known));
+        let here = self.flows.get(flow).map(|flow| FlowLocation::Local(flow.state));
+        let redirect = self.redirects.get(now, flow).map(|known| FlowLocation::Remote(*known));
         Explanation {
             bucket,
-            ranking: self.ranking(bucket).map(|id| (id, self.standing(id))).collect(),
+            ranking: self.ranking(bucket).map(|id| (id, self.agent_status(id))).collect(),
             home: self.home(bucket),
-            whereabouts: here.or(redirect).unwrap_or(Whereabouts::Unknown),
+            location: here.or(redirect).unwrap_or(FlowLocation::Unknown),
         }
     }
-    fn standing(&self, upstream: UpstreamId) -> Standing {
+    fn agent_status(&self, upstream: UpstreamId) -> AgentStatus {
         if self.is_up(upstream) {
-            return Standing::Up;
+            return AgentStatus::Up;
         }
         let says_so = self.peers.get(upstream).is_some_and(Peer::is_leaving);
         let leaving = says_so || upstream == self.config.upstream;
-        if leaving { Standing::Leaving } else { Standing::Silent }
+        if leaving { AgentStatus::Leaving } else { AgentStatus::Suspected }
     }
 }
--- a/crates/decision/src/agent/tests/early.rs
+++ b/crates/decision/src/agent/tests/early.rs
@@ -130,7 +130,8 @@
         fleet.event(index, Event::Upstream(UpstreamReport { draining: true, ..report() }));
     }
     fleet.cut.clear();
-    let assigned = Packet { passed: Passed::Assigned, hops: 1, ..packet(flow(1), opening(1)) };
+    let assigned =
+        Packet { forwarding: Forwarding::Assigned, hops: 1, ..packet(flow(1), opening(1)) };
     assert_eq!(fleet.send_packet(0, assigned), Outcome::Refused(Reason::AllFull));
 }
 
--- a/crates/decision/src/agent/tests/handover.rs
+++ b/crates/decision/src/agent/tests/handover.rs
@@ -173,7 +173,7 @@
     }
     fleet.restart(other, &spec);
     fleet.pass(500);
-    let copy = Packet { hops: 1, passed: Passed::Assigned, ..packet(flow(1), opening(1)) };
+    let copy = Packet { hops: 1, forwarding: Forwarding::Assigned, ..packet(flow(1), opening(1)) };
     assert_eq!(fleet.send_packet(other, copy), opened);
 }
 
--- a/crates/decision/src/agent/tests/lookup.rs
+++ b/crates/decision/src/agent/tests/lookup.rs
@@ -11,11 +11,11 @@
 #[case::all_deny(&[Some(Knowledge::NotMine); 3], Verdict::Refuse(Reason::UnknownFlow))]
 #[case::one_holds(
     &[Some(Knowledge::NotMine), Some(Knowledge::Mine), Some(Knowledge::NotMine)],
-    Verdict::Forward { to: id(2), passed: Passed::Redirected },
+    Verdict::Forward { to: id(2), forwarding: Forwarding::Redirected },
 )]
 #[case::one_holds_others_silent(
     &[None, Some(Knowledge::Mine), None],
-    Verdict::Forward { to: id(2), passed: Passed::Redirected },
+    Verdict::Forward { to: id(2), forwarding: Forwarding::Redirected },
 )]
 #[case::one_silent(
     &[Some(Knowledge::NotMine), None, Some(Knowledge::NotMine)],
@@ -23,7 +23,7 @@
 )]
 #[case::one_unsure(
     &[Some(Knowledge::NotMine), Some(Knowledge::Unsure), Some(Knowledge::NotMine)],
-    Verdict::Forward { to: id(2), passed: Passed::Adopt },
+    Verdict::Forward { to: id(2), forwarding: Forwarding::Adopt },
 )]
 #[case::two_unsure(
     &[Some(Knowledge::Unsure), Some(Knowledge::Unsure), Some(Knowledge::NotMine)],
@@ -31,7 +31,7 @@
 )]
 #[case::one_likely_one_unlikely(
     &[Some(Knowledge::Likely), Some(Knowledge::Unlikely), Some(Knowledge::NotMine)],
-    Verdict::Forward { to: id(1), passed: Passed::Adopt },
+    Verdict::Forward { to: id(1), forwarding: Forwarding::Adopt },
 )]
 #[case::one_likely_one_unsure(
     &[Some(Knowledge::Likely), Some(Knowledge::Unsure), Some(Knowledge::NotMine)],
@@ -47,7 +47,7 @@
 )]
 #[case::only_one_unlikely(
     &[Some(Knowledge::NotMine), Some(Knowledge::Unlikely), Some(Knowledge::NotMine)],
-    Verdict::Forward { to: id(2), passed: Passed::Adopt },
+    Verdict::Forward { to: id(2), forwarding: Forwarding::Adopt },
 )]
 #[case::one_likely_one_silent(
     &[Some(Knowledge::Likely), None, Some(Knowledge::NotMine)],
@@ -63,11 +63,11 @@
 )]
 #[case::closing_all_answer(
     &[Some(Knowledge::Closing), Some(Knowledge::NotMine), Some(Knowledge::NotMine)],
-    Verdict::Forward { to: id(1), passed: Passed::Redirected },
+    Verdict::Forward { to: id(1), forwarding: Forwarding::Redirected },
 )]
 #[case::named_by_another(
     &[Some(Knowledge::HeldBy(id(3))), Some(Knowledge::NotMine), Some(Knowledge::NotMine)],
-    Verdict::Forward { to: id(3), passed: Passed::Redirected },
+    Verdict::Forward { to: id(3), forwarding: Forwarding::Redirected },
 )]
 fn unknown_middle(#[case] answers: &[Option<Knowledge>], #[case] expected: Verdict) {
     let fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 4));
--- a/crates/decision/src/agent/tests/mod.rs
+++ b/crates/decision/src/agent/tests/mod.rs
@@ -20,8 +20,8 @@
 use std::sync::Arc;
 
 use super::{
-    Action, Agent, AgentConfig, Event, HoldKey, Note, Packet, PacketKind, Passed, Reason, TICK_MS,
-    UpstreamReport, Verdict,
+    Action, Agent, AgentConfig, Event, Forwarding, HoldKey, Note, Packet, PacketKind, Reason,
+    TICK_MS, UpstreamReport, Verdict,
 };
 use crate::keys::{FlowId, Incarnation, ServiceId, UpstreamId, Version};
 use crate::message::Message;
@@ -243,10 +243,10 @@
             Verdict::Refuse(reason) => self.outcomes.push(Outcome::Refused(reason)),
             Verdict::Drop(reason) => self.outcomes.push(Outcome::Dropped(reason)),
             Verdict::Hold(hold) => self.held.push((at, hold, packet)),
-            Verdict::Forward { to, passed } => {
+            Verdict::Forward { to, forwarding } => {
                 let hops = packet.hops + 1;
                 let to = self.index(to);
-                self.arrive(to, Packet { hops, passed, ..packet });
+                self.arrive(to, Packet { hops, forwarding, ..packet });
             }
         }
     }
@@ -327,7 +327,7 @@
         sequence: 1,
         view: Version(1),
         hops: 0,
-        passed: Passed::Fresh,
+        forwarding: Forwarding::Direct,
     }
 }
 
--- a/crates/decision/src/agent/tests/once.rs
+++ b/crates/decision/src/agent/tests/once.rs
@@ -61,7 +61,7 @@
         let outcome = fleet.send(to, flow(1), opening(1));
         assert!(matches!(outcome, Outcome::Dropped(_)), "copy at {to}: {outcome:?}");
     }
-    let late = Packet { passed: Passed::Assigned, hops: 1, ..packet(flow(1), opening(1)) };
+    let late = Packet { forwarding: Forwarding::Assigned, hops: 1, ..packet(flow(1), opening(1)) };
     let outcome = fleet.send_packet(holder, late);
     assert!(matches!(outcome, Outcome::Dropped(_)), "late assigned copy: {outcome:?}");
 }
@@ -81,7 +81,7 @@
     };
     fleet.agents[holder] = agent(holder, 2 + fleet.now.0, false, spec.view(), fleet.now);
     fleet.pass(pass_ms);
-    let late = Packet { passed: Passed::Assigned, hops: 1, ..packet(flow(1), opening(1)) };
+    let late = Packet { forwarding: Forwarding::Assigned, hops: 1, ..packet(flow(1), opening(1)) };
     let outcome = fleet.send_packet(holder, late);
     assert!(!matches!(outcome, Outcome::Delivered(_)), "late copy: {outcome:?}");
 }
--- a/crates/decision/src/agent/types.rs
+++ b/crates/decision/src/agent/types.rs
@@ -39,14 +39,14 @@
     /// Agents that handled the packet before this one.
     pub hops: u8,
     /// How the previous agent passed it on.
-    pub passed: Passed,
+    pub forwarding: Forwarding,
 }
 
 /// Why a packet was passed from agent to agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passed {
+pub enum Forwarding {
     /// Straight from a balancer.
-    Fresh,
+    Direct,
     /// The sender knows that the receiver holds the flow, or is its home in newer settings.
     Redirected,
     /// The sender, home of the flow, has assigned the opening to the receiver. The claim, where one
@@ -66,7 +66,7 @@
         /// Receiver.
         to: UpstreamId,
         /// How it is passed.
-        passed: Passed,
+        forwarding: Forwarding,
     },
     /// Answer the caller that the opening was not run, or that the flow does not exist.
     Refuse(Reason),
--- a/crates/fuzzing/src/world/balancers.rs
+++ b/crates/fuzzing/src/world/balancers.rs
@@ -3,7 +3,7 @@
 use std::hash::Hasher as _;
 use std::sync::Arc;
 
-use decision::agent::{Packet, PacketKind, Passed};
+use decision::agent::{Forwarding, Packet, PacketKind};
 use decision::keys::{FlowId, ServiceKey, UpstreamKey};
 use decision::router::Router;
 use decision::view::View;
@@ -84,7 +84,7 @@
             let input = DirectInput { balancer, view, service, flow, opening };
             let Some(upstream) = policy(&input) else { return };
             let host = fleet::host_at(view.upstream(upstream).spec.agent_address);
-            self.deliver(host, carried, Passed::Fresh);
+            self.deliver(host, carried, Forwarding::Direct);
             return;
         }
         let Some(route) = router.route(service, flow) else { return };
@@ -97,7 +97,7 @@
             sequence: carried.sequence,
             view: view.account(view.service(service).account).version,
             hops: 0,
-            passed: Passed::Fresh,
+            forwarding: Forwarding::Direct,
         };
         self.send(Node::Balancer(balancer), host, Incoming::Packet { packet, carried });
     }
--- a/crates/fuzzing/src/world/verdicts.rs
+++ b/crates/fuzzing/src/world/verdicts.rs
@@ -1,6 +1,6 @@
 //! What the shell does with an agent's verdicts, and what upstreams and callers answer.
 
-use decision::agent::{HoldKey, Note, Packet, PacketKind, Passed, Verdict};
+use decision::agent::{Forwarding, HoldKey, Note, Packet, PacketKind, Verdict};
 
 use super::agents::{Incoming, address_of};
 use super::balancers::{hash_of, initial_sequence};
@@ -21,7 +21,7 @@
     ) {
         self.note(|| format!("host {host}: {:?} {:?} -> {verdict:?}", carried.inner, packet));
         match verdict {
-            Verdict::Deliver => self.deliver(host, carried, packet.passed),
+            Verdict::Deliver => self.deliver(host, carried, packet.forwarding),
             Verdict::Drop(_) => {}
             Verdict::Refuse(_) => self.refuse(&packet, carried),
             Verdict::Hold(key) => {
@@ -29,12 +29,13 @@
                 let Some(shell) = &mut self.hosts[host].agent else { return };
                 shell.held.push((key, packet, carried, now_ms));
             }
-            Verdict::Forward { to, passed } => {
+            Verdict::Forward { to, forwarding } => {
                 let Some(shell) = &self.hosts[host].agent else { return };
                 let Some(target) = address_of(shell, to) else { return };
                 let Some(service) = shell.view.find_service(shell.service) else { return };
                 let view = shell.view.account(shell.view.service(service).account).version;
-                let packet = Packet { hops: packet.hops.saturating_add(1), passed, view, ..packet };
+                let packet =
+                    Packet { hops: packet.hops.saturating_add(1), forwarding, view, ..packet };
                 self.tally.forwarded += 1;
                 self.send(Node::Host(host), target, Incoming::Packet { packet, carried });
             }
@@ -60,7 +61,7 @@
     }
 
     /// Hands a packet to the upstream of a host.
-    pub(super) fn deliver(&mut self, host: usize, carried: Carried, passed: Passed) {
+    pub(super) fn deliver(&mut self, host: usize, carried: Carried, forwarding: Forwarding) {
         let now_ms = self.now_ms;
         let request = carried.inner.request();
         let target = &mut self.hosts[host];
@@ -75,7 +76,7 @@
         if effect.ran {
             self.tally.ran += 1;
             let promise = Self::promise(request.service);
-            let assigned = passed == Passed::Assigned;
+            let assigned = forwarding == Forwarding::Assigned;
             self.see(Seen::Ran { request, promise, upstream, agent, assigned });
         }
         if effect.established {
--- a/crates/loadgen/benches/core.rs
+++ b/crates/loadgen/benches/core.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use decision::agent::{Action, Agent, AgentConfig, Packet, PacketKind, Passed};
+use decision::agent::{Action, Agent, AgentConfig, Forwarding, Packet, PacketKind};
 use decision::keys::{BucketIndex, FlowId, Incarnation, ServiceId, UpstreamId, Version};
 use decision::rank;
 use decision::router::Router;
@@ -155,6 +155,6 @@
         sequence: OPENING_NONCE,
         view: Version(1),
         hops: 0,
-        passed: Passed::Fresh,
+        forwarding: Forwarding::Direct,
     }
 }
--- a/crates/loadgen/src/cost/service.rs
+++ b/crates/loadgen/src/cost/service.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use decision::agent::{
-    Action, Agent, AgentConfig, Event, HoldKey, Packet, PacketKind, Passed, TICK_MS, Verdict,
+    Action, Agent, AgentConfig, Event, Forwarding, HoldKey, Packet, PacketKind, TICK_MS, Verdict,
 };
 use decision::keys::{AccountId, FlowId, Incarnation, ServiceId, UpstreamId, Version};
 use decision::message::Message;
@@ -187,7 +187,7 @@
     fn packet(&self, flow: FlowId, kind: PacketKind) -> Packet {
         let (service, view) = (self.id, Version(1));
         let (sequence, hops) = (OPENING_NONCE, 0);
-        Packet { service, flow, kind, sequence, view, hops, passed: Passed::Fresh }
+        Packet { service, flow, kind, sequence, view, hops, forwarding: Forwarding::Direct }
     }
 
     fn home(&self, flow: FlowId) -> usize {
@@ -224,9 +224,9 @@
                 self.usage.admitted += u64::from(is_opening);
             }
             Verdict::Hold(hold) => self.held.push((at, hold, packet)),
-            Verdict::Forward { to, passed } => {
+            Verdict::Forward { to, forwarding } => {
                 let to = self.index(to);
-                self.arrive(to, Packet { hops: packet.hops + 1, passed, ..packet });
+                self.arrive(to, Packet { hops: packet.hops + 1, forwarding, ..packet });
             }
             Verdict::Refuse(_) | Verdict::Drop(_) => {}
         }
@@ -317,7 +317,7 @@
 fn header(service: ServiceId, from: UpstreamId) -> Header {
     Header {
         hops: 0,
-        passed: Passed::Fresh,
+        passed: Forwarding::Direct,
         account: AccountId(1),
         service,
         flow: FlowId(0),
--- a/crates/loadgen/src/traffic/frames.rs
+++ b/crates/loadgen/src/traffic/frames.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use anyhow::Context as _;
-use decision::agent::Passed;
+use decision::agent::Forwarding;
 use decision::keys::{AccountId, ServiceId, Version};
 use etherparse::PacketBuilder;
 use wire::gue::{self, Content};
@@ -106,7 +106,7 @@
         let inner = inner::parse(&packet)?;
         let header = Header {
             hops: 0,
-            passed: Passed::Fresh,
+            passed: Forwarding::Direct,
             account: AccountId::of(account),
             service: ServiceId::of(account, service),
             flow: inner.flow_id(flow_key),
--- a/crates/wire/benches/sealed.rs
+++ b/crates/wire/benches/sealed.rs
@@ -1,6 +1,6 @@
 //! Cost of sealing and opening one packet's private data.
 
-use decision::agent::Passed;
+use decision::agent::Forwarding;
 use decision::keys::{AccountId, FlowId, ServiceId, Version};
 use divan::{Bencher, black_box};
 use wire::sealed::{AccountKeyring, Header, KeyId, Payload, SEALED_BYTES, SenderId};
@@ -20,7 +20,7 @@
 fn header() -> Header {
     Header {
         hops: 0,
-        passed: Passed::Fresh,
+        passed: Forwarding::Direct,
         account: AccountId(1),
         service: ServiceId(2),
         flow: FlowId(3),
--- a/crates/wire/src/sealed/control.rs
+++ b/crates/wire/src/sealed/control.rs
@@ -1,6 +1,6 @@
 //! Whole control datagrams: a GUE control frame with sealed private data.
 
-use decision::agent::Passed;
+use decision::agent::Forwarding;
 use decision::keys::{AccountId, FlowId, ServiceId, Version};
 
 use super::{AccountKeyring, Header, Payload, SEALED_BYTES, SealError, SenderId};
@@ -21,7 +21,15 @@
         version: Version,
         sender: SenderId,
     ) -> Self {
-        Self { hops: 0, passed: Passed::Fresh, account, service, flow: FlowId(0), version, sender }
+        Self {
+            hops: 0,
+            passed: Forwarding::Direct,
+            account,
+            service,
+            flow: FlowId(0),
+            version,
+            sender,
+        }
     }
 }
 
--- a/crates/wire/src/sealed/mod.rs
+++ b/crates/wire/src/sealed/mod.rs
@@ -32,7 +32,7 @@
 
 use std::hash::Hasher as _;
 
-use decision::agent::Passed;
+use decision::agent::Forwarding;
 use decision::keys::{AccountId, FlowId, ServiceId, UpstreamId, Version};
 use siphasher::sip128::SipHasher24;
 use zerocopy::byteorder::network_endian::U64;
@@ -72,7 +72,7 @@
     /// Agents that handled the packet before.
     pub hops: u8,
     /// How it was passed on.
-    pub passed: Passed,
+    pub passed: Forwarding,
     /// Owner of the service.
     pub account: AccountId,
     /// Service.
@@ -93,12 +93,12 @@
     /// messages are for whoever gets them.
     ///
     /// ```
-    /// use decision::agent::Passed;
+    /// use decision::agent::Forwarding;
     /// use decision::keys::{AccountId, FlowId, ServiceId, UpstreamId, Version};
     /// use wire::sealed::{Header, SenderId};
     /// let header = Header {
     ///     hops: 0,
-    ///     passed: Passed::Fresh,
+    ///     passed: Forwarding::Direct,
     ///     account: AccountId::of("cascadia"),
     ///     service: ServiceId::of("cascadia", "shelf"),
     ///     flow: FlowId(7),
@@ -275,12 +275,12 @@
     /// [`SealError::Truncated`] for one that is shorter than its headers.
     ///
     /// ```
-    /// use decision::{agent::Passed, keys::*};
+    /// use decision::{agent::Forwarding, keys::*};
     /// use wire::sealed::*;
     /// let ring = AccountKeyring::new(&[(KeyId(1), [9; 32])]).unwrap();
     /// let header = Header {
     ///     hops: 0,
-    ///     passed: Passed::Fresh,
+    ///     passed: Forwarding::Direct,
     ///     account: AccountId(1),
     ///     service: ServiceId(2),
     ///     flow: FlowId(3),
@@ -353,7 +353,7 @@
     }
 }
 
-fn header_of(layout: &Layout, passed: Passed) -> Header {
+fn header_of(layout: &Layout, passed: Forwarding) -> Header {
     Header {
         hops: layout.hops,
         passed,
@@ -387,21 +387,21 @@
     std::hint::black_box(difference) == 0
 }
 
-fn passed_to_byte(passed: Passed) -> u8 {
+fn passed_to_byte(passed: Forwarding) -> u8 {
     match passed {
-        Passed::Fresh => 0,
-        Passed::Redirected => 1,
-        Passed::Assigned => 2,
-        Passed::Adopt => 3,
+        Forwarding::Direct => 0,
+        Forwarding::Redirected => 1,
+        Forwarding::Assigned => 2,
+        Forwarding::Adopt => 3,
     }
 }
 
-fn passed_from_byte(byte: u8) -> Option<Passed> {
+fn passed_from_byte(byte: u8) -> Option<Forwarding> {
     match byte {
-        0 => Some(Passed::Fresh),
-        1 => Some(Passed::Redirected),
-        2 => Some(Passed::Assigned),
-        3 => Some(Passed::Adopt),
+        0 => Some(Forwarding::Direct),
+        1 => Some(Forwarding::Redirected),
+        2 => Some(Forwarding::Assigned),
+        3 => Some(Forwarding::Adopt),
         _ => None,
     }
 }
--- a/crates/wire/tests/sealed.rs
+++ b/crates/wire/tests/sealed.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use decision::agent::Passed;
+use decision::agent::Forwarding;
 use decision::keys::{AccountId, FlowId, ServiceId, Version};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -18,7 +18,7 @@
 fn header() -> Header {
     Header {
         hops: 1,
-        passed: Passed::Assigned,
+        passed: Forwarding::Assigned,
         account: AccountId(0x0102_0304_0506_0708),
         service: ServiceId(0x1112_1314_1516_1718),
         flow: FlowId(0x2122_2324_2526_2728),
@@ -153,7 +153,7 @@
     ) {
         let header = Header {
             hops,
-            passed: Passed::Fresh,
+            passed: Forwarding::Direct,
             account: AccountId(account),
             service: ServiceId(service),
             flow: FlowId(flow),
