--- a/crates/agent/src/plane/mod.rs
+++ b/crates/agent/src/plane/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use decision::agent::{Action, Agent, Event, Forwarding, Packet, TICK_MS, Verdict};
+use decision::agent::{Action, Agent, Event, Forwarding, MAX_TICK_INTERVAL_MS, Packet, Verdict};
 use decision::keys::{ServiceKey, UpstreamId, Version};
 use decision::time::Millis;
 use decision::view::{View, WhenInDoubt};
@@ -35,7 +35,7 @@
 pub(crate) use requests::{FlowEntry, FlowList, Request, Wanted, state_word};
 
 /// Longest wait for a datagram. Half a tick, so that ticks are never late by more than that.
-const RECEIVE_TIMEOUT: Duration = Duration::from_millis(TICK_MS / 2);
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(MAX_TICK_INTERVAL_MS / 2);
 
 /// What the data thread is given.
 pub(crate) struct PlaneConfig {
@@ -155,7 +155,7 @@
     }
 
     fn tick(&mut self, now: Millis) {
-        if now.since(self.last_tick) < TICK_MS {
+        if now.since(self.last_tick) < MAX_TICK_INTERVAL_MS {
             return;
         }
         self.last_tick = now;
@@ -209,7 +209,7 @@
                     hops: header.hops,
                     forwarding: header.passed,
                 };
-                match self.agent.packet(now, &packet, &mut self.actions) {
+                match self.agent.handle_packet(now, &packet, &mut self.actions) {
                     Verdict::Deliver => self.queue_delivery(content, slot, sender),
                     verdict => self.carry_out(verdict, content, &header, bytes),
                 }
@@ -251,7 +251,7 @@
                 let _ = self.config.fetch.send(at_least);
             }
             Action::Report(member) => self.report(member),
-            Action::Note(note) => {
+            Action::Record(note) => {
                 notes::record(&self.config.timeline, &self.config.account, note);
             }
         }
--- a/crates/agent/src/plane/notes.rs
+++ b/crates/agent/src/plane/notes.rs
@@ -2,29 +2,31 @@
 
 use std::sync::Arc;
 
-use decision::agent::Note;
+use decision::agent::TimelineEntry;
 use decision::keys::FlowId;
 use decision::message::Opening;
 use settings::Code;
 use telemetry::timeline::{Fields, Timeline, Value};
 
 /// Puts a note into the time line.
-pub(super) fn record(timeline: &Timeline, account: &Arc<str>, note: Note) {
+pub(super) fn record(timeline: &Timeline, account: &Arc<str>, note: TimelineEntry) {
     let (kind, fields) = match note {
-        Note::Admitted(opening) => ("admitted", opened(opening)),
-        Note::Assigned { opening, to } => ("assigned", opened(opening).with("to", Value::Id(to.0))),
-        Note::Refused { opening, reason } => {
+        TimelineEntry::Admitted(opening) => ("admitted", opened(opening)),
+        TimelineEntry::Assigned { opening, to } => {
+            ("assigned", opened(opening).with("to", Value::Id(to.0)))
+        }
+        TimelineEntry::Refused { opening, reason } => {
             let reason = Value::Word(Code::from(reason).name());
             ("refused", opened(opening).with("reason", reason))
         }
-        Note::Ended(flow) => ("ended", of_flow(flow)),
-        Note::Relearned(flow) => ("relearned", of_flow(flow)),
-        Note::Adopted(flow) => ("adopted", of_flow(flow)),
-        Note::PeerSuspected { upstream, suspected } => {
+        TimelineEntry::Ended(flow) => ("ended", of_flow(flow)),
+        TimelineEntry::Relearned(flow) => ("relearned", of_flow(flow)),
+        TimelineEntry::Adopted(flow) => ("adopted", of_flow(flow)),
+        TimelineEntry::PeerSuspected { upstream, suspected } => {
             let fields = Fields::default().with("peer", Value::Id(upstream.0));
             (if suspected { "peer_suspected" } else { "peer_back" }, fields)
         }
-        Note::ViewInstalled(version) => {
+        TimelineEntry::ViewInstalled(version) => {
             ("view_installed", Fields::default().with("version", Value::Number(version.0)))
         }
     };
--- a/crates/agent/src/plane/tests.rs
+++ b/crates/agent/src/plane/tests.rs
@@ -132,7 +132,7 @@
         upstream: upstream("own"),
         service: service(),
         incarnation: Incarnation(1),
-        may_have_past: false,
+        may_have_prior_flows: false,
         seed: 1,
     };
     let core = Agent::new(agent_config, store.view(), boottime::now());
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -204,7 +204,7 @@
             upstream: config.identity.upstream,
             service: config.identity.service,
             incarnation: Incarnation(clock::wall_ms()),
-            may_have_past: may_have_past(report),
+            may_have_prior_flows: may_have_prior_flows(report),
             seed: rand::random(),
         };
         let agent = Agent::new(agent_config, view.clone(), boottime::now());
@@ -284,7 +284,7 @@
 ///
 /// Taking an old upstream for a new one would break its flows, so only an answer that says both
 /// that the upstream has just started and that it holds nothing counts as new.
-fn may_have_past(report: Option<UpstreamReport>) -> bool {
+fn may_have_prior_flows(report: Option<UpstreamReport>) -> bool {
     !report.is_some_and(|report| {
         report.open_flows == 0 && report.age_ms.is_some_and(|age| age < FRESH_UPSTREAM_MS)
     })
--- a/crates/decision/src/agent/claimant.rs
+++ b/crates/decision/src/agent/claimant.rs
@@ -4,7 +4,7 @@
 use super::mutant::mutated;
 use super::pending::{Attempt, PendingClaim};
 use super::quorum::{Tally, Vote};
-use super::{Action, Agent, Note, Reason, Verdict, limits};
+use super::{Action, Agent, Reason, TimelineEntry, Verdict, limits};
 use crate::keys::{Incarnation, UpstreamId, Version};
 use crate::message::{Claim, ClaimAnswer, Message, Opening};
 use crate::time::Millis;
@@ -293,7 +293,7 @@
     ) -> Verdict {
         let life = self.config.incarnation;
         self.claims.put(now, opening, Claim::Refuse, life, Stage::Decided);
-        out.push(Action::Note(Note::Refused { opening, reason }));
+        out.push(Action::Record(TimelineEntry::Refused { opening, reason }));
         Verdict::Refuse(reason)
     }
 
--- a/crates/decision/src/agent/early.rs
+++ b/crates/decision/src/agent/early.rs
@@ -10,7 +10,7 @@
 use super::mutant::mutated;
 use super::pending::Attempt;
 use super::redirects::{Evidence, Redirect};
-use super::{Action, Agent, Forwarding, Note, Packet, Reason, Verdict, limits};
+use super::{Action, Agent, Forwarding, Packet, Reason, TimelineEntry, Verdict, limits};
 use crate::keys::{Incarnation, UpstreamId};
 use crate::message::{Claim, Opening};
 use crate::rank;
@@ -58,7 +58,7 @@
         if self.has_just_restarted(now) && self.accepts(now) {
             return Some(self.config.upstream);
         }
-        self.choose(now, false)
+        self.choose_holder(now, false)
     }
 
     /// A copy while the claim still waits. If another home has assigned the opening to this agent
@@ -149,7 +149,7 @@
 
     /// Whether copies of openings that its earlier life has passed on may still come.
     fn has_just_restarted(&self, now: Millis) -> bool {
-        self.config.may_have_past && now.since(self.started_at) < limits::FORMER_HOME_TTL_MS
+        self.config.may_have_prior_flows && now.since(self.started_at) < limits::FORMER_HOME_TTL_MS
     }
 
     /// An opening that this agent has given to another has come back: who got it could not take it.
@@ -177,7 +177,7 @@
         if !self.must_not_admit() && !self.is_full() {
             return Claim::Run(self.config.upstream);
         }
-        let other = self.choose(now, true).filter(|_| hops < limits::MAX_HOPS);
+        let other = self.choose_holder(now, true).filter(|_| hops < limits::MAX_HOPS);
         other.map_or(Claim::Refuse, Claim::Run)
     }
 
@@ -235,7 +235,7 @@
             Claim::Run(holder) if holder == me => self.admit(now, opening, out),
             Claim::Run(holder) => self.hand_to(now, hops, opening, holder, out),
             Claim::Refuse => {
-                out.push(Action::Note(Note::Refused { opening, reason: refusal }));
+                out.push(Action::Record(TimelineEntry::Refused { opening, reason: refusal }));
                 Verdict::Refuse(refusal)
             }
         }
@@ -249,7 +249,7 @@
         out: &mut Vec<Action>,
     ) -> Verdict {
         self.hold_flow(now, opening.flow, Some(opening.nonce), false);
-        out.push(Action::Note(Note::Admitted(opening)));
+        out.push(Action::Record(TimelineEntry::Admitted(opening)));
         Verdict::Deliver
     }
 
@@ -268,7 +268,7 @@
         }
         self.flows.remove(opening.flow);
         self.expect_at(now, opening, holder);
-        out.push(Action::Note(Note::Assigned { opening, to: holder }));
+        out.push(Action::Record(TimelineEntry::Assigned { opening, to: holder }));
         if mutated!(self, RedirectsForgotten) {
             self.redirects.remove(opening.flow);
             self.claims.remove(opening);
@@ -291,7 +291,7 @@
         }
         let redirect = Redirect {
             holder,
-            life: life.unwrap_or(Incarnation(0)),
+            incarnation: life.unwrap_or(Incarnation(0)),
             nonce: Some(opening.nonce),
             opened_at: now,
             evidence: Evidence::Assigned,
--- a/crates/decision/src/agent/finding.rs
+++ b/crates/decision/src/agent/finding.rs
@@ -99,7 +99,7 @@
     fn finding_of_denials(&self, now: Millis, lookup: &Lookup) -> Finding {
         let me = self.config.upstream;
         // A redirect that names this agent is proof enough for one that has had an earlier life.
-        let named = self.config.may_have_past && lookup.named().any(|id| id == me);
+        let named = self.config.may_have_prior_flows && lookup.named().any(|id| id == me);
         let own = (me, self.unknown_flows().filter(|_| !named));
         let doubtful: Vec<(UpstreamId, Option<Unknown>)> =
             lookup.unsure().chain((named || self.is_unsure(now)).then_some(own)).collect();
--- a/crates/decision/src/agent/health.rs
+++ b/crates/decision/src/agent/health.rs
@@ -2,7 +2,7 @@
 
 use super::mutant::mutated;
 use super::peers::{heartbeat_ms, suspect_ms};
-use super::{Action, Agent, Note, UpstreamReport, limits};
+use super::{Action, Agent, TimelineEntry, UpstreamReport, limits};
 use crate::keys::UpstreamId;
 use crate::message::{Heartbeat, Message};
 use crate::spread::Member;
@@ -161,7 +161,7 @@
         self.heartbeat_at = now.after(heartbeat_ms(self.peers.len()));
         let heartbeat = Heartbeat {
             incarnation: self.config.incarnation,
-            born: (!self.config.may_have_past).then_some(self.config.incarnation),
+            born: (!self.config.may_have_prior_flows).then_some(self.config.incarnation),
             beat: self.beat(now),
             view: self.settings.version,
             open_flows: self.counted_flows() as u32,
@@ -285,7 +285,7 @@
             }
             self.found_silent();
         }
-        out.push(Action::Note(Note::PeerSuspected { upstream: id, suspected }));
+        out.push(Action::Record(TimelineEntry::PeerSuspected { upstream: id, suspected }));
         self.doubt_former_homes(now, &homes);
         self.retarget();
         if !suspected {
--- a/crates/decision/src/agent/install.rs
+++ b/crates/decision/src/agent/install.rs
@@ -6,7 +6,7 @@
 use super::mutant::mutated;
 use super::peers::Peer;
 use super::quorum::Cuts;
-use super::{Action, Agent, Note, limits};
+use super::{Action, Agent, TimelineEntry, limits};
 use crate::keys::{ServiceKey, Version};
 use crate::time::Millis;
 use crate::view::{Transport, UpstreamState, View, WhenInDoubt};
@@ -42,7 +42,7 @@
         self.adopt_view(now, view, key);
         self.doubt_former_homes(now, &homes);
         self.reopen_recall(now, out);
-        out.push(Action::Note(Note::ViewInstalled(version)));
+        out.push(Action::Record(TimelineEntry::ViewInstalled(version)));
         self.retarget();
         self.recount_pending(now, out);
         self.send_heartbeats(now, out);
--- a/crates/decision/src/agent/lookup.rs
+++ b/crates/decision/src/agent/lookup.rs
@@ -253,7 +253,7 @@
         }
         let redirect = Redirect {
             holder,
-            life: Incarnation(0),
+            incarnation: Incarnation(0),
             nonce: None,
             opened_at: Millis(0),
             evidence: Evidence::Found,
--- a/crates/decision/src/agent/mod.rs
+++ b/crates/decision/src/agent/mod.rs
@@ -102,7 +102,7 @@
     ///     upstream: UpstreamId::of("cascadia", "shelf", "shelf-1"),
     ///     service: ServiceId::of("cascadia", "shelf"),
     ///     incarnation: Incarnation(1),
-    ///     may_have_past: false,
+    ///     may_have_prior_flows: false,
     ///     seed: 1,
     /// };
     /// let agent = Agent::new(config, Default::default(), Millis(0));
@@ -112,7 +112,7 @@
         let mut random = Pcg64Mcg::seed_from_u64(config.seed ^ config.incarnation.0);
         let heartbeats = config.upstream.0;
         let next_question = rand::Rng::next_u64(&mut random);
-        let past = match config.may_have_past {
+        let past = match config.may_have_prior_flows {
             true => relearn::Past::Relearning,
             false => relearn::Past::Known,
         };
@@ -121,7 +121,7 @@
             view: view.clone(),
             service: None,
             settings: install::ServiceSettings::none(),
-            policy: assign::two_choices_near,
+            policy: assign::two_choices_prefer_local,
             random,
             started_at: now,
             last_tick: now,
@@ -157,7 +157,7 @@
         agent
     }
 
-    /// Replaces the policy by which openings are spread; [`assign::two_choices_near`] otherwise.
+    /// Replaces the policy by which openings are spread; [`assign::two_choices_prefer_local`] otherwise.
     pub fn set_policy(&mut self, policy: assign::Policy) {
         self.policy = policy;
     }
@@ -175,7 +175,7 @@
             Event::Message { from, message } => self.message(now, from, message, out),
             Event::View(view) => self.install(now, view, out),
             Event::Upstream(report) => self.upstream_reported(now, report, out),
-            Event::Peer { upstream, alive } => self.hinted(now, upstream, alive, out),
+            Event::PeerHint { upstream, alive } => self.hinted(now, upstream, alive, out),
             Event::Leave => self.leave(now, out),
             Event::Tick => self.tick(now, out),
         }
@@ -328,7 +328,7 @@
     fn expire_flows(&mut self, now: Millis, out: &mut Vec<Action>) {
         for (id, flow) in self.flows.expire(now, self.settings.lifetimes) {
             if flow.state == FlowState::Open {
-                out.push(Action::Note(Note::Ended(id)));
+                out.push(Action::Record(TimelineEntry::Ended(id)));
             }
             self.announce_end(id, &flow);
         }
--- a/crates/decision/src/agent/once.rs
+++ b/crates/decision/src/agent/once.rs
@@ -52,7 +52,7 @@
             self.forget_closing(opening);
             return self.forward(packet.hops, home, Forwarding::Redirected);
         }
-        let claim = self.choose(now, false).map_or(Claim::Refuse, Claim::Run);
+        let claim = self.choose_holder(now, false).map_or(Claim::Refuse, Claim::Run);
         self.propose(now, packet.hops, opening, claim, out)
     }
 
--- a/crates/decision/src/agent/packet.rs
+++ b/crates/decision/src/agent/packet.rs
@@ -2,7 +2,9 @@
 
 use super::flows::{Flow, FlowState};
 use super::mutant::mutated;
-use super::{Action, Agent, Forwarding, Note, Packet, PacketKind, Reason, Verdict, limits};
+use super::{
+    Action, Agent, Forwarding, Packet, PacketKind, Reason, TimelineEntry, Verdict, limits,
+};
 use crate::keys::{FlowId, UpstreamId};
 use crate::message::Opening;
 use crate::rank;
@@ -11,7 +13,12 @@
 
 impl Agent {
     /// Decides about one packet. The fast path (a known flow) touches nothing but the flow table.
-    pub fn packet(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) -> Verdict {
+    pub fn handle_packet(
+        &mut self,
+        now: Millis,
+        packet: &Packet,
+        out: &mut Vec<Action>,
+    ) -> Verdict {
         if packet.service != self.config.service && !mutated!(self, ServiceNotChecked) {
             return Verdict::Drop(Reason::WrongService);
         }
@@ -113,7 +120,7 @@
         if !self.flows.close(now, packet, state) {
             return;
         }
-        out.push(Action::Note(Note::Ended(flow)));
+        out.push(Action::Record(TimelineEntry::Ended(flow)));
         if let Some(entry) = self.flows.get(flow).copied() {
             self.announce_end(flow, &entry);
         }
@@ -193,6 +200,6 @@
         }
         // Unless more packets follow, it was a stray one, and is soon forgotten.
         self.hold_flow(now, flow, None, false);
-        out.push(Action::Note(Note::Adopted(flow)));
+        out.push(Action::Record(TimelineEntry::Adopted(flow)));
     }
 }
--- a/crates/decision/src/agent/recall.rs
+++ b/crates/decision/src/agent/recall.rs
@@ -78,7 +78,7 @@
 
     /// Whether, for all that this agent can see, there was no earlier life.
     fn is_newborn(&self) -> bool {
-        !self.config.may_have_past && self.recall.listed_new
+        !self.config.may_have_prior_flows && self.recall.listed_new
     }
 
     fn memory(&self, now: Millis) -> Memory {
--- a/crates/decision/src/agent/redirects.rs
+++ b/crates/decision/src/agent/redirects.rs
@@ -28,7 +28,7 @@
     pub holder: UpstreamId,
     /// Life of the holder's agent that said so, or to which the opening was assigned; zero where another
     /// agent said it.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Nonce of its opening, if known.
     pub nonce: Option<u32>,
     /// When it was opened, as far as the holder's clockless report tells.
@@ -86,7 +86,7 @@
     pub(super) fn confirm(
         &mut self,
         now: Millis,
-        (holder, life): (UpstreamId, Incarnation),
+        (holder, incarnation): (UpstreamId, Incarnation),
         opening: Opening,
         opened_at: Millis,
     ) {
@@ -104,7 +104,7 @@
         }
         let redirect = Redirect {
             holder,
-            life,
+            incarnation,
             nonce: Some(opening.nonce),
             opened_at,
             evidence: Evidence::Announced,
@@ -140,7 +140,7 @@
         }
         let redirect = Redirect {
             holder: entrusted.holder,
-            life: Incarnation(0),
+            incarnation: Incarnation(0),
             nonce: Some(entrusted.opening.nonce),
             opened_at: Millis(0),
             evidence: Evidence::Found,
@@ -152,7 +152,7 @@
 
     /// The upstream of `holder` has started anew beside its life `born`: flows from before are gone.
     pub(super) fn forget_before(&mut self, holder: UpstreamId, born: Incarnation) {
-        self.redirects.retain(|_, known| known.holder != holder || known.life >= born);
+        self.redirects.retain(|_, known| known.holder != holder || known.incarnation >= born);
     }
 
     /// One page of the openings of all redirects that are `wanted`, from flow `from` on, and where the
--- a/crates/decision/src/agent/relearn.rs
+++ b/crates/decision/src/agent/relearn.rs
@@ -3,7 +3,7 @@
 use super::health::Unknown;
 use super::peers::Peer;
 use super::redirects::{Evidence, Redirect};
-use super::{Action, Agent, Note, limits};
+use super::{Action, Agent, TimelineEntry, limits};
 use crate::keys::{FlowId, Incarnation, UpstreamId};
 use crate::message::{Entrusted, Former, HandedOver, Message, Opening};
 use crate::time::Millis;
@@ -138,10 +138,11 @@
     fn never_ran(&self, redirect: &Redirect) -> bool {
         let Some(peer) = self.peers.get(redirect.holder) else { return false };
         let due_at = redirect.opened_at.after(limits::ANNOUNCE_DEADLINE_MS);
-        let lived_on = |(life, at): (Incarnation, Millis)| life == redirect.life && at > due_at;
+        let lived_on =
+            |(life, at): (Incarnation, Millis)| life == redirect.incarnation && at > due_at;
         let announced = peer.announced_at.is_some_and(|at| at > due_at);
         let outlived = peer.past_beat.is_some_and(lived_on);
-        let handed_over = peer.has_handed_over(redirect.life);
+        let handed_over = peer.has_handed_over(redirect.incarnation);
         redirect.evidence == Evidence::Assigned && (announced || outlived || handed_over)
     }
 
@@ -193,7 +194,7 @@
                 continue;
             }
             self.flows.insert_hearsay(now, *opening);
-            out.push(Action::Note(Note::Relearned(opening.flow)));
+            out.push(Action::Record(TimelineEntry::Relearned(opening.flow)));
         }
     }
 
--- a/crates/decision/src/agent/status.rs
+++ b/crates/decision/src/agent/status.rs
@@ -32,7 +32,7 @@
     /// Settings version in force.
     pub version: Version,
     /// Whether the agent may hold flows of an earlier life that it does not know.
-    pub unsure: bool,
+    pub may_hold_unknown_flows: bool,
 }
 
 /// Where a flow is, as one agent knows it.
@@ -114,7 +114,7 @@
             unannounced: self.peers.iter().map(|(_, peer)| peer.outbox.len()).sum(),
             suspected_peers: self.peers.iter().filter(|(_, peer)| peer.suspected).count(),
             version: self.settings.version,
-            unsure: self.is_unsure(now),
+            may_hold_unknown_flows: self.is_unsure(now),
         }
     }
 
--- a/crates/decision/src/agent/tests/assign.rs
+++ b/crates/decision/src/agent/tests/assign.rs
@@ -5,14 +5,16 @@
 use rstest::rstest;
 
 use super::*;
-use crate::agent::assign::{Candidate, Policy, home_only, least_loaded, two_choices_near};
+use crate::agent::assign::{
+    Candidate, Policy, least_loaded, prefer_local, two_choices_prefer_local,
+};
 
 /// Loads in flows of the candidates, the own one first, and the policy's choice.
 #[rstest]
-#[case::home_busy(home_only, &[9, 0, 0], 0)]
+#[case::home_busy(prefer_local, &[9, 0, 0], 0)]
 #[case::least(least_loaded, &[9, 3, 0], 2)]
 #[case::least_own_among_equals(least_loaded, &[0, 0, 0], 0)]
-#[case::near_little_busier(two_choices_near, &[2, 0, 0], 0)]
+#[case::near_little_busier(two_choices_prefer_local, &[2, 0, 0], 0)]
 fn choice(#[case] policy: Policy, #[case] flows: &[u64], #[case] expected: usize) {
     let step = 100;
     let candidates: Vec<Candidate> = (0..)
@@ -21,7 +23,7 @@
             upstream: id(index),
             load: flows * step,
             step,
-            own: index == 0,
+            local: index == 0,
             same_zone: true,
         })
         .collect();
@@ -31,7 +33,7 @@
 
 /// Many feeds are opened through one balancer: no upstream gets far more than its share.
 #[rstest]
-#[case::near(two_choices_near, 115)]
+#[case::near(two_choices_prefer_local, 115)]
 #[case::least(least_loaded, 130)]
 fn imbalance(#[case] policy: Policy, #[case] max_over_mean_percent: usize) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 5));
@@ -40,7 +42,7 @@
         fleet.send(number as usize % 5, flow(number), opening(1));
         fleet.send(number as usize % 5, flow(number), PacketKind::Middle);
         if number % 10 == 9 {
-            fleet.pass(TICK_MS);
+            fleet.pass(MAX_TICK_INTERVAL_MS);
         }
     }
     let most = fleet.agents.iter().map(Agent::open_flows).max().expect("agents");
--- a/crates/decision/src/agent/tests/handover.rs
+++ b/crates/decision/src/agent/tests/handover.rs
@@ -21,7 +21,7 @@
     }
     fleet.restart(2, &spec);
     fleet.pass(500);
-    assert_eq!(fleet.agents[2].stats(fleet.now).unsure, unsure);
+    assert_eq!(fleet.agents[2].stats(fleet.now).may_hold_unknown_flows, unsure);
 }
 
 /// The same feed, found at the only agent that can hold it.
@@ -52,7 +52,7 @@
     fleet.leave(2);
     fleet.restart(2, &spec);
     fleet.pass(500);
-    assert!(fleet.agents[2].stats(fleet.now).unsure);
+    assert!(fleet.agents[2].stats(fleet.now).may_hold_unknown_flows);
 }
 
 /// A feed's holder dies, the only agent that it had told of the feed ends as planned, and the feed would be
@@ -91,7 +91,7 @@
     let lost = flows.iter().find(|flow| fleet.send(home, **flow, opening(1)) == Outcome::Lost);
     assert!(lost.is_some(), "none was assigned to another agent");
     let assigned = fleet.notes.iter().find_map(|(_, note)| match note {
-        Note::Assigned { to, .. } => Some(*to),
+        TimelineEntry::Assigned { to, .. } => Some(*to),
         _ => None,
     });
     let holder = fleet.index(assigned.expect("an assigned opening"));
--- a/crates/decision/src/agent/tests/lookup.rs
+++ b/crates/decision/src/agent/tests/lookup.rs
@@ -93,7 +93,7 @@
     age: u64,
 ) -> Option<Verdict> {
     let mut out = Vec::new();
-    let verdict = agent.packet(now, &packet(flow(1), PacketKind::Middle), &mut out);
+    let verdict = agent.handle_packet(now, &packet(flow(1), PacketKind::Middle), &mut out);
     assert!(matches!(verdict, Verdict::Hold(_)), "{verdict:?}");
     let asked = out.iter().find_map(|action| match action {
         Action::Send { message: Message::AskAbout { question, .. }, .. } => Some(*question),
--- a/crates/decision/src/agent/tests/mod.rs
+++ b/crates/decision/src/agent/tests/mod.rs
@@ -20,8 +20,8 @@
 use std::sync::Arc;
 
 use super::{
-    Action, Agent, AgentConfig, Event, Forwarding, HoldKey, Note, Packet, PacketKind, Reason,
-    TICK_MS, UpstreamReport, Verdict,
+    Action, Agent, AgentConfig, Event, Forwarding, HoldKey, MAX_TICK_INTERVAL_MS, Packet,
+    PacketKind, Reason, TimelineEntry, UpstreamReport, Verdict,
 };
 use crate::keys::{FlowId, Incarnation, ServiceId, UpstreamId, Version};
 use crate::message::Message;
@@ -136,7 +136,7 @@
     messages: VecDeque<(usize, UpstreamId, Message)>,
     held: Vec<(usize, HoldKey, Packet)>,
     outcomes: Vec<Outcome>,
-    notes: Vec<(usize, Note)>,
+    notes: Vec<(usize, TimelineEntry)>,
     fetches: Vec<(usize, Version)>,
     reports: Vec<(usize, Member)>,
 }
@@ -186,7 +186,7 @@
     fn pass(&mut self, ms: u64) {
         let end = self.now.after(ms);
         while self.now < end {
-            self.now = self.now.after(TICK_MS);
+            self.now = self.now.after(MAX_TICK_INTERVAL_MS);
             for index in 0..self.agents.len() {
                 if self.paused.contains(&index) {
                     continue;
@@ -221,7 +221,7 @@
             if self.outcomes.len() > before {
                 return self.outcomes[before];
             }
-            self.pass(TICK_MS);
+            self.pass(MAX_TICK_INTERVAL_MS);
         }
         Outcome::Lost
     }
@@ -232,7 +232,7 @@
             return;
         }
         let mut out = Vec::new();
-        let verdict = self.agents[to].packet(self.now, &packet, &mut out);
+        let verdict = self.agents[to].handle_packet(self.now, &packet, &mut out);
         self.follow(to, packet, verdict);
         self.act(to, out);
     }
@@ -268,7 +268,7 @@
                 }
                 Action::FetchSettings { at_least } => self.fetches.push((at, at_least)),
                 Action::Report(member) => self.reports.push((at, member)),
-                Action::Note(note) => self.notes.push((at, note)),
+                Action::Record(note) => self.notes.push((at, note)),
             }
         }
     }
@@ -312,7 +312,7 @@
         upstream: id(index),
         service: service(),
         incarnation: Incarnation(life),
-        may_have_past: past,
+        may_have_prior_flows: past,
         seed: 7 + index as u64,
     };
     Agent::new(config, view, now)
--- a/crates/decision/src/agent/tests/relearn.rs
+++ b/crates/decision/src/agent/tests/relearn.rs
@@ -41,7 +41,7 @@
     fleet.pass(2_000);
     let other = (home + 1) % 3;
     assert_eq!(fleet.send(other, flow(1), PacketKind::Middle), opened);
-    assert!(fleet.notes.contains(&(home, Note::Adopted(FlowId(flow(1))))));
+    assert!(fleet.notes.contains(&(home, TimelineEntry::Adopted(FlowId(flow(1))))));
 }
 
 /// A feed was closed by its tablet, but the last part of the answer is still on its way when the
@@ -128,7 +128,9 @@
     let mut fleet = Fleet::settled(&spec);
     let assigned = |fleet: &Fleet| {
         let notes = fleet.notes.iter();
-        notes.filter(|(at, note)| *at == 0 && matches!(note, Note::Assigned { .. })).count()
+        notes
+            .filter(|(at, note)| *at == 0 && matches!(note, TimelineEntry::Assigned { .. }))
+            .count()
     };
     let homes = |fleet: &Fleet, number: &u64| fleet.ranking(flow(*number))[0] == 0;
     let flows: Vec<u64> = (0..400).filter(|number| homes(&fleet, number)).map(flow).collect();
@@ -223,7 +225,7 @@
     let flows: Vec<u64> = (0..400).filter(|number| homes(&fleet, number)).map(flow).collect();
     fleet.cut = vec![1, 2];
     let to_1 = |fleet: &Fleet| {
-        let assigned = |note: &Note| matches!(note, Note::Assigned { to, .. } if *to == id(1));
+        let assigned = |note: &TimelineEntry| matches!(note, TimelineEntry::Assigned { to, .. } if *to == id(1));
         fleet.notes.iter().filter(|(at, note)| *at == 0 && assigned(note)).count()
     };
     for flow in flows {
@@ -332,7 +334,7 @@
     fleet.pass(70_000);
     let mut out = Vec::new();
     for _ in 0..100 {
-        fleet.now = fleet.now.after(TICK_MS);
+        fleet.now = fleet.now.after(MAX_TICK_INTERVAL_MS);
         fleet.agents[home].handle(fleet.now, Event::Tick, &mut out);
     }
     let announced = out.iter().any(|action| {
--- a/crates/decision/src/agent/tests/unknown.rs
+++ b/crates/decision/src/agent/tests/unknown.rs
@@ -16,7 +16,7 @@
         fleet.pass(1_000);
         fleet.event(1, Event::Upstream(UpstreamReport { open_flows, ..report() }));
     }
-    assert_eq!(fleet.agents[1].stats(fleet.now).unsure, unsure);
+    assert_eq!(fleet.agents[1].stats(fleet.now).may_hold_unknown_flows, unsure);
 }
 
 /// Two agents may hold a feed without knowing, and its packets go nowhere. Their upstreams tell which has it.
--- a/crates/decision/src/agent/types.rs
+++ b/crates/decision/src/agent/types.rs
@@ -121,7 +121,7 @@
     /// Evidence about the upstream, from its own endpoints; may lag or lie.
     Upstream(UpstreamReport),
     /// The platform's list or the gossip says that a peer is gone or back; a hint.
-    Peer {
+    PeerHint {
         /// The peer.
         upstream: UpstreamId,
         /// Whether it is said to be alive.
@@ -129,7 +129,7 @@
     },
     /// This agent is shutting down gracefully.
     Leave,
-    /// Time has passed; due at least every [`TICK_MS`].
+    /// Time has passed; due at least every [`MAX_TICK_INTERVAL_MS`].
     Tick,
 }
 
@@ -173,12 +173,12 @@
     /// Tell balancers whether an agent is up.
     Report(Member),
     /// Put an entry into the time line.
-    Note(Note),
+    Record(TimelineEntry),
 }
 
 /// Time-line entries of the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum TimelineEntry {
     /// The upstream has taken a flow.
     Admitted(Opening),
     /// An opening was given to another agent.
@@ -213,7 +213,7 @@
 }
 
 /// Longest time between two [`Event::Tick`].
-pub const TICK_MS: u64 = 50;
+pub const MAX_TICK_INTERVAL_MS: u64 = 50;
 
 /// What an agent is told at its start.
 #[derive(Clone, Debug)]
@@ -225,7 +225,7 @@
     /// This life of the process.
     pub incarnation: Incarnation,
     /// Whether flows may exist from an earlier life; false only if the upstream is new as well.
-    pub may_have_past: bool,
+    pub may_have_prior_flows: bool,
     /// Seed for choices by chance.
     pub seed: u64,
 }
--- a/crates/fuzzing/src/world/agents.rs
+++ b/crates/fuzzing/src/world/agents.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use decision::agent::{
-    Action, Agent, AgentConfig, Event, HoldKey, Packet, TICK_MS, UpstreamReport,
+    Action, Agent, AgentConfig, Event, HoldKey, MAX_TICK_INTERVAL_MS, Packet, UpstreamReport,
 };
 use decision::keys::{Incarnation, ServiceId, UpstreamId};
 use decision::message::Message;
@@ -144,7 +144,7 @@
     }
 
     /// Starts an agent, unless one runs or nothing is there to run beside.
-    pub(super) fn start_agent(&mut self, host: usize, may_have_past: bool) {
+    pub(super) fn start_agent(&mut self, host: usize, may_have_prior_flows: bool) {
         let Some((service, name)) = self.hosts[host].occupant else { return };
         if self.hosts[host].agent.is_some() || self.hosts[host].upstream.is_none() {
             return;
@@ -160,7 +160,7 @@
             upstream: kind.upstream(name),
             service: kind.id(),
             incarnation: Incarnation(life),
-            may_have_past,
+            may_have_prior_flows,
             seed: mix(self.seed ^ life),
         };
         let clock_offset_ms = mix(self.seed ^ life << 20) % CLOCK_SPREAD_MS;
@@ -187,7 +187,7 @@
             ticks: 0,
         });
         self.tell(host);
-        self.schedule(1 + life % TICK_MS, Due::Tick { host, life });
+        self.schedule(1 + life % MAX_TICK_INTERVAL_MS, Due::Tick { host, life });
     }
 
     /// Hands something to the agent, or keeps it while the process stands still.
@@ -213,7 +213,7 @@
                 self.hosts[host].report = Some(report);
                 return self.report(host);
             }
-            Incoming::Hint { peer, alive } => Event::Peer { upstream: peer, alive },
+            Incoming::Hint { peer, alive } => Event::PeerHint { upstream: peer, alive },
             Incoming::Leave => {
                 shell.leaving = true;
                 Event::Leave
@@ -232,7 +232,7 @@
         }
         let Some(shell) = &mut self.hosts[host].agent else { return };
         let mut actions = Vec::new();
-        let verdict = shell.agent.packet(shell.clock(now_ms), &packet, &mut actions);
+        let verdict = shell.agent.handle_packet(shell.clock(now_ms), &packet, &mut actions);
         self.perform(host, actions);
         self.decide(host, packet, carried, verdict);
     }
@@ -245,7 +245,7 @@
         };
         if paused_until_ms > now_ms {
             // Not the end of the pause: the end of the episode may cut it short.
-            self.schedule(TICK_MS, Due::Tick { host, life });
+            self.schedule(MAX_TICK_INTERVAL_MS, Due::Tick { host, life });
             return;
         }
         shell.ticks += 1;
@@ -257,7 +257,7 @@
             self.report(host);
             self.weigh(host);
         }
-        self.schedule(TICK_MS, Due::Tick { host, life });
+        self.schedule(MAX_TICK_INTERVAL_MS, Due::Tick { host, life });
     }
 
     fn report(&mut self, host: usize) {
@@ -315,7 +315,7 @@
                 Action::FetchSettings { .. } => self.fetch(host),
                 // Balancers take agents for down when a step says so, rightly or wrongly.
                 Action::Report(_) => {}
-                Action::Note(note) => self.observe(host, note),
+                Action::Record(note) => self.observe(host, note),
             }
         }
     }
--- a/crates/fuzzing/src/world/verdicts.rs
+++ b/crates/fuzzing/src/world/verdicts.rs
@@ -1,6 +1,6 @@
 //! What the shell does with an agent's verdicts, and what upstreams and callers answer.
 
-use decision::agent::{Forwarding, HoldKey, Note, Packet, PacketKind, Verdict};
+use decision::agent::{Forwarding, HoldKey, Packet, PacketKind, TimelineEntry, Verdict};
 
 use super::agents::{Incoming, address_of};
 use super::balancers::{hash_of, initial_sequence};
@@ -51,10 +51,10 @@
     }
 
     /// Shows the oracle what an agent has noted.
-    pub(super) fn observe(&mut self, host: usize, note: Note) {
+    pub(super) fn observe(&mut self, host: usize, note: TimelineEntry) {
         self.note(|| format!("host {host}: {note:?}"));
         let Some(shell) = &self.hosts[host].agent else { return };
-        if let Note::ViewInstalled(version) = note {
+        if let TimelineEntry::ViewInstalled(version) = note {
             let agent = shell.life;
             self.see(Seen::InForce { agent, version: version.0 });
         }
--- a/crates/loadgen/benches/core.rs
+++ b/crates/loadgen/benches/core.rs
@@ -96,7 +96,7 @@
         // The next call goes on with other flows, as the cache would not know them either.
         for number in next..next + PACKETS {
             let packet = packet(flow(number * 127 % flows), PacketKind::Middle);
-            black_box(agent.packet(START, &packet, &mut out));
+            black_box(agent.handle_packet(START, &packet, &mut out));
         }
         next += PACKETS;
         out.clear();
@@ -110,7 +110,7 @@
     bencher.counter(PACKETS).with_inputs(make).bench_local_values(|(mut agent, mut out)| {
         for number in flows..flows + PACKETS {
             let packet = packet(flow(number), PacketKind::Opening { nonce: OPENING_NONCE });
-            black_box(agent.packet(START, &packet, &mut out));
+            black_box(agent.handle_packet(START, &packet, &mut out));
         }
         (agent, out)
     });
@@ -128,19 +128,19 @@
         upstream: UpstreamId::of(account, &service.name, &service.upstreams[0].name),
         service: ServiceId::of(account, &service.name),
         incarnation: Incarnation(1),
-        may_have_past: false,
+        may_have_prior_flows: false,
         seed: 1,
     };
     let mut agent = Agent::new(config, Arc::new(view::build(&accounts)), START);
     let mut out: Vec<Action> = Vec::new();
     for number in 0..flows {
-        agent.packet(
+        agent.handle_packet(
             START,
             &packet(flow(number), PacketKind::Opening { nonce: OPENING_NONCE }),
             &mut out,
         );
         // The caller goes on, or the upstream would soon count as sick.
-        agent.packet(START, &packet(flow(number), PacketKind::Middle), &mut out);
+        agent.handle_packet(START, &packet(flow(number), PacketKind::Middle), &mut out);
         out.clear();
     }
     assert_eq!(agent.open_flows() as u64, flows);
--- a/crates/loadgen/src/cost/service.rs
+++ b/crates/loadgen/src/cost/service.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use decision::agent::{
-    Action, Agent, AgentConfig, Event, Forwarding, HoldKey, Packet, PacketKind, TICK_MS, Verdict,
+    Action, Agent, AgentConfig, Event, Forwarding, HoldKey, MAX_TICK_INTERVAL_MS, Packet,
+    PacketKind, Verdict,
 };
 use decision::keys::{AccountId, FlowId, Incarnation, ServiceId, UpstreamId, Version};
 use decision::message::Message;
@@ -27,7 +28,7 @@
 /// After this time a caller goes on after its opening.
 const ANSWER_MS: u64 = 100;
 /// Ticks in a second.
-const TICKS: usize = 1_000 / TICK_MS as usize;
+const TICKS: usize = 1_000 / MAX_TICK_INTERVAL_MS as usize;
 /// Time after which nobody doubts anything any more.
 const SETTLE_MS: u64 = 12_000;
 /// Initial sequence number of every flow.
@@ -163,7 +164,7 @@
     }
 
     fn tick(&mut self) {
-        for _ in 0..TICK_MS / DELAY_MS {
+        for _ in 0..MAX_TICK_INTERVAL_MS / DELAY_MS {
             self.now = self.now.after(DELAY_MS);
             self.deliver();
         }
@@ -212,7 +213,7 @@
             return;
         }
         let mut out = Vec::new();
-        let verdict = self.agents[at].packet(self.now, &packet, &mut out);
+        let verdict = self.agents[at].handle_packet(self.now, &packet, &mut out);
         self.act(at, out);
         self.follow(at, packet, verdict);
     }
@@ -243,7 +244,7 @@
                         self.follow(at, packet, verdict);
                     }
                 }
-                Action::FetchSettings { .. } | Action::Report(_) | Action::Note(_) => {}
+                Action::FetchSettings { .. } | Action::Report(_) | Action::Record(_) => {}
             }
         }
     }
@@ -308,7 +309,7 @@
         upstream,
         service,
         incarnation: Incarnation(life),
-        may_have_past: life > 1,
+        may_have_prior_flows: life > 1,
         seed: upstream.0,
     };
     Agent::new(config, view, now)
