--- a/crates/decision/src/agent/announce.rs
+++ b/crates/decision/src/agent/announce.rs
@@ -18,7 +18,7 @@
     pub(super) fn announce(&mut self, opening: Opening, open: bool) {
         for target in self.targets_of(opening.flow).into_iter().flatten() {
             if let Some(peer) = self.peers.get_mut(target) {
-                peer.outbox.push(outbox::Pending { opening, open });
+                peer.outbox.push(outbox::PendingNote { opening, open });
             }
         }
     }
@@ -33,7 +33,7 @@
             return self.announce(opening, false);
         }
         for (_, peer) in self.peers.iter_mut() {
-            peer.outbox.push(outbox::Pending { opening, open: false });
+            peer.outbox.push(outbox::PendingNote { opening, open: false });
         }
     }
 
@@ -54,9 +54,9 @@
     }
 
     /// Makes the next batch for a peer due at once.
-    pub(super) fn announce_hurry(&mut self, to: UpstreamId) {
+    pub(super) fn expedite_announcements(&mut self, to: UpstreamId) {
         if let Some(peer) = self.peers.get_mut(to) {
-            peer.outbox.hurry();
+            peer.outbox.make_due();
         }
     }
 
@@ -67,9 +67,9 @@
         }
         let openings = self.openings_for(|targets| targets.contains(&Some(to)));
         let Some(peer) = self.peers.get_mut(to) else { return };
-        peer.outbox.restart();
+        peer.outbox.clear();
         for opening in openings {
-            peer.outbox.push(outbox::Pending { opening, open: true });
+            peer.outbox.push(outbox::PendingNote { opening, open: true });
         }
     }
 
@@ -77,9 +77,9 @@
     ///
     /// Only agents that are up count: if a home and the next rank leave or die together, there
     /// are still two that know its flows, and one of them is home now.
-    pub(super) fn retarget(&mut self) {
+    pub(super) fn update_announce_targets(&mut self) {
         let targets: Vec<Targets> = buckets().map(|bucket| self.find_targets(bucket)).collect();
-        let before = std::mem::replace(&mut self.targets, targets.clone());
+        let before = std::mem::replace(&mut self.announce_targets, targets.clone());
         if before == targets || mutated!(self, RedirectsNotReannounced) {
             return;
         }
@@ -102,18 +102,18 @@
     /// Tells every open flow again from time to time, spread over the ticks by bucket.
     pub(super) fn refresh_announcements(&mut self, now: Millis) {
         let period_ms = limits::ANNOUNCE_REFRESH_INTERVAL_MS / u64::from(rank::BUCKET_COUNT);
-        if now < self.refresh_at || mutated!(self, RedirectsNotReannounced) {
+        if now < self.next_refresh_at || mutated!(self, RedirectsNotReannounced) {
             return;
         }
-        self.refresh_at = now.after(period_ms);
+        self.next_refresh_at = now.after(period_ms);
         self.refresh_bucket = (self.refresh_bucket + 1) % rank::BUCKET_COUNT;
         let bucket = BucketIndex(self.refresh_bucket);
-        let targets = self.targets.get(usize::from(bucket.0)).copied();
+        let targets = self.announce_targets.get(usize::from(bucket.0)).copied();
         let targets: Vec<UpstreamId> = targets.unwrap_or_default().into_iter().flatten().collect();
         self.announce_bucket(bucket, &targets, true);
     }
 
-    pub(super) fn announced(
+    pub(super) fn announce_received(
         &mut self,
         now: Millis,
         from: UpstreamId,
@@ -121,7 +121,7 @@
         notes: &[FlowNote],
         out: &mut Vec<Action>,
     ) {
-        if !self.meet_life(now, from, incarnation) {
+        if !self.observe_incarnation(now, from, incarnation) {
             return;
         }
         let Some(peer) = self.peers.get_mut(from) else { return };
@@ -129,13 +129,13 @@
         peer.applied = peer.applied.max(sequence);
         if is_new {
             peer.announced_at = Some(now);
-            notes.iter().for_each(|note| self.take_note(now, (from, incarnation), *note));
+            notes.iter().for_each(|note| self.apply_note(now, (from, incarnation), *note));
         }
         let message = Message::AnnounceAck { incarnation: self.config.incarnation, sequence };
         out.push(Action::Send { to: from, message });
     }
 
-    pub(super) fn announcement_acknowledged(
+    pub(super) fn announce_ack_received(
         &mut self,
         now: Millis,
         from: UpstreamId,
@@ -143,14 +143,14 @@
         sequence: u64,
         out: &mut Vec<Action>,
     ) {
-        if !self.meet_life(now, from, incarnation) {
+        if !self.observe_incarnation(now, from, incarnation) {
             return;
         }
         let leaving = self.leaving;
         if let Some(peer) = self.peers.get_mut(from) {
             peer.outbox.acknowledge(sequence);
             if leaving {
-                peer.outbox.hurry();
+                peer.outbox.make_due();
             }
         }
         self.send_announcement(now, from, out);
@@ -159,17 +159,22 @@
     /// Notes which life of a peer is speaking; false for a life that is over.
     ///
     /// A new life has lost its redirects, so it is told all flows again.
-    pub(super) fn meet_life(&mut self, now: Millis, id: UpstreamId, life: Incarnation) -> bool {
+    pub(super) fn observe_incarnation(
+        &mut self,
+        now: Millis,
+        id: UpstreamId,
+        incarnation: Incarnation,
+    ) -> bool {
         let Some(peer) = self.peers.get_mut(id) else { return false };
         match peer.incarnation {
-            Some(known) if known > life => return false,
-            Some(known) if known == life => return true,
+            Some(known) if known > incarnation => return false,
+            Some(known) if known == incarnation => return true,
             _ => {}
         }
         let is_restart = peer.incarnation.is_some();
         peer.past_beat = peer.incarnation.zip(peer.beat_at.take());
         peer.former = peer.incarnation;
-        peer.incarnation = Some(life);
+        peer.incarnation = Some(incarnation);
         peer.incarnation_at = now;
         peer.applied = 0;
         peer.view = Version(0);
@@ -194,14 +199,14 @@
             (false, true) => limits::RESEND_INTERVAL_MS,
             (false, false) => limits::ANNOUNCE_INTERVAL_MS,
         };
-        let Some((sequence, batch)) = peer.outbox.due(now, period_ms) else { return };
+        let Some((sequence, batch)) = peer.outbox.next_due(now, period_ms) else { return };
         let notes = batch.into_iter().map(|pending| self.note(now, pending)).collect();
         let incarnation = self.config.incarnation;
         let message = Message::Announce { incarnation, sequence, notes };
         out.push(Action::Send { to, message });
     }
 
-    fn note(&self, now: Millis, pending: outbox::Pending) -> FlowNote {
+    fn note(&self, now: Millis, pending: outbox::PendingNote) -> FlowNote {
         let flow = self.flows.get(pending.opening.flow);
         let flow = flow.filter(|flow| flow.nonce == Some(pending.opening.nonce));
         let age_ms = flow.map_or(0, |flow| now.since(flow.opened_at));
@@ -209,7 +214,7 @@
         FlowNote { opening: pending.opening, open: pending.open, age_ms }
     }
 
-    fn take_note(&mut self, now: Millis, from: (UpstreamId, Incarnation), note: FlowNote) {
+    fn apply_note(&mut self, now: Millis, from: (UpstreamId, Incarnation), note: FlowNote) {
         if mutated!(self, RedirectsForgotten) {
             return;
         }
@@ -219,20 +224,20 @@
         }
         // Its holder's own word outweighs hearsay, and a flow that is closing here.
         match self.flows.get(note.opening.flow) {
-            Some(flow) if flow.is_certainly_open() => return,
-            Some(flow) if !flow.hearsay && flow.nonce == Some(note.opening.nonce) => return,
+            Some(flow) if flow.is_confirmed_open() => return,
+            Some(flow) if !flow.peer_reported && flow.nonce == Some(note.opening.nonce) => return,
             Some(_) => self.flows.remove(note.opening.flow),
             None => None,
         };
         let opened_at = Millis(now.0.saturating_sub(u64::from(note.age_ms)));
-        self.redirects.confirm(now, from, note.opening, opened_at);
+        self.redirects.apply_announcement(now, from, note.opening, opened_at);
     }
 
     fn announce_bucket(&mut self, bucket: BucketIndex, to: &[UpstreamId], open: bool) {
         for opening in self.openings_in(bucket) {
             for id in to {
                 if let Some(peer) = self.peers.get_mut(*id) {
-                    peer.outbox.push(outbox::Pending { opening, open });
+                    peer.outbox.push(outbox::PendingNote { opening, open });
                 }
             }
         }
@@ -267,6 +272,6 @@
 
     fn targets_of(&self, flow: FlowId) -> Targets {
         let bucket = rank::bucket_of(flow);
-        self.targets.get(usize::from(bucket.0)).copied().unwrap_or_default()
+        self.announce_targets.get(usize::from(bucket.0)).copied().unwrap_or_default()
     }
 }
--- a/crates/decision/src/agent/claimant.rs
+++ b/crates/decision/src/agent/claimant.rs
@@ -52,7 +52,7 @@
         let wait_ms = if quorum { limits::QUORUM_TIMEOUT_MS } else { limits::WITNESS_TIMEOUT_MS };
         let mut pending = PendingClaim {
             attempt,
-            hold: self.new_hold(),
+            hold: self.next_hold_key(),
             quorum,
             votes: asked.into_iter().map(|id| (id, None)).collect(),
             deadline: now.after(wait_ms),
@@ -77,7 +77,7 @@
         reply: Reply,
         out: &mut Vec<Action>,
     ) {
-        self.saw_version(now, reply.view, out);
+        self.observe_version(now, reply.view, out);
         if reply.incarnation != self.config.incarnation {
             return;
         }
@@ -141,9 +141,9 @@
 
     fn count(&mut self, from: UpstreamId, answer: ClaimAnswer, pending: &mut PendingClaim) {
         match answer {
-            ClaimAnswer::Granted => pending.vote(from, Vote::Granted),
-            ClaimAnswer::Taken(claim) => pending.vote(from, Vote::Other(claim)),
-            ClaimAnswer::Abstained => pending.vote(from, Vote::Abstained),
+            ClaimAnswer::Granted => pending.record_vote(from, Vote::Granted),
+            ClaimAnswer::Taken(claim) => pending.record_vote(from, Vote::Other(claim)),
+            ClaimAnswer::Abstained => pending.record_vote(from, Vote::Abstained),
             // Not a vote: it is asked again once the newer settings are in force here.
             ClaimAnswer::StaleView => false,
         };
@@ -163,7 +163,7 @@
             }
             _ => Vote::Granted,
         };
-        pending.vote(self.config.upstream, vote);
+        pending.record_vote(self.config.upstream, vote);
     }
 
     /// Whether this agent, as a witness, has recorded another claim than the given own one. A claim
@@ -178,7 +178,7 @@
     }
 
     fn request(&self, pending: &PendingClaim, out: &mut Vec<Action>) {
-        for to in pending.silent() {
+        for to in pending.unanswered() {
             let message = Message::ClaimRequest {
                 opening: pending.attempt.opening,
                 claim: pending.attempt.claim,
@@ -222,7 +222,7 @@
         let isolated = self.is_isolated();
         let awaited =
             |id: UpstreamId| self.peers.get(id).is_some_and(|peer| isolated || !peer.suspected);
-        let waiting = now < pending.deadline && pending.silent().any(awaited);
+        let waiting = now < pending.deadline && pending.unanswered().any(awaited);
         (!waiting).then(|| {
             let attempt = self.chosen_anew_if_late(now, pending);
             self.decide_early(now, attempt, out)
@@ -250,7 +250,7 @@
     ) -> Option<Verdict> {
         let Attempt { opening, claim, hops, .. } = pending.attempt;
         let over = now >= pending.deadline;
-        let mut tally = self.settings.cuts.tally(&pending.given(), self.config.upstream);
+        let mut tally = self.settings.cuts.tally(&pending.received_votes(), self.config.upstream);
         if mutated!(self, QuorumOfOne) {
             tally = Tally::Won;
         }
--- a/crates/decision/src/agent/early.rs
+++ b/crates/decision/src/agent/early.rs
@@ -86,7 +86,7 @@
         }
         let flow = self.flows.get(opening.flow)?;
         let same = flow.nonce == Some(opening.nonce);
-        if flow.is_certainly_open() || (same && flow.state == FlowState::Open) {
+        if flow.is_confirmed_open() || (same && flow.state == FlowState::Open) {
             self.flows.touch_opening(now, opening);
             return Some(Verdict::Deliver);
         }
@@ -111,7 +111,7 @@
         packet: &Packet,
         out: &mut Vec<Action>,
     ) -> Option<UpstreamId> {
-        self.saw_version(now, packet.view, out);
+        self.observe_version(now, packet.view, out);
         let sender_knows_better = packet.view > self.settings.version;
         let must_end_here = packet.hops + 2 > limits::MAX_HOPS;
         if sender_knows_better || must_end_here {
@@ -210,7 +210,7 @@
         out: &mut Vec<Action>,
     ) -> Verdict {
         let attempt = Attempt { opening, claim, refusal: Reason::AllFull, hops };
-        let witnesses = self.former_homes(now, rank::bucket_of(opening.flow));
+        let witnesses = self.agents_to_consult(now, rank::bucket_of(opening.flow));
         if witnesses.is_empty() {
             return self.decide_early(now, attempt, out);
         }
--- a/crates/decision/src/agent/finding.rs
+++ b/crates/decision/src/agent/finding.rs
@@ -14,67 +14,71 @@
 pub(super) enum Finding {
     Holder(UpstreamId),
     /// Only this agent or the given one may hold it, from an earlier life.
-    OnlyMe,
-    Only(UpstreamId),
-    Nobody,
+    OnlyThisAgent,
+    OnlyPeer(UpstreamId),
+    NoHolder,
     /// Nobody holds it; the own upstream has another connection on its ports, and judges.
-    Older,
+    OlderConnection,
     /// Somebody may hold it who has not answered, or two may.
-    Doubt,
+    Undecided,
 }
 
 impl Agent {
-    pub(super) fn finding(
+    pub(super) fn evaluate_answers(
         &self,
         now: Millis,
         flow: FlowId,
         lookup: &Lookup,
-        over: bool,
+        timed_out: bool,
     ) -> Option<Finding> {
         let own = self.own_flow(flow, lookup.sequence);
-        if own.is_some_and(Flow::is_certainly_open) {
-            return Some(Finding::OnlyMe);
+        if own.is_some_and(Flow::is_confirmed_open) {
+            return Some(Finding::OnlyThisAgent);
         }
-        if self.is_overtaken(now, flow, lookup) {
-            return Some(Finding::Doubt);
+        if self.is_superseded(now, flow, lookup) {
+            return Some(Finding::Undecided);
         }
         if let Some(holder) = lookup.holder() {
             return Some(Finding::Holder(holder));
         }
-        let silent = lookup.answers.iter().any(|(_, answer)| answer.is_none());
-        if silent && !over {
+        let unanswered = lookup.answers.iter().any(|(_, answer)| answer.is_none());
+        if unanswered && !timed_out {
             return None;
         }
-        let hearsay = own.is_some();
-        if let Some(holder) = self.most_named(lookup, hearsay) {
+        let peer_reported = own.is_some();
+        if let Some(holder) = self.most_reported_holder(lookup, peer_reported) {
             // The caller may use the ports of a closing flow again, and a silent agent hold the new one:
             // the old upstream would reset it.
-            let doubtful = silent && lookup.closes_at(holder);
-            return Some(if doubtful { Finding::Doubt } else { Finding::Holder(holder) });
+            let undecided = unanswered && lookup.reports_closing(holder);
+            return Some(if undecided { Finding::Undecided } else { Finding::Holder(holder) });
         }
         // The caller may have opened the next flow on these ports at an agent that does not answer.
-        if silent && self.was_reset(flow) {
-            return Some(Finding::Doubt);
+        if unanswered && self.was_reset(flow) {
+            return Some(Finding::Undecided);
         }
-        if hearsay {
-            return Some(Finding::OnlyMe);
+        if peer_reported {
+            return Some(Finding::OnlyThisAgent);
         }
         let newer = self.seen_version > self.settings.version;
-        if (silent || newer) && !mutated!(self, ResetInDoubt) {
-            return Some(Finding::Doubt);
+        if (unanswered || newer) && !mutated!(self, ResetInDoubt) {
+            return Some(Finding::Undecided);
         }
-        let finding = self.finding_of_denials(now, lookup);
-        let has_older = self.flows.get(flow).is_some_and(Flow::is_certainly_open);
-        Some(if finding == Finding::Nobody && has_older { Finding::Older } else { finding })
+        let finding = self.evaluate_denials(now, lookup);
+        let has_older = self.flows.get(flow).is_some_and(Flow::is_confirmed_open);
+        Some(if finding == Finding::NoHolder && has_older {
+            Finding::OlderConnection
+        } else {
+            finding
+        })
     }
 
     /// Whether another agent has taken a flow on these ports since the lookup began.
     ///
     /// The answers then still name an earlier holder; the caller sends again.
-    fn is_overtaken(&self, now: Millis, flow: FlowId, lookup: &Lookup) -> bool {
+    fn is_superseded(&self, now: Millis, flow: FlowId, lookup: &Lookup) -> bool {
         let redirect = self.redirects.get(now, flow);
         redirect.is_some_and(|redirect| {
-            redirect.opened_at >= lookup.began_at && redirect.holder != self.config.upstream
+            redirect.opened_at >= lookup.started_at && redirect.holder != self.config.upstream
         })
     }
 
@@ -84,41 +88,44 @@
 
     /// The peer that most answers name as holder. If it has denied the flow it may still decide
     /// about it, but not against hearsay at this agent, and not where others name this one.
-    fn most_named(&self, lookup: &Lookup, hearsay: bool) -> Option<UpstreamId> {
+    fn most_reported_holder(&self, lookup: &Lookup, peer_reported: bool) -> Option<UpstreamId> {
         let me = self.config.upstream;
-        let count = |id: UpstreamId| lookup.named().filter(|named| *named == id).count();
+        let count = |id: UpstreamId| lookup.reported_holders().filter(|named| *named == id).count();
         lookup
-            .named()
+            .reported_holders()
             .filter(|id| *id != me && self.peers.get(*id).is_some())
-            .filter(|id| !lookup.denied_by(*id) || (!hearsay && count(me) == 0))
-            .filter(|id| !hearsay || count(*id) > count(me))
+            .filter(|id| !lookup.denied_by(*id) || (!peer_reported && count(me) == 0))
+            .filter(|id| !peer_reported || count(*id) > count(me))
             .max_by_key(|id| (count(*id), *id))
     }
 
     /// Everybody has answered and nobody holds the flow for certain.
-    fn finding_of_denials(&self, now: Millis, lookup: &Lookup) -> Finding {
+    fn evaluate_denials(&self, now: Millis, lookup: &Lookup) -> Finding {
         let me = self.config.upstream;
         // A redirect that names this agent is proof enough for one that has had an earlier life.
-        let named = self.config.may_have_prior_flows && lookup.named().any(|id| id == me);
-        let own = (me, self.unknown_flows().filter(|_| !named));
-        let doubtful: Vec<(UpstreamId, Option<Unknown>)> =
-            lookup.unsure().chain((named || self.is_unsure(now)).then_some(own)).collect();
-        let only = match doubtful.as_slice() {
-            [] => return Finding::Nobody,
+        let named_by_peer =
+            self.config.may_have_prior_flows && lookup.reported_holders().any(|id| id == me);
+        let own = (me, self.unknown_flows().filter(|_| !named_by_peer));
+        let possible: Vec<(UpstreamId, Option<Unknown>)> = lookup
+            .possible_holders()
+            .chain((named_by_peer || self.is_unsure(now)).then_some(own))
+            .collect();
+        let only = match possible.as_slice() {
+            [] => return Finding::NoHolder,
             [(only, _)] => Some(*only),
-            several => only_likely(several),
+            several => sole_likely_holder(several),
         };
         match only {
-            Some(only) if only == me => Finding::OnlyMe,
-            Some(only) => Finding::Only(only),
-            None => Finding::Doubt,
+            Some(only) if only == me => Finding::OnlyThisAgent,
+            Some(only) => Finding::OnlyPeer(only),
+            None => Finding::Undecided,
         }
     }
 }
 
 /// Of several that may hold a flow, the one whose upstream alone has a flow that its agent does not know.
-fn only_likely(doubtful: &[(UpstreamId, Option<Unknown>)]) -> Option<UpstreamId> {
-    let others = doubtful.iter().filter(|(_, unknown)| *unknown != Some(Unknown::Nothing));
+fn sole_likely_holder(possible: &[(UpstreamId, Option<Unknown>)]) -> Option<UpstreamId> {
+    let others = possible.iter().filter(|(_, unknown)| *unknown != Some(Unknown::Nothing));
     let others: Vec<_> = others.collect();
     match others.as_slice() {
         [(only, Some(Unknown::Some))] => Some(*only),
@@ -134,7 +141,7 @@
     }
 
     /// Agents that may hold the flow without knowing, and what their upstreams say of such flows.
-    fn unsure(&self) -> impl Iterator<Item = (UpstreamId, Option<Unknown>)> + '_ {
+    fn possible_holders(&self) -> impl Iterator<Item = (UpstreamId, Option<Unknown>)> + '_ {
         self.answers.iter().filter_map(|(id, answer)| match answer {
             Some(Knowledge::Unsure) => Some((*id, None)),
             Some(Knowledge::Likely) => Some((*id, Some(Unknown::Some))),
@@ -147,12 +154,12 @@
         self.answers.contains(&(id, Some(Knowledge::NotMine)))
     }
 
-    fn closes_at(&self, id: UpstreamId) -> bool {
+    fn reports_closing(&self, id: UpstreamId) -> bool {
         self.answers.contains(&(id, Some(Knowledge::Closing)))
     }
 
     /// Agents that may hold the flow by their own word or that of others.
-    fn named(&self) -> impl Iterator<Item = UpstreamId> + '_ {
+    fn reported_holders(&self) -> impl Iterator<Item = UpstreamId> + '_ {
         self.answers.iter().filter_map(|(id, answer)| match answer {
             Some(Knowledge::HeldBy(holder)) => Some(*holder),
             Some(Knowledge::Closing) => Some(*id),
--- a/crates/decision/src/agent/flows.rs
+++ b/crates/decision/src/agent/flows.rs
@@ -33,13 +33,13 @@
     sequence: Option<u32>,
     /// Sequence number of another connection on its ports that the upstream may have: a later one whose
     /// opening it was handed, or an older one that this one has replaced.
-    other: Option<u32>,
+    other_sequence: Option<u32>,
     /// Whether the caller has reset an older connection on its ports, as it does when its opening
     /// was not understood.
     pub(super) older_was_reset: bool,
     /// Whether only peers say so, after a restart. The first packet leads to a lookup, since the
     /// peer may not have heard of the end of the flow, and a later one may live elsewhere.
-    pub(super) hearsay: bool,
+    pub(super) peer_reported: bool,
     /// Whether an earlier life of this agent took it. Whom that one has told is not known.
     pub(super) relearned: bool,
 }
@@ -60,7 +60,7 @@
     flows: FlowMap<Flow>,
     open: usize,
     /// Open flows that are known from hearsay only.
-    hearsay: usize,
+    peer_reported: usize,
     /// Open flows that were adopted without record.
     adopted: usize,
     unanswered: usize,
@@ -87,7 +87,7 @@
 
     /// Open flows that the upstream may never have had: peers say so, or a packet of theirs was tried here.
     pub(super) fn uncertain(&self) -> usize {
-        self.hearsay + self.adopted
+        self.peer_reported + self.adopted
     }
 
     /// Open flows of which the upstream is known to have had each.
@@ -131,10 +131,12 @@
         let Some(flow) = self.flows.get_mut(&packet.flow) else { return false };
         // A reset of another connection may answer for one that the upstream still has.
         let reset = packet.kind == PacketKind::Reset;
-        if !flow.is_certainly_open() || !(reset || flow.may_own(packet.sequence)) {
+        if !flow.is_confirmed_open() || !(reset || flow.may_match_connection(packet.sequence)) {
             return false;
         }
-        if !flow.is_own(packet.sequence) && !flow.is_renewed(now, packet.sequence) {
+        if !flow.matches_connection(packet.sequence)
+            && !flow.is_later_connection(now, packet.sequence)
+        {
             return true;
         }
         flow.last_seen = now;
@@ -156,7 +158,7 @@
         let Some(flow) = self.flows.get_mut(&opening.flow) else { return };
         match flow.nonce == Some(opening.nonce) {
             true => flow.last_seen = now,
-            false => flow.other = Some(opening.nonce),
+            false => flow.other_sequence = Some(opening.nonce),
         }
     }
 
@@ -168,7 +170,7 @@
         nonce: Option<u32>,
         answered: bool,
     ) -> Option<(FlowId, Flow)> {
-        let replaced = self.remove(id).filter(Flow::is_certainly_open);
+        let replaced = self.remove(id).filter(Flow::is_confirmed_open);
         let evicted = self.make_room();
         let flow = Flow {
             nonce,
@@ -177,9 +179,9 @@
             last_seen: now,
             answered,
             sequence: nonce,
-            other: replaced.and_then(|replaced| replaced.sequence),
+            other_sequence: replaced.and_then(|replaced| replaced.sequence),
             older_was_reset: false,
-            hearsay: false,
+            peer_reported: false,
             relearned: false,
         };
         self.flows.insert(id, flow);
@@ -194,11 +196,11 @@
 
     /// Takes in a flow of an earlier life that a peer has named. Its age is unknown, and it never
     /// passes for the younger one of two.
-    pub(super) fn insert_hearsay(&mut self, now: Millis, opening: Opening) {
+    pub(super) fn insert_peer_reported(&mut self, now: Millis, opening: Opening) {
         self.insert(now, opening.flow, Some(opening.nonce), true);
         if let Some(flow) = self.flows.get_mut(&opening.flow) {
-            flow.hearsay = true;
-            self.hearsay += 1;
+            flow.peer_reported = true;
+            self.peer_reported += 1;
             flow.relearned = true;
             flow.sequence = None;
             flow.opened_at = Millis(0);
@@ -207,10 +209,10 @@
 
     /// Marks a packet of a flow that nobody else holds: hearsay becomes certainty. False if the
     /// flow is unknown.
-    pub(super) fn make_certain(&mut self, now: Millis, id: FlowId) -> bool {
+    pub(super) fn confirm(&mut self, now: Millis, id: FlowId) -> bool {
         let Some(flow) = self.flows.get_mut(&id) else { return false };
-        self.hearsay -= usize::from(flow.is_open_hearsay());
-        flow.hearsay = false;
+        self.peer_reported -= usize::from(flow.is_open_peer_reported());
+        flow.peer_reported = false;
         flow.last_seen = now;
         true
     }
@@ -222,7 +224,7 @@
     pub(super) fn close(&mut self, now: Millis, packet: &Packet, state: FlowState) -> bool {
         let id = packet.flow;
         let Some(flow) = self.flows.get_mut(&id) else { return false };
-        if !flow.is_own(packet.sequence) {
+        if !flow.matches_connection(packet.sequence) {
             flow.older_was_reset |= state == FlowState::Reset;
             return false;
         }
@@ -231,7 +233,7 @@
             return false;
         }
         let was_open = flow.state == FlowState::Open;
-        self.hearsay -= usize::from(flow.is_open_hearsay());
+        self.peer_reported -= usize::from(flow.is_open_peer_reported());
         self.adopted -= usize::from(flow.is_open_adopted());
         self.unanswered -= usize::from(flow.is_unanswered() && flow.nonce.is_some());
         self.open -= usize::from(was_open);
@@ -242,7 +244,7 @@
 
     pub(super) fn remove(&mut self, id: FlowId) -> Option<Flow> {
         let flow = self.flows.remove(&id)?;
-        self.hearsay -= usize::from(flow.is_open_hearsay());
+        self.peer_reported -= usize::from(flow.is_open_peer_reported());
         self.adopted -= usize::from(flow.is_open_adopted());
         self.open -= usize::from(flow.state == FlowState::Open);
         self.unanswered -= usize::from(flow.is_unanswered() && flow.nonce.is_some());
@@ -314,12 +316,12 @@
     }
 
     /// Whether the upstream certainly has the flow open, as far as the caller's packets tell.
-    pub(super) fn is_certainly_open(&self) -> bool {
-        self.state == FlowState::Open && !self.hearsay
+    pub(super) fn is_confirmed_open(&self) -> bool {
+        self.state == FlowState::Open && !self.peer_reported
     }
 
-    fn is_open_hearsay(&self) -> bool {
-        self.state == FlowState::Open && self.hearsay
+    fn is_open_peer_reported(&self) -> bool {
+        self.state == FlowState::Open && self.peer_reported
     }
 
     fn is_open_adopted(&self) -> bool {
@@ -333,21 +335,23 @@
 
     /// Whether a packet with this sequence number is one of this connection's, and not of an older one
     /// on the same ports.
-    fn is_own(&self, sequence: u32) -> bool {
-        self.sequence.is_none_or(|known| are_near(known, sequence))
+    fn matches_connection(&self, sequence: u32) -> bool {
+        self.sequence.is_none_or(|known| within_sequence_window(known, sequence))
     }
 
     /// Whether a packet can belong to a connection on these ports that the upstream may have.
-    pub(super) fn may_own(&self, sequence: u32) -> bool {
-        let other = self.other.is_some_and(|known| are_near(known, sequence));
-        sequence == 0 || self.is_own(sequence) || other
+    pub(super) fn may_match_connection(&self, sequence: u32) -> bool {
+        let other =
+            self.other_sequence.is_some_and(|known| within_sequence_window(known, sequence));
+        sequence == 0 || self.matches_connection(sequence) || other
     }
 
     /// Whether a packet belongs to a later connection on the same ports, to the same upstream.
     ///
     /// Packets of an older connection may come late: nothing may have come for as long as such copies exist.
-    fn is_renewed(&self, now: Millis, sequence: u32) -> bool {
-        let later = self.other.is_some_and(|known| are_near(known, sequence));
+    fn is_later_connection(&self, now: Millis, sequence: u32) -> bool {
+        let later =
+            self.other_sequence.is_some_and(|known| within_sequence_window(known, sequence));
         later && now.since(self.last_seen) >= limits::CLAIM_TTL_MS
     }
 
@@ -365,12 +369,12 @@
 }
 
 /// Whether packets with these sequence numbers can belong to one connection. Datagrams have none.
-pub(super) fn are_of_one(one: u32, other: u32) -> bool {
-    one == 0 || other == 0 || are_near(one, other)
+pub(super) fn may_share_connection(one: u32, other: u32) -> bool {
+    one == 0 || other == 0 || within_sequence_window(one, other)
 }
 
 /// Whether two sequence numbers can be of packets that are on their way at the same time.
-fn are_near(one: u32, other: u32) -> bool {
+fn within_sequence_window(one: u32, other: u32) -> bool {
     let ahead = one.wrapping_sub(other);
     ahead.min(ahead.wrapping_neg()) <= limits::SEQUENCE_WINDOW_BYTES
 }
--- a/crates/decision/src/agent/handover.rs
+++ b/crates/decision/src/agent/handover.rs
@@ -54,7 +54,7 @@
 
     /// Agents that are up and are told the flows of some bucket, sorted.
     fn told(&self) -> Vec<UpstreamId> {
-        let targets = self.targets.iter().flatten().flatten();
+        let targets = self.announce_targets.iter().flatten().flatten();
         let up = |id: &&UpstreamId| self.peers.get(**id).is_some_and(|peer| !peer.suspected);
         let mut told: Vec<UpstreamId> = targets.filter(up).copied().collect();
         told.sort_unstable();
@@ -82,7 +82,7 @@
         (life, state): (Incarnation, HandedOver),
         out: &mut Vec<Action>,
     ) {
-        if !self.meet_life(now, from, life) {
+        if !self.observe_incarnation(now, from, life) {
             return;
         }
         let Some(peer) = self.peers.get_mut(from) else { return };
--- a/crates/decision/src/agent/health.rs
+++ b/crates/decision/src/agent/health.rs
@@ -150,7 +150,7 @@
     }
 
     pub(super) fn heartbeat_if_due(&mut self, now: Millis, out: &mut Vec<Action>) {
-        if now >= self.heartbeat_at {
+        if now >= self.next_heartbeat_at {
             self.send_heartbeats(now, out);
         }
     }
@@ -158,7 +158,7 @@
     pub(super) fn send_heartbeats(&mut self, now: Millis, out: &mut Vec<Action>) {
         let accepting = self.accepts(now);
         self.health.told_accepting = Some(accepting);
-        self.heartbeat_at = now.after(heartbeat_ms(self.peers.len()));
+        self.next_heartbeat_at = now.after(heartbeat_ms(self.peers.len()));
         let heartbeat = Heartbeat {
             incarnation: self.config.incarnation,
             born: (!self.config.may_have_prior_flows).then_some(self.config.incarnation),
@@ -201,17 +201,17 @@
         mut heartbeat: Heartbeat,
         out: &mut Vec<Action>,
     ) {
-        if !self.meet_life(now, from, heartbeat.incarnation) {
+        if !self.observe_incarnation(now, from, heartbeat.incarnation) {
             return;
         }
-        self.saw_version(now, heartbeat.view, out);
+        self.observe_version(now, heartbeat.view, out);
         let homes = self.homes();
         let Some(peer) = self.peers.get_mut(from) else { return };
         if let Some(born) = heartbeat.born
             && peer.born < Some(born)
         {
             peer.born = Some(born);
-            self.redirects.forget_before(from, born);
+            self.redirects.remove_before(from, born);
         }
         let same_life = peer.heartbeat.filter(|old| old.incarnation == heartbeat.incarnation);
         heartbeat.leaving |= same_life.is_some_and(|old| old.leaving);
@@ -224,8 +224,8 @@
         peer.heartbeat = Some(heartbeat);
         peer.beat_at = Some(now);
         peer.assigned = 0;
-        self.doubt_former_homes(now, &homes);
-        self.retarget();
+        self.record_former_homes(now, &homes);
+        self.update_announce_targets();
     }
 
     /// Any message shows that its sender lives.
@@ -286,11 +286,11 @@
             self.found_silent();
         }
         out.push(Action::Record(TimelineEntry::PeerSuspected { upstream: id, suspected }));
-        self.doubt_former_homes(now, &homes);
-        self.retarget();
+        self.record_former_homes(now, &homes);
+        self.update_announce_targets();
         if !suspected {
-            self.doubts.add(now, id);
-            self.announce_hurry(id);
+            self.former_homes.add_everywhere(now, id);
+            self.expedite_announcements(id);
         }
     }
 }
--- a/crates/decision/src/agent/home.rs
+++ b/crates/decision/src/agent/home.rs
@@ -2,7 +2,7 @@
 
 use super::Agent;
 use super::limits;
-use super::sorted::Sorted;
+use super::sorted::SortedMap;
 use crate::keys::{BucketIndex, UpstreamId};
 use crate::rank;
 use crate::time::Millis;
@@ -14,19 +14,24 @@
 /// wrong one. Asking the former home is enough, because it records a claim before it admits, and
 /// it names that record to whoever asks.
 #[derive(Debug, Default)]
-pub(super) struct Doubts {
-    everywhere: Sorted<UpstreamId, Millis>,
-    by_bucket: Sorted<(BucketIndex, UpstreamId), Millis>,
+pub(super) struct FormerHomes {
+    everywhere: SortedMap<UpstreamId, Millis>,
+    by_bucket: SortedMap<(BucketIndex, UpstreamId), Millis>,
 }
 
-impl Doubts {
+impl FormerHomes {
     /// `upstream` may have stood in for this agent in every bucket.
-    pub(super) fn add(&mut self, now: Millis, upstream: UpstreamId) {
+    pub(super) fn add_everywhere(&mut self, now: Millis, upstream: UpstreamId) {
         self.everywhere.insert(upstream, now.after(limits::FORMER_HOME_TTL_MS));
     }
 
     /// `upstream` was home of `bucket` until now.
-    pub(super) fn add_home(&mut self, now: Millis, bucket: BucketIndex, upstream: UpstreamId) {
+    pub(super) fn add_for_bucket(
+        &mut self,
+        now: Millis,
+        bucket: BucketIndex,
+        upstream: UpstreamId,
+    ) {
         self.by_bucket.insert((bucket, upstream), now.after(limits::FORMER_HOME_TTL_MS));
     }
 
@@ -35,7 +40,11 @@
         self.by_bucket.retain(|until| *until > now);
     }
 
-    fn about(&self, now: Millis, bucket: BucketIndex) -> impl Iterator<Item = UpstreamId> + '_ {
+    fn for_bucket(
+        &self,
+        now: Millis,
+        bucket: BucketIndex,
+    ) -> impl Iterator<Item = UpstreamId> + '_ {
         let everywhere =
             self.everywhere.iter().filter(move |(_, until)| **until > now).map(|(id, _)| id);
         let here = self
@@ -72,14 +81,14 @@
     ///
     /// An agent that hears from few of its peers may be the one that is cut off, with a stand-in
     /// beyond the cut. It asks everybody, since the cut may end before it hears of that.
-    pub(super) fn former_homes(&self, now: Millis, bucket: BucketIndex) -> Vec<UpstreamId> {
+    pub(super) fn agents_to_consult(&self, now: Millis, bucket: BucketIndex) -> Vec<UpstreamId> {
         let me = self.config.upstream;
         let everybody = self.is_isolated();
         let cut_off = self.peers.iter().filter(|_| everybody).map(|(id, _)| id);
         let mut asked: Vec<UpstreamId> = self
             .ranking(bucket)
             .take_while(|id| *id != me)
-            .chain(self.doubts.about(now, bucket))
+            .chain(self.former_homes.for_bucket(now, bucket))
             .chain(cut_off)
             .filter(|id| *id != me)
             .filter(|id| self.peers.get(*id).is_some_and(|peer| peer.may_hold_flows(now)))
@@ -102,24 +111,24 @@
     }
 
     /// Remembers the homes that a change has replaced, and those that were only passed over.
-    pub(super) fn doubt_former_homes(&mut self, now: Millis, before: &[Option<UpstreamId>]) {
+    pub(super) fn record_former_homes(&mut self, now: Millis, before: &[Option<UpstreamId>]) {
         for (bucket, former) in buckets().zip(before) {
             let Some(former) = *former else { continue };
             if self.home(bucket) != Some(former) {
-                self.doubts.add_home(now, bucket, former);
+                self.former_homes.add_for_bucket(now, bucket, former);
             }
         }
     }
 
     /// A pause that this agent has noticed: everybody may have stood in for it, and nobody's
     /// silence during it counts.
-    pub(super) fn check_pause(&mut self, now: Millis) {
+    pub(super) fn detect_pause(&mut self, now: Millis) {
         if now.since(self.last_tick) < limits::PAUSE_THRESHOLD_MS {
             return;
         }
         self.last_tick = now;
         for (id, peer) in self.peers.iter_mut() {
-            self.doubts.add(now, id);
+            self.former_homes.add_everywhere(now, id);
             if !peer.suspected {
                 peer.listed_at = now;
                 peer.last_heard = peer.last_heard.map(|_| now);
--- a/crates/decision/src/agent/install.rs
+++ b/crates/decision/src/agent/install.rs
@@ -40,10 +40,10 @@
         }
         let homes = self.homes();
         self.adopt_view(now, view, key);
-        self.doubt_former_homes(now, &homes);
+        self.record_former_homes(now, &homes);
         self.reopen_recall(now, out);
         out.push(Action::Record(TimelineEntry::ViewInstalled(version)));
-        self.retarget();
+        self.update_announce_targets();
         self.recount_pending(now, out);
         self.send_heartbeats(now, out);
     }
@@ -72,7 +72,7 @@
             }
             if self.peers.get(upstream.id).is_none() {
                 self.peers.insert(upstream.id, Peer { listed_at: now, ..Peer::default() });
-                self.doubts.add(now, upstream.id);
+                self.former_homes.add_everywhere(now, upstream.id);
             }
             let Some(peer) = self.peers.get_mut(upstream.id) else { continue };
             peer.listed = true;
--- a/crates/decision/src/agent/lookup.rs
+++ b/crates/decision/src/agent/lookup.rs
@@ -4,10 +4,10 @@
 //! caller be told that it does not exist: a reset in doubt would break a flow that lives elsewhere.
 
 use super::finding::Finding;
-use super::flows::{Flow, are_of_one};
+use super::flows::{Flow, may_share_connection};
 use super::health::Unknown;
 use super::redirects::{Evidence, Redirect};
-use super::sorted::Sorted;
+use super::sorted::SortedMap;
 use super::{Action, Agent, Forwarding, HoldKey, Packet, PacketKind, Reason, Verdict, limits};
 use crate::keys::{FlowId, Incarnation, UpstreamId};
 use crate::message::{Knowledge, Message};
@@ -37,13 +37,13 @@
     held: Vec<Held>,
     /// Peers in sorted order with what they have said.
     pub(super) answers: Vec<(UpstreamId, Option<Knowledge>)>,
-    pub(super) began_at: Millis,
+    pub(super) started_at: Millis,
     deadline: Millis,
     resend_at: Millis,
 }
 
 /// All lookups that wait for answers.
-pub(super) type LookupTable = Sorted<FlowId, Lookup>;
+pub(super) type LookupTable = SortedMap<FlowId, Lookup>;
 
 /// Bounds the rate of lookups.
 #[derive(Debug, Default)]
@@ -60,9 +60,9 @@
         packet: &Packet,
         out: &mut Vec<Action>,
     ) -> Verdict {
-        self.saw_version(now, packet.view, out);
+        self.observe_version(now, packet.view, out);
         if let Some(lookup) = self.lookups.get(packet.flow) {
-            if !are_of_one(lookup.sequence, packet.sequence) {
+            if !may_share_connection(lookup.sequence, packet.sequence) {
                 return Verdict::Drop(Reason::HolderSilent);
             }
             if lookup.held.len() >= limits::MAX_HELD_PER_LOOKUP {
@@ -71,11 +71,11 @@
             return self.hold_for_lookup(packet);
         }
         if self.lookups.len() >= limits::MAX_LOOKUPS || !self.lookup_tokens.take(now) {
-            return self.without_lookup(now, packet, out);
+            return self.decide_without_lookup(now, packet, out);
         }
         let lookup = self.new_lookup(now, packet.sequence);
-        if let Some(finding) = self.finding(now, packet.flow, &lookup, false) {
-            return self.apply(now, packet, finding, out);
+        if let Some(finding) = self.evaluate_answers(now, packet.flow, &lookup, false) {
+            return self.apply_finding(now, packet, finding, out);
         }
         self.ask(packet.flow, &lookup, false, out);
         self.lookups.insert(packet.flow, lookup);
@@ -83,18 +83,23 @@
     }
 
     /// Too many lookups: hearsay has to do. Of a flow that was reset, only the next one's packets matter.
-    fn without_lookup(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) -> Verdict {
+    fn decide_without_lookup(
+        &mut self,
+        now: Millis,
+        packet: &Packet,
+        out: &mut Vec<Action>,
+    ) -> Verdict {
         if self.was_reset(packet.flow) {
             return Verdict::Drop(Reason::Overload);
         }
         let own = self.own_flow(packet.flow, packet.sequence).is_some();
-        match own && self.deliver_certain(now, packet, out) {
+        match own && self.deliver_confirmed(now, packet, out) {
             true => Verdict::Deliver,
             false => Verdict::Drop(Reason::Overload),
         }
     }
 
-    pub(super) fn answered(
+    pub(super) fn answer_received(
         &mut self,
         now: Millis,
         from: UpstreamId,
@@ -112,7 +117,7 @@
     }
 
     /// Ends lookups whose time is over and repeats the questions of the others.
-    pub(super) fn tend_lookups(&mut self, now: Millis, out: &mut Vec<Action>) {
+    pub(super) fn poll_lookups(&mut self, now: Millis, out: &mut Vec<Action>) {
         let due: Vec<FlowId> = self
             .lookups
             .iter()
@@ -140,14 +145,14 @@
                 .filter(|(_, peer)| peer.may_hold_flows(now))
                 .map(|(id, _)| (id, None))
                 .collect(),
-            began_at: now,
+            started_at: now,
             deadline: now.after(limits::LOOKUP_TIMEOUT_MS),
             resend_at: now.after(limits::RESEND_INTERVAL_MS),
         }
     }
 
     fn hold_for_lookup(&mut self, packet: &Packet) -> Verdict {
-        let hold = self.new_hold();
+        let hold = self.next_hold_key();
         let held = Held { hold, packet: *packet };
         if let Some(lookup) = self.lookups.get_mut(packet.flow) {
             lookup.held.push(held);
@@ -158,8 +163,8 @@
     /// Asks those that have not answered; if they were asked before, also as the last release does.
     fn ask(&self, flow: FlowId, lookup: &Lookup, again: bool, out: &mut Vec<Action>) {
         let Lookup { question, sequence, .. } = *lookup;
-        let silent = lookup.answers.iter().filter(|(_, answer)| answer.is_none());
-        for (to, _) in silent {
+        let unanswered = lookup.answers.iter().filter(|(_, answer)| answer.is_none());
+        for (to, _) in unanswered {
             let message = Message::AskAbout { flow, question, sequence };
             out.push(Action::Send { to: *to, message });
             if again {
@@ -171,14 +176,14 @@
     /// What this agent knows of the connection that a packet with this sequence number belongs to.
     pub(super) fn knowledge(&self, now: Millis, flow: FlowId, sequence: u32) -> Knowledge {
         match self.own_flow(flow, sequence) {
-            Some(known) if known.is_certainly_open() => return Knowledge::Mine,
-            Some(known) if known.hearsay => return Knowledge::HeldBy(self.config.upstream),
+            Some(known) if known.is_confirmed_open() => return Knowledge::Mine,
+            Some(known) if known.peer_reported => return Knowledge::HeldBy(self.config.upstream),
             Some(_) => return Knowledge::Closing,
             None => {}
         }
         let me = self.config.upstream;
         match self.redirects.get(now, flow).filter(|redirect| redirect.holder != me) {
-            Some(redirect) if !self.is_unsure(now) || is_told(redirect, sequence) => {
+            Some(redirect) if !self.is_unsure(now) || is_announced_open(redirect, sequence) => {
                 Knowledge::HeldBy(redirect.holder)
             }
             _ if self.is_unsure(now) => Knowledge::Unsure,
@@ -187,7 +192,12 @@
     }
 
     /// The same, with what the own upstream says of flows that this agent does not know.
-    pub(super) fn knowledge_told(&self, now: Millis, flow: FlowId, sequence: u32) -> Knowledge {
+    pub(super) fn knowledge_with_upstream_report(
+        &self,
+        now: Millis,
+        flow: FlowId,
+        sequence: u32,
+    ) -> Knowledge {
         match (self.knowledge(now, flow, sequence), self.unknown_flows()) {
             (Knowledge::Unsure, Some(Unknown::Some)) => Knowledge::Likely,
             (Knowledge::Unsure, Some(Unknown::Nothing)) => Knowledge::Unlikely,
@@ -197,32 +207,32 @@
 
     /// The flow in the table, unless it is another connection on the same ports.
     pub(super) fn own_flow(&self, flow: FlowId, sequence: u32) -> Option<&Flow> {
-        self.flows.get(flow).filter(|known| known.may_own(sequence))
+        self.flows.get(flow).filter(|known| known.may_match_connection(sequence))
     }
 
     /// Ends a lookup if it has found something or its time is over.
     fn conclude(&mut self, now: Millis, flow: FlowId, out: &mut Vec<Action>) {
         let Some(lookup) = self.lookups.get(flow) else { return };
-        let over = now >= lookup.deadline;
-        let Some(finding) = self.finding(now, flow, lookup, over) else { return };
+        let timed_out = now >= lookup.deadline;
+        let Some(finding) = self.evaluate_answers(now, flow, lookup, timed_out) else { return };
         let Some(lookup) = self.lookups.remove(flow) else { return };
         if let Finding::Holder(holder) = finding {
-            if self.flows.get(flow).is_some_and(|known| !known.is_certainly_open()) {
+            if self.flows.get(flow).is_some_and(|known| !known.is_confirmed_open()) {
                 self.flows.remove(flow);
             }
-            self.remember_found(now, flow, holder, &lookup);
+            self.insert_found_redirect(now, flow, holder, &lookup);
         }
         for (index, held) in lookup.held.iter().enumerate() {
             // The denials are older than the packets that joined later: the flow may have been
             // opened in between, so these are left to the caller's retransmission.
-            let denied_before = index > 0 && finding == Finding::Nobody;
-            let finding = if denied_before { Finding::Doubt } else { finding };
-            let verdict = self.apply(now, &held.packet, finding, out);
+            let denied_before = index > 0 && finding == Finding::NoHolder;
+            let finding = if denied_before { Finding::Undecided } else { finding };
+            let verdict = self.apply_finding(now, &held.packet, finding, out);
             out.push(Action::Resolve { hold: held.hold, verdict });
         }
     }
 
-    fn apply(
+    fn apply_finding(
         &mut self,
         now: Millis,
         packet: &Packet,
@@ -232,22 +242,28 @@
         let Packet { flow, kind, hops, .. } = *packet;
         match finding {
             Finding::Holder(holder) => self.forward(hops, holder, Forwarding::Redirected),
-            Finding::Only(peer) => self.forward(hops, peer, Forwarding::Adopt),
-            Finding::OnlyMe => {
+            Finding::OnlyPeer(peer) => self.forward(hops, peer, Forwarding::Adopt),
+            Finding::OnlyThisAgent => {
                 self.adopt(now, flow, out);
-                self.deliver_certain(now, packet, out);
+                self.deliver_confirmed(now, packet, out);
                 Verdict::Deliver
             }
-            Finding::Older => Verdict::Deliver,
+            Finding::OlderConnection => Verdict::Deliver,
             // A reset is never answered with a reset.
-            Finding::Nobody if kind == PacketKind::Reset => Verdict::Drop(Reason::UnknownFlow),
-            Finding::Nobody => Verdict::Refuse(Reason::UnknownFlow),
-            Finding::Doubt => Verdict::Drop(Reason::HolderSilent),
+            Finding::NoHolder if kind == PacketKind::Reset => Verdict::Drop(Reason::UnknownFlow),
+            Finding::NoHolder => Verdict::Refuse(Reason::UnknownFlow),
+            Finding::Undecided => Verdict::Drop(Reason::HolderSilent),
         }
     }
 
     /// Only a holder's own word is remembered; hearsay would keep sending packets the long way.
-    fn remember_found(&mut self, now: Millis, flow: FlowId, holder: UpstreamId, lookup: &Lookup) {
+    fn insert_found_redirect(
+        &mut self,
+        now: Millis,
+        flow: FlowId,
+        holder: UpstreamId,
+        lookup: &Lookup,
+    ) {
         if !lookup.answers.contains(&(holder, Some(Knowledge::Mine))) {
             return;
         }
@@ -268,8 +284,8 @@
 /// on the ports.
 ///
 /// The holder's word is newer than anything that an earlier life of the asked agent can have taken.
-fn is_told(redirect: &Redirect, sequence: u32) -> bool {
-    let same = redirect.nonce.is_some_and(|nonce| are_of_one(nonce, sequence));
+fn is_announced_open(redirect: &Redirect, sequence: u32) -> bool {
+    let same = redirect.nonce.is_some_and(|nonce| may_share_connection(nonce, sequence));
     redirect.evidence == Evidence::Announced && !redirect.closing && same
 }
 
--- a/crates/decision/src/agent/mod.rs
+++ b/crates/decision/src/agent/mod.rs
@@ -71,20 +71,20 @@
     lookups: lookup::LookupTable,
     lookup_tokens: lookup::TokenBucket,
     peers: peers::PeerTable,
-    doubts: home::Doubts,
+    former_homes: home::FormerHomes,
     health: health::Health,
     past: relearn::Past,
     recall: recall::Recall,
     /// By bucket: agents to which the flows are announced.
-    targets: Vec<announce::Targets>,
-    heartbeat_at: Millis,
+    announce_targets: Vec<announce::Targets>,
+    next_heartbeat_at: Millis,
     /// Counts heartbeats, from a number that differs between agents.
     heartbeats: u64,
-    refresh_at: Millis,
+    next_refresh_at: Millis,
     refresh_bucket: u16,
     seen_version: Version,
-    fetch_at: Millis,
-    next_hold: u32,
+    next_fetch_at: Millis,
+    last_hold_key: u32,
     next_question: u64,
     #[cfg(feature = "mutants")]
     mutant: Option<Mutant>,
@@ -134,25 +134,25 @@
             lookups: lookup::LookupTable::default(),
             lookup_tokens: lookup::TokenBucket::full(now),
             peers: peers::PeerTable::default(),
-            doubts: home::Doubts::default(),
+            former_homes: home::FormerHomes::default(),
             health: health::Health::default(),
             past,
             recall: recall::Recall::default(),
-            targets: Vec::new(),
-            heartbeat_at: now,
+            announce_targets: Vec::new(),
+            next_heartbeat_at: now,
             heartbeats,
-            refresh_at: now,
+            next_refresh_at: now,
             refresh_bucket: 0,
             seen_version: Version(0),
-            fetch_at: now,
-            next_hold: 0,
+            next_fetch_at: now,
+            last_hold_key: 0,
             next_question,
             #[cfg(feature = "mutants")]
             mutant: None,
         };
         if let Some(key) = view.find_service(agent.config.service) {
             agent.adopt_view(now, view, key);
-            agent.retarget();
+            agent.update_announce_targets();
         }
         agent
     }
@@ -170,9 +170,9 @@
 
     /// Takes in an event and appends what must be done about it.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
-        self.check_pause(now);
+        self.detect_pause(now);
         match event {
-            Event::Message { from, message } => self.message(now, from, message, out),
+            Event::Message { from, message } => self.handle_message(now, from, message, out),
             Event::View(view) => self.install(now, view, out),
             Event::Upstream(report) => self.upstream_reported(now, report, out),
             Event::PeerHint { upstream, alive } => self.hinted(now, upstream, alive, out),
@@ -185,12 +185,12 @@
     fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.last_tick = now;
         self.tend_claims(now, out);
-        self.tend_lookups(now, out);
+        self.poll_lookups(now, out);
         self.expire_flows(now, out);
         self.redirects.expire(now);
         self.claims.expire(now);
-        self.doubts.expire(now);
-        self.settle_cuts(now);
+        self.former_homes.expire(now);
+        self.prune_memberships(now);
         self.suspect_silent(now, out);
         self.tell_if_changed(now, out);
         self.heartbeat_if_due(now, out);
@@ -207,15 +207,21 @@
         }
         let homes = self.homes();
         self.leaving = true;
-        self.doubt_former_homes(now, &homes);
+        self.record_former_homes(now, &homes);
         let ids: Vec<UpstreamId> = self.peers.iter().map(|(id, _)| id).collect();
-        ids.into_iter().for_each(|id| self.announce_hurry(id));
+        ids.into_iter().for_each(|id| self.expedite_announcements(id));
         self.send_announcements(now, out);
         self.send_heartbeats(now, out);
     }
 
-    fn message(&mut self, now: Millis, from: UpstreamId, message: Message, out: &mut Vec<Action>) {
-        if from == self.config.upstream || !self.know_peer(now, from) {
+    fn handle_message(
+        &mut self,
+        now: Millis,
+        from: UpstreamId,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
+        if from == self.config.upstream || !self.ensure_peer(now, from) {
             return;
         }
         self.heard_from(now, from, out);
@@ -229,10 +235,10 @@
                 self.claim_answered(now, from, reply, out);
             }
             Message::Announce { incarnation, sequence, notes } => {
-                self.announced(now, from, (incarnation, sequence), &notes, out);
+                self.announce_received(now, from, (incarnation, sequence), &notes, out);
             }
             Message::AnnounceAck { incarnation, sequence } => {
-                self.announcement_acknowledged(now, from, incarnation, sequence, out);
+                self.announce_ack_received(now, from, incarnation, sequence, out);
             }
             Message::Ask { flow, question } => {
                 let knowledge = self.knowledge(now, flow, 0);
@@ -241,15 +247,15 @@
                 out.push(Action::Send { to: from, message });
             }
             Message::AskAbout { flow, question, sequence } => {
-                let knowledge = self.knowledge_told(now, flow, sequence);
+                let knowledge = self.knowledge_with_upstream_report(now, flow, sequence);
                 let view = self.settings.version;
                 let message = Message::Tell { flow, question, knowledge, view };
                 out.push(Action::Send { to: from, message });
             }
             Message::AskReply { flow, question, knowledge, view }
             | Message::Tell { flow, question, knowledge, view } => {
-                self.saw_version(now, view, out);
-                self.answered(now, from, lookup::Answer { flow, question, knowledge }, out);
+                self.observe_version(now, view, out);
+                self.answer_received(now, from, lookup::Answer { flow, question, knowledge }, out);
             }
             Message::Relearn { incarnation, from: first } => {
                 self.relearn_asked(now, from, incarnation, first, out);
@@ -293,7 +299,7 @@
     }
 
     /// Makes an entry for a peer that newer settings may list; false if there are too many.
-    fn know_peer(&mut self, now: Millis, id: UpstreamId) -> bool {
+    fn ensure_peer(&mut self, now: Millis, id: UpstreamId) -> bool {
         if self.peers.get(id).is_some() {
             return true;
         }
@@ -305,18 +311,18 @@
     }
 
     /// Somebody runs or has seen these settings.
-    fn saw_version(&mut self, now: Millis, version: Version, out: &mut Vec<Action>) {
-        let is_news = version > self.seen_version;
+    fn observe_version(&mut self, now: Millis, version: Version, out: &mut Vec<Action>) {
+        let is_newer = version > self.seen_version;
         self.seen_version = self.seen_version.max(version);
-        if version <= self.settings.version || (!is_news && now < self.fetch_at) {
+        if version <= self.settings.version || (!is_newer && now < self.next_fetch_at) {
             return;
         }
-        self.fetch_at = now.after(limits::FETCH_RETRY_MS);
+        self.next_fetch_at = now.after(limits::FETCH_RETRY_MS);
         out.push(Action::FetchSettings { at_least: self.seen_version });
     }
 
     /// Forgets memberships under which nobody can claim any more.
-    fn settle_cuts(&mut self, now: Millis) {
+    fn prune_memberships(&mut self, now: Millis) {
         let me = self.config.upstream;
         let peers = &self.peers;
         let runs = |id: UpstreamId, version: Version| {
@@ -334,8 +340,8 @@
         }
     }
 
-    fn new_hold(&mut self) -> HoldKey {
-        self.next_hold = self.next_hold.wrapping_add(1);
-        HoldKey(self.next_hold)
+    fn next_hold_key(&mut self) -> HoldKey {
+        self.last_hold_key = self.last_hold_key.wrapping_add(1);
+        HoldKey(self.last_hold_key)
     }
 }
--- a/crates/decision/src/agent/once.rs
+++ b/crates/decision/src/agent/once.rs
@@ -36,7 +36,7 @@
         // A datagram on an open flow is new work, which a draining upstream does not get. Of a SYN
         // on the ports of an open connection, the upstream's TCP has to judge.
         let wanted = !self.settings.datagrams || !self.must_not_admit();
-        if wanted && held.is_some_and(|flow| flow.is_certainly_open()) {
+        if wanted && held.is_some_and(|flow| flow.is_confirmed_open()) {
             return self.claim_once(now, packet.hops, opening, Claim::Run(me), out);
         }
         if packet.forwarding == Forwarding::Assigned {
--- a/crates/decision/src/agent/outbox.rs
+++ b/crates/decision/src/agent/outbox.rs
@@ -11,7 +11,7 @@
 
 /// A note that is still to be sent; its age is worked out when it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Pending {
+pub(super) struct PendingNote {
     pub(super) opening: Opening,
     pub(super) open: bool,
 }
@@ -19,7 +19,7 @@
 /// Announcements for one peer.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
-    queue: VecDeque<Pending>,
+    queue: VecDeque<PendingNote>,
     /// Notes of the batch in flight, at the front of the queue.
     in_flight: usize,
     sequence: u64,
@@ -29,7 +29,7 @@
 }
 
 impl Outbox {
-    pub(super) fn push(&mut self, pending: Pending) {
+    pub(super) fn push(&mut self, pending: PendingNote) {
         if self.queue.len() >= limits::MAX_OUTBOX {
             self.overflowed = true;
             return;
@@ -47,7 +47,7 @@
     }
 
     /// Forgets what is waiting, since a full announcement follows.
-    pub(super) fn restart(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.queue.clear();
         self.in_flight = 0;
         self.sent_at = None;
@@ -55,7 +55,11 @@
     }
 
     /// The batch that is due now, if any.
-    pub(super) fn due(&mut self, now: Millis, period_ms: u64) -> Option<(u64, Vec<Pending>)> {
+    pub(super) fn next_due(
+        &mut self,
+        now: Millis,
+        period_ms: u64,
+    ) -> Option<(u64, Vec<PendingNote>)> {
         if self.queue.is_empty() || self.sent_at.is_some_and(|at| now.since(at) < period_ms) {
             return None;
         }
@@ -68,7 +72,7 @@
     }
 
     /// Makes the next batch due at once.
-    pub(super) fn hurry(&mut self) {
+    pub(super) fn make_due(&mut self) {
         self.sent_at = None;
     }
 
--- a/crates/decision/src/agent/packet.rs
+++ b/crates/decision/src/agent/packet.rs
@@ -24,11 +24,11 @@
         }
         if let PacketKind::Opening { nonce } = packet.kind {
             let opening = Opening { flow: packet.flow, nonce };
-            return self.opening(now, packet, opening, out);
+            return self.handle_opening(now, packet, opening, out);
         }
         match self.deliver_known(now, packet, out) {
             true => Verdict::Deliver,
-            false => self.unknown(now, packet, out),
+            false => self.handle_unknown(now, packet, out),
         }
     }
 
@@ -37,27 +37,27 @@
         if !self.flows.touch(now, packet) {
             return false;
         }
-        self.follow_kind(now, packet, out);
+        self.apply_packet_kind(now, packet, out);
         true
     }
 
     /// Marks a packet of a flow that nobody else can hold; false if it is not in the table.
-    pub(super) fn deliver_certain(
+    pub(super) fn deliver_confirmed(
         &mut self,
         now: Millis,
         packet: &Packet,
         out: &mut Vec<Action>,
     ) -> bool {
-        if !self.flows.make_certain(now, packet.flow) {
+        if !self.flows.confirm(now, packet.flow) {
             return false;
         }
         if !self.deliver_known(now, packet, out) {
-            self.follow_kind(now, packet, out);
+            self.apply_packet_kind(now, packet, out);
         }
         true
     }
 
-    fn follow_kind(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) {
+    fn apply_packet_kind(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) {
         match packet.kind {
             PacketKind::Finish => self.close_flow(now, packet, FlowState::Finishing, out),
             PacketKind::Reset => self.close_flow(now, packet, FlowState::Reset, out),
@@ -95,14 +95,14 @@
         }
     }
 
-    fn opening(
+    fn handle_opening(
         &mut self,
         now: Millis,
         packet: &Packet,
         opening: Opening,
         out: &mut Vec<Action>,
     ) -> Verdict {
-        self.check_pause(now);
+        self.detect_pause(now);
         match self.settings.when_in_doubt {
             WhenInDoubt::Admit => self.open_early(now, packet, opening, out),
             WhenInDoubt::Refuse => self.open_once(now, packet, opening, out),
@@ -132,16 +132,16 @@
 
     /// A packet in the middle of a flow that this agent does not hold. It never reaches the own
     /// upstream unasked: the upstream would reset a flow that lives elsewhere.
-    fn unknown(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) -> Verdict {
+    fn handle_unknown(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) -> Verdict {
         if mutated!(self, AdoptAlways) {
             return Verdict::Deliver;
         }
         if packet.forwarding == Forwarding::Adopt {
-            return self.adopt_if_unsure(now, packet, out);
+            return self.adopt_or_drop(now, packet, out);
         }
         let own = self.flows.get(packet.flow).copied();
-        if let Some(flow) = own.filter(|flow| flow.may_own(packet.sequence)) {
-            return self.uncertain(now, packet, flow, out);
+        if let Some(flow) = own.filter(|flow| flow.may_match_connection(packet.sequence)) {
+            return self.deliver_closing_or_look_up(now, packet, flow, out);
         }
         let redirect = self.redirects.get(now, packet.flow).map(|redirect| redirect.holder);
         let holder = redirect.filter(|holder| self.may_hold_flows(now, *holder));
@@ -159,7 +159,7 @@
     /// flow is therefore believed only for as long as the caller's ports rest, and only where
     /// the home has sent the packet or is this agent; otherwise all others are asked first. After a reset
     /// they don't rest: the caller may use them at once.
-    fn uncertain(
+    fn deliver_closing_or_look_up(
         &mut self,
         now: Millis,
         packet: &Packet,
@@ -170,10 +170,10 @@
         let from_home = is_home || packet.forwarding != Forwarding::Direct;
         let recent = now.since(flow.last_seen) < limits::CLOSING_TRUST_MS;
         let rests = recent && flow.state != FlowState::Reset;
-        if flow.hearsay || !from_home || !rests {
+        if flow.peer_reported || !from_home || !rests {
             return self.look_up(now, packet, out);
         }
-        self.deliver_certain(now, packet, out);
+        self.deliver_confirmed(now, packet, out);
         Verdict::Deliver
     }
 
@@ -182,20 +182,20 @@
         self.peers.get(id).is_some_and(|peer| peer.may_hold_flows(now))
     }
 
-    fn adopt_if_unsure(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) -> Verdict {
+    fn adopt_or_drop(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) -> Verdict {
         let named = self.flows.get(packet.flow).is_some();
         if !named && !self.is_unsure(now) {
             return Verdict::Drop(Reason::HolderSilent);
         }
         self.adopt(now, packet.flow, out);
-        self.deliver_certain(now, packet, out);
+        self.deliver_confirmed(now, packet, out);
         Verdict::Deliver
     }
 
     /// Takes over a flow that only this agent's earlier life can have held. If it did not, the
     /// upstream itself answers with a reset, and nobody else is harmed.
     pub(super) fn adopt(&mut self, now: Millis, flow: FlowId, out: &mut Vec<Action>) {
-        if self.flows.make_certain(now, flow) {
+        if self.flows.confirm(now, flow) {
             return;
         }
         // Unless more packets follow, it was a stray one, and is soon forgotten.
--- a/crates/decision/src/agent/peers.rs
+++ b/crates/decision/src/agent/peers.rs
@@ -3,7 +3,7 @@
 use super::limits;
 use super::outbox::Outbox;
 use super::relearn::Cursor;
-use super::sorted::Sorted;
+use super::sorted::SortedMap;
 use crate::keys::{Incarnation, UpstreamId, Version};
 use crate::message::{HandedOver, Heartbeat};
 use crate::time::Millis;
@@ -50,7 +50,7 @@
 }
 
 /// All peers, sorted by id.
-pub(super) type PeerTable = Sorted<UpstreamId, Peer>;
+pub(super) type PeerTable = SortedMap<UpstreamId, Peer>;
 
 impl Peer {
     /// Whether this life of it has handed over.
--- a/crates/decision/src/agent/pending.rs
+++ b/crates/decision/src/agent/pending.rs
@@ -1,7 +1,7 @@
 //! Claims of this agent that wait for witnesses, each with the held packet of its opening.
 
 use super::quorum::Vote;
-use super::sorted::Sorted;
+use super::sorted::SortedMap;
 use super::{HoldKey, Reason};
 use crate::keys::UpstreamId;
 use crate::message::{Claim, Opening};
@@ -32,11 +32,11 @@
 }
 
 /// All waiting claims.
-pub(super) type PendingTable = Sorted<Opening, PendingClaim>;
+pub(super) type PendingTable = SortedMap<Opening, PendingClaim>;
 
 impl PendingClaim {
     /// Takes in a vote; false if the voter was not asked.
-    pub(super) fn vote(&mut self, witness: UpstreamId, vote: Vote) -> bool {
+    pub(super) fn record_vote(&mut self, witness: UpstreamId, vote: Vote) -> bool {
         match self.votes.binary_search_by_key(&witness, |(id, _)| *id) {
             Ok(index) => {
                 self.votes[index].1 = Some(vote);
@@ -47,12 +47,12 @@
     }
 
     /// Votes that have been given.
-    pub(super) fn given(&self) -> Vec<(UpstreamId, Vote)> {
+    pub(super) fn received_votes(&self) -> Vec<(UpstreamId, Vote)> {
         self.votes.iter().filter_map(|(id, vote)| Some((*id, (*vote)?))).collect()
     }
 
     /// Witnesses that have not answered.
-    pub(super) fn silent(&self) -> impl Iterator<Item = UpstreamId> + '_ {
+    pub(super) fn unanswered(&self) -> impl Iterator<Item = UpstreamId> + '_ {
         self.votes.iter().filter(|(_, vote)| vote.is_none()).map(|(id, _)| *id)
     }
 }
--- a/crates/decision/src/agent/recall.rs
+++ b/crates/decision/src/agent/recall.rs
@@ -12,7 +12,7 @@
 //! anything or has met an earlier life of it.
 
 use super::mutant::mutated;
-use super::sorted::Sorted;
+use super::sorted::SortedMap;
 use super::{Action, Agent, limits};
 use crate::keys::{Incarnation, UpstreamId};
 use crate::message::{ClaimRecord, Memory, Message, Opening};
@@ -34,7 +34,7 @@
 /// What a restarted witness has learned of its earlier promises.
 #[derive(Debug, Default)]
 pub(super) struct Recall {
-    cursors: Sorted<UpstreamId, Cursor>,
+    cursors: SortedMap<UpstreamId, Cursor>,
     /// Openings for which different claims are recorded; which of them had this agent's vote cannot
     /// be told. Sorted.
     disputed: Vec<Opening>,
@@ -119,7 +119,7 @@
         first: u64,
         out: &mut Vec<Action>,
     ) {
-        if !self.meet_life(now, from, incarnation) {
+        if !self.observe_incarnation(now, from, incarnation) {
             return;
         }
         let (records, next) = self.claims.page(now, first, limits::RECORDS_PER_PAGE);
--- a/crates/decision/src/agent/redirects.rs
+++ b/crates/decision/src/agent/redirects.rs
@@ -46,7 +46,7 @@
 pub(super) struct RedirectTable {
     redirects: FlowMap<Redirect>,
     /// Redirects in the order of their last check.
-    order: VecDeque<(Millis, FlowId)>,
+    check_order: VecDeque<(Millis, FlowId)>,
 }
 
 impl RedirectTable {
@@ -71,9 +71,9 @@
         if self.redirects.insert(flow, redirect).is_some() {
             return;
         }
-        self.order.push_back((now, flow));
+        self.check_order.push_back((now, flow));
         while self.redirects.len() > limits::MAX_REDIRECTS {
-            let Some((_, oldest)) = self.order.pop_front() else { return };
+            let Some((_, oldest)) = self.check_order.pop_front() else { return };
             self.redirects.remove(&oldest);
         }
     }
@@ -83,7 +83,7 @@
     /// An old holder that has not noticed the end of its flow refreshes it for hours. If that
     /// replaced the redirect of a later flow on the same ports, the later flow would be reset by
     /// the wrong upstream; the later opening therefore stands.
-    pub(super) fn confirm(
+    pub(super) fn apply_announcement(
         &mut self,
         now: Millis,
         (holder, incarnation): (UpstreamId, Incarnation),
@@ -91,7 +91,7 @@
         opened_at: Millis,
     ) {
         let known = self.get(now, opening.flow).copied();
-        let stands = known.is_some_and(|known| {
+        let keep_known = known.is_some_and(|known| {
             let same_opening = known.nonce == Some(opening.nonce);
             let earlier = known.opened_at > opened_at;
             known.holder != holder
@@ -99,7 +99,7 @@
                 && !known.closing
                 && (same_opening || earlier)
         });
-        if stands {
+        if keep_known {
             return;
         }
         let redirect = Redirect {
@@ -134,7 +134,7 @@
     }
 
     /// Takes in what another agent knows of a silent holder; whatever is known here stands.
-    pub(super) fn entrust(&mut self, now: Millis, entrusted: Entrusted) {
+    pub(super) fn insert_reported(&mut self, now: Millis, entrusted: Entrusted) {
         if self.get(now, entrusted.opening.flow).is_some() {
             return;
         }
@@ -151,7 +151,7 @@
     }
 
     /// The upstream of `holder` has started anew beside its life `born`: flows from before are gone.
-    pub(super) fn forget_before(&mut self, holder: UpstreamId, born: Incarnation) {
+    pub(super) fn remove_before(&mut self, holder: UpstreamId, born: Incarnation) {
         self.redirects.retain(|_, known| known.holder != holder || known.incarnation >= born);
     }
 
@@ -190,17 +190,17 @@
         const CHECK_MS: u64 = 60_000;
         const CHECKS_PER_TICK: usize = 512;
         for _ in 0..CHECKS_PER_TICK {
-            let Some(&(checked_at, flow)) = self.order.front() else { return };
+            let Some(&(checked_at, flow)) = self.check_order.front() else { return };
             if now.since(checked_at) < CHECK_MS {
                 return;
             }
-            self.order.pop_front();
+            self.check_order.pop_front();
             match self.redirects.get(&flow) {
                 None => {}
                 Some(redirect) if redirect.expires_at <= now => {
                     self.redirects.remove(&flow);
                 }
-                Some(_) => self.order.push_back((now, flow)),
+                Some(_) => self.check_order.push_back((now, flow)),
             }
         }
     }
--- a/crates/decision/src/agent/relearn.rs
+++ b/crates/decision/src/agent/relearn.rs
@@ -110,7 +110,7 @@
         first: FlowId,
         out: &mut Vec<Action>,
     ) {
-        if !self.meet_life(now, from, incarnation) {
+        if !self.observe_incarnation(now, from, incarnation) {
             return;
         }
         let gone = |id: UpstreamId| self.peers.get(id).is_some_and(Peer::cannot_tell);
@@ -193,7 +193,7 @@
             if known || elsewhere || !self.flows.has_room() {
                 continue;
             }
-            self.flows.insert_hearsay(now, *opening);
+            self.flows.insert_peer_reported(now, *opening);
             out.push(Action::Record(TimelineEntry::Relearned(opening.flow)));
         }
     }
@@ -202,7 +202,7 @@
         for entry in entrusted {
             let mine = entry.holder == self.config.upstream;
             if !mine && self.flows.get(entry.opening.flow).is_none() {
-                self.redirects.entrust(now, *entry);
+                self.redirects.insert_reported(now, *entry);
             }
         }
     }
--- a/crates/decision/src/agent/sorted.rs
+++ b/crates/decision/src/agent/sorted.rs
@@ -2,17 +2,17 @@
 
 /// Sorted vector with binary search.
 #[derive(Clone, Debug)]
-pub(super) struct Sorted<K, V> {
+pub(super) struct SortedMap<K, V> {
     entries: Vec<(K, V)>,
 }
 
-impl<K, V> Default for Sorted<K, V> {
+impl<K, V> Default for SortedMap<K, V> {
     fn default() -> Self {
         Self { entries: Vec::new() }
     }
 }
 
-impl<K: Ord + Copy, V> Sorted<K, V> {
+impl<K: Ord + Copy, V> SortedMap<K, V> {
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
--- a/crates/decision/src/agent/witness.rs
+++ b/crates/decision/src/agent/witness.rs
@@ -21,7 +21,7 @@
 
 impl Agent {
     pub(super) fn claim_requested(&mut self, now: Millis, request: Request, out: &mut Vec<Action>) {
-        self.saw_version(now, request.view, out);
+        self.observe_version(now, request.view, out);
         if self.must_catch_up(now, request.view) || self.is_catching_up(now) {
             return;
         }
@@ -119,7 +119,7 @@
     /// same ports, whose upstream has to judge whether that one is over.
     fn holder_of(&self, now: Millis, opening: Opening) -> Option<UpstreamId> {
         let nonce = Some(opening.nonce);
-        let belongs = |flow: &Flow| flow.is_certainly_open() || flow.nonce == nonce;
+        let belongs = |flow: &Flow| flow.is_confirmed_open() || flow.nonce == nonce;
         if self.flows.get(opening.flow).is_some_and(belongs) {
             return Some(self.config.upstream);
         }
@@ -132,7 +132,7 @@
     /// that a redirect names. Symptom: the old upstream resets the new flow. Forgetting is enough, since
     /// a packet of an unknown flow is asked about.
     pub(super) fn forget_closing(&mut self, opening: Opening) {
-        let old = |flow: &Flow| !flow.is_certainly_open() && flow.nonce != Some(opening.nonce);
+        let old = |flow: &Flow| !flow.is_confirmed_open() && flow.nonce != Some(opening.nonce);
         if self.flows.get(opening.flow).is_some_and(old) {
             self.flows.remove(opening.flow);
         }
