--- a/crates/decision/src/agent/assign.rs
+++ b/crates/decision/src/agent/assign.rs
@@ -1,4 +1,4 @@
-//! Spreading openings: who of the upstreams that take openings gets the next one.
+//! Assignment of openings to the upstreams that accept them.
 
 use rand::Rng as _;
 use rand_pcg::Pcg64Mcg;
@@ -8,35 +8,36 @@
 use crate::time::Millis;
 use crate::view::{UpstreamSpec, UpstreamState};
 
-/// An upstream that takes openings.
+/// An upstream that accepts openings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Load relative to its weight: a millionth of a flow for a weight of one.
+    /// Load relative to its weight, in millionths of a flow at a weight of one.
     pub load: u64,
-    /// What one more flow adds to its load.
+    /// Increase of its load by one more flow.
     pub step: u64,
-    /// Whether it is the upstream of the agent that chooses: no extra hop.
+    /// Whether it is the upstream of the choosing agent, which needs no extra hop.
     pub local: bool,
-    /// Whether it is in the zone of the agent that chooses.
+    /// Whether it is in the availability zone of the choosing agent.
     pub same_zone: bool,
 }
 
-/// Picks the index of a candidate; the list is never empty.
+/// Chooses a candidate and returns its index. The list is never empty.
 pub type Policy = fn(&[Candidate], &mut Pcg64Mcg) -> usize;
 
-/// Flows by which the own upstream may be busier than another before that one is preferred.
+/// Number of flows by which the local upstream may exceed another one before that one is preferred.
 const LOCAL_MARGIN_FLOWS: u64 = 2;
 
-/// The home keeps what it can: no extra hop, no regard for load.
+/// Chooses the local upstream if it is a candidate, whatever its load. This avoids the extra hop.
 pub fn prefer_local(candidates: &[Candidate], random: &mut Pcg64Mcg) -> usize {
     let local = candidates.iter().position(|candidate| candidate.local);
     local.unwrap_or_else(|| two_choices(candidates, random))
 }
 
-/// The less loaded of two random candidates. As every home decides on loads that are up to a
-/// heartbeat old, choosing the least of all would send all homes to the same upstream.
+/// Chooses the less loaded of two random candidates. Homes decide by loads that are up to one
+/// heartbeat old, so if they all chose the least loaded candidate, they would all choose the same
+/// upstream.
 pub fn two_choices(candidates: &[Candidate], random: &mut Pcg64Mcg) -> usize {
     let first = random_index(random, candidates.len());
     if candidates.len() == 1 {
@@ -47,8 +48,8 @@
     if candidates[second].load < candidates[first].load { second } else { first }
 }
 
-/// Two choices, but the own upstream is kept while it is at most a little busier: most openings
-/// then need no extra hop.
+/// Like [`two_choices`], but keeps the local upstream while its load exceeds that of the other by
+/// no more than a small margin. Most openings then need no extra hop.
 pub fn two_choices_prefer_local(candidates: &[Candidate], random: &mut Pcg64Mcg) -> usize {
     let chosen = two_choices(candidates, random);
     let Some(local) = candidates.iter().position(|candidate| candidate.local) else {
@@ -58,14 +59,14 @@
     if candidates[local].load <= candidates[chosen].load + margin { local } else { chosen }
 }
 
-/// The least loaded of all, the own one among equals.
+/// Chooses the least loaded candidate, and the local one among equals.
 pub fn least_loaded(candidates: &[Candidate], _random: &mut Pcg64Mcg) -> usize {
     let key = |index: &usize| (candidates[*index].load, !candidates[*index].local);
     (0..candidates.len()).min_by_key(key).unwrap_or(0)
 }
 
 impl Agent {
-    /// Chooses the holder of a new flow, `None` if no upstream can take it.
+    /// Chooses the holder of a new flow, or `None` if no upstream can accept it.
     pub(super) fn choose_holder(&mut self, now: Millis, exclude_local: bool) -> Option<UpstreamId> {
         let mut candidates = self.candidates(now);
         candidates.retain(|candidate| !(exclude_local && candidate.local));
@@ -78,7 +79,7 @@
         preferred.get(index).map(|candidate| candidate.upstream)
     }
 
-    /// Every upstream that takes openings as far as this agent knows.
+    /// All upstreams that accept openings as far as this agent knows.
     pub(super) fn candidates(&mut self, now: Millis) -> Vec<Candidate> {
         let Some(key) = self.service else { return Vec::new() };
         let local_zone = self.local_spec().map(|spec| spec.zone.clone());
@@ -109,8 +110,8 @@
         (self.counted_flows() + self.flows.unanswered() + self.pending.len()) as u64
     }
 
-    /// Load and ramp of a peer by its own count and by what was assigned to it since; `None` if
-    /// it takes nothing.
+    /// Load and ramp of a peer, by its last heartbeat and the openings assigned to it since then.
+    /// `None` if it accepts none.
     fn peer_load(&self, id: UpstreamId, spec: &UpstreamSpec) -> Option<(u64, u64)> {
         let peer = self.peers.get(id)?;
         let heartbeat = peer.heartbeat?;
@@ -133,8 +134,8 @@
     }
 }
 
-/// The candidates of the own zone while their mean load is within the given percentage of the
-/// mean of all, else all.
+/// Returns the candidates of the local zone if their mean load exceeds the mean load of all
+/// candidates by no more than `spill_percent`, otherwise all candidates.
 fn prefer_zone(candidates: &[Candidate], spill_percent: u64) -> Vec<Candidate> {
     let preferred: Vec<Candidate> =
         candidates.iter().copied().filter(|candidate| candidate.same_zone).collect();
--- a/crates/decision/src/agent/flow_map.rs
+++ b/crates/decision/src/agent/flow_map.rs
@@ -1,21 +1,22 @@
-//! A hash map keyed by flow.
+//! Hash maps keyed by flow or opening.
 //!
-//! House style asks for sorted vectors. Flow tables are the exception: an insertion into a sorted
-//! vector of 50,000 entries moves a megabyte on average, and every packet pays a search of 16
-//! steps with cache misses. A flow id is already a keyed hash, so it is used as it is.
+//! Other tables of this crate are sorted vectors. Flow tables are too large for that: an insertion
+//! into a sorted vector of 50,000 entries moves a megabyte on average, and every packet would pay
+//! for a binary search of 16 steps with cache misses. A flow id is already a keyed hash, so it
+//! needs no further hashing.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 
 use crate::keys::FlowId;
 
-/// Map from flows to what is known about them.
+/// Map keyed by flow.
 pub(super) type FlowMap<T> = HashMap<FlowId, T, BuildHasherDefault<IdHasher>>;
 
-/// Map from openings, whose flow and nonce are both mixed in.
+/// Map keyed by opening. Both its flow and its nonce enter the hash.
 pub(super) type OpeningMap<T> = HashMap<crate::message::Opening, T, BuildHasherDefault<IdHasher>>;
 
-/// Passes an id through, spread once so that small numbers in tests work as well.
+/// Uses an id as its own hash, mixed once so that the small ids of tests are spread as well.
 #[derive(Debug, Default)]
 pub(super) struct IdHasher(u64);
 
--- a/crates/decision/src/agent/flows.rs
+++ b/crates/decision/src/agent/flows.rs
@@ -1,4 +1,4 @@
-//! The flow table: the truth about which flows this agent's upstream holds.
+//! The flow table: the authoritative record of the flows that this agent's upstream holds.
 
 use std::collections::VecDeque;
 
@@ -8,46 +8,48 @@
 use crate::message::Opening;
 use crate::time::Millis;
 
-/// Whether a flow still takes part in load.
+/// State of a flow. Only open flows count as load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowState {
-    /// Established, or being established.
+    /// Established or in the handshake.
     Open,
-    /// The caller has sent FIN: answers may still be on their way.
+    /// The caller has sent a FIN. The upstream may still be sending its answer.
     Finishing,
-    /// The caller has sent RST: only stray packets follow.
+    /// The caller has sent an RST. Only stray packets follow.
     Reset,
 }
 
 /// One flow of the upstream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Flow {
-    /// Nonce of the opening; `None` for a flow that was adopted without record.
+    /// Nonce of the opening, `None` for a flow that was adopted without a record of its opening.
     pub(super) nonce: Option<u32>,
     pub(super) state: FlowState,
     pub(super) opened_at: Millis,
     pub(super) last_seen: Millis,
-    /// Whether the caller has sent anything after the opening.
+    /// Whether the caller has sent a packet after its opening.
     pub(super) answered: bool,
-    /// Sequence number of the caller's newest packet; `None` until one has come.
+    /// Sequence number of the caller's newest packet, `None` before the first one.
     sequence: Option<u32>,
-    /// Sequence number of another connection on its ports that the upstream may have: a later one whose
-    /// opening it was handed, or an older one that this one has replaced.
+    /// Sequence number of another connection on the same ports that the upstream may have: a later
+    /// one whose opening was delivered to it, or an older one that this flow has replaced.
     other_sequence: Option<u32>,
-    /// Whether the caller has reset an older connection on its ports, as it does when its opening
-    /// was not understood.
+    /// Whether the caller has reset an older connection on the same ports. It does so if the
+    /// upstream answered its opening for the older connection.
     pub(super) older_was_reset: bool,
-    /// Whether only peers say so, after a restart. The first packet leads to a lookup, since the
-    /// peer may not have heard of the end of the flow, and a later one may live elsewhere.
+    /// Whether the flow is known only from peers after a restart. Its first packet leads to a
+    /// lookup, since the peer may have missed the end of the flow, and another agent may hold a
+    /// later one on the same ports.
     pub(super) peer_reported: bool,
-    /// Whether an earlier life of this agent took it. Whom that one has told is not known.
+    /// Whether a previous incarnation of this agent accepted the flow. It is then unknown to which
+    /// peers the flow was announced.
     pub(super) relearned: bool,
 }
 
-/// Keeps the figure at [`limits::MAX_FLOWS`] true.
+/// Guards the memory figure stated at [`limits::MAX_FLOWS`].
 const _: () = assert!(size_of::<Flow>() <= 48);
 
-/// How long flows without a sign of life are kept.
+/// How long flows without packets are kept.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FlowLifetimes {
     pub(super) idle_ms: u64,
@@ -59,14 +61,15 @@
 pub(super) struct FlowTable {
     flows: FlowMap<Flow>,
     open: usize,
-    /// Open flows that are known from hearsay only.
+    /// Open flows that are known only from peers.
     peer_reported: usize,
-    /// Open flows that were adopted without record.
+    /// Open flows that were adopted without a record of their opening.
     adopted: usize,
     unanswered: usize,
-    /// Openings and adopted flows by age, with those that have been answered still among them.
+    /// Openings and adopted flows by age. Entries whose caller has answered meanwhile are removed
+    /// lazily.
     openings: VecDeque<(Millis, FlowId)>,
-    /// Closing flows by the time of their last check.
+    /// Closing flows, ordered by the time of their last check.
     closing: VecDeque<(Millis, FlowId)>,
     swept_at: Millis,
     last_progress: Millis,
@@ -85,12 +88,13 @@
         self.open
     }
 
-    /// Open flows that the upstream may never have had: peers say so, or a packet of theirs was tried here.
+    /// Number of open flows that the upstream may never have had: peers have reported them, or this
+    /// agent has adopted them.
     pub(super) fn uncertain(&self) -> usize {
         self.peer_reported + self.adopted
     }
 
-    /// Open flows of which the upstream is known to have had each.
+    /// Number of open flows that the upstream is known to have accepted.
     pub(super) fn certain(&self) -> usize {
         self.open - self.uncertain()
     }
@@ -103,17 +107,17 @@
         self.unanswered
     }
 
-    /// Whether one more flow can be taken without touching an open one.
+    /// Whether one more flow can be inserted without evicting an open one.
     pub(super) fn has_room(&self) -> bool {
         self.open < limits::MAX_FLOWS
     }
 
-    /// When a caller last went on after its opening.
+    /// Time of the last first packet that a caller sent after its opening.
     pub(super) fn last_progress(&self) -> Millis {
         self.last_progress
     }
 
-    /// Age of the oldest opening that its caller has not followed up.
+    /// Time of the oldest opening after which the caller has sent no further packet.
     pub(super) fn oldest_unanswered(&mut self) -> Option<Millis> {
         while let Some(&(opened_at, id)) = self.openings.front() {
             let waits = |flow: &Flow| flow.opened_at == opened_at && flow.is_unanswered();
@@ -125,11 +129,14 @@
         None
     }
 
-    /// The fast path: marks a packet of a flow that is certainly open; false for all others.
-    /// A reset is no progress: a caller sends it when its opening was not understood, too.
+    /// The fast path: records a packet of a flow that is confirmed open. Returns false for all
+    /// other packets.
+    ///
+    /// A reset is not progress, since a caller also sends one if the answer to its opening was for
+    /// an older connection.
     pub(super) fn touch(&mut self, now: Millis, packet: &Packet) -> bool {
         let Some(flow) = self.flows.get_mut(&packet.flow) else { return false };
-        // A reset of another connection may answer for one that the upstream still has.
+        // A reset with another sequence number may be for a connection that the upstream still has.
         let reset = packet.kind == PacketKind::Reset;
         if !flow.is_confirmed_open() || !(reset || flow.may_match_connection(packet.sequence)) {
             return false;
@@ -152,8 +159,8 @@
         true
     }
 
-    /// Marks a copy of the opening, which is no sign that the caller was answered, or a later opening
-    /// on the ports of the flow.
+    /// Records a copy of the opening, which does not show that the caller was answered, or a later
+    /// opening on the ports of the flow.
     pub(super) fn touch_opening(&mut self, now: Millis, opening: Opening) {
         let Some(flow) = self.flows.get_mut(&opening.flow) else { return };
         match flow.nonce == Some(opening.nonce) {
@@ -162,7 +169,7 @@
         }
     }
 
-    /// Takes a flow in and returns the closing flow that had to make room, if any.
+    /// Inserts a flow and returns the closing flow that was evicted for it, if any.
     pub(super) fn insert(
         &mut self,
         now: Millis,
@@ -194,8 +201,8 @@
         evicted
     }
 
-    /// Takes in a flow of an earlier life that a peer has named. Its age is unknown, and it never
-    /// passes for the younger one of two.
+    /// Inserts a flow of a previous incarnation that a peer has reported. Its age is unknown, so it
+    /// always counts as the older one of two.
     pub(super) fn insert_peer_reported(&mut self, now: Millis, opening: Opening) {
         self.insert(now, opening.flow, Some(opening.nonce), true);
         if let Some(flow) = self.flows.get_mut(&opening.flow) {
@@ -207,8 +214,7 @@
         }
     }
 
-    /// Marks a packet of a flow that nobody else holds: hearsay becomes certainty. False if the
-    /// flow is unknown.
+    /// Confirms a flow that no other agent holds. Returns false if the flow is unknown.
     pub(super) fn confirm(&mut self, now: Millis, id: FlowId) -> bool {
         let Some(flow) = self.flows.get_mut(&id) else { return false };
         self.peer_reported -= usize::from(flow.is_open_peer_reported());
@@ -217,10 +223,11 @@
         true
     }
 
-    /// The caller ends the flow; false if it is unknown or already closing this way, or if the packet
-    /// belongs to an older connection on its ports.
+    /// Closes a flow that the caller has ended. Returns false if it is unknown or already in this
+    /// state, or if the packet belongs to an older connection on its ports.
     ///
-    /// The sequence number tells them apart as TCP does, up to the window of what may be on its way.
+    /// As in TCP, the sequence number distinguishes the connections, up to the window of packets
+    /// that may be in flight.
     pub(super) fn close(&mut self, now: Millis, packet: &Packet, state: FlowState) -> bool {
         let id = packet.flow;
         let Some(flow) = self.flows.get_mut(&id) else { return false };
@@ -251,7 +258,7 @@
         Some(flow)
     }
 
-    /// Removes what has lingered or idled long enough, and names it.
+    /// Removes and returns the flows whose linger or idle time has elapsed.
     pub(super) fn expire(&mut self, now: Millis, lifetimes: FlowLifetimes) -> Vec<(FlowId, Flow)> {
         let mut ended = Vec::new();
         self.expire_closing(now, &mut ended);
@@ -296,7 +303,8 @@
         }
     }
 
-    /// Overload: the flow that has been closing for longest goes, never an open one.
+    /// Evicts the flow that has been closing for longest if the table is full, but never an open
+    /// one.
     fn make_room(&mut self) -> Option<(FlowId, Flow)> {
         while self.flows.len() >= limits::MAX_FLOWS {
             let (_, id) = self.closing.pop_front()?;
@@ -310,12 +318,13 @@
 }
 
 impl Flow {
-    /// The opening that the flow came from; nonce zero if unknown.
+    /// Opening of the flow, with nonce zero if it is unknown.
     pub(super) fn opening(&self, flow: FlowId) -> Opening {
         Opening { flow, nonce: self.nonce.unwrap_or(0) }
     }
 
-    /// Whether the upstream certainly has the flow open, as far as the caller's packets tell.
+    /// Whether the flow is open by the packets that this agent has seen, and not only by reports of
+    /// peers.
     pub(super) fn is_confirmed_open(&self) -> bool {
         self.state == FlowState::Open && !self.peer_reported
     }
@@ -328,27 +337,28 @@
         self.state == FlowState::Open && self.nonce.is_none()
     }
 
-    /// Whether the flow is announced.
+    /// Whether the flow is announced to peers.
     pub(super) fn is_announced(&self) -> bool {
         self.state == FlowState::Open && self.nonce.is_some()
     }
 
-    /// Whether a packet with this sequence number is one of this connection's, and not of an older one
-    /// on the same ports.
+    /// Whether a packet with this sequence number belongs to this connection, and not to an older
+    /// one on the same ports.
     fn matches_connection(&self, sequence: u32) -> bool {
         self.sequence.is_none_or(|known| within_sequence_window(known, sequence))
     }
 
-    /// Whether a packet can belong to a connection on these ports that the upstream may have.
+    /// Whether a packet may belong to any connection on these ports that the upstream may have.
     pub(super) fn may_match_connection(&self, sequence: u32) -> bool {
         let other =
             self.other_sequence.is_some_and(|known| within_sequence_window(known, sequence));
         sequence == 0 || self.matches_connection(sequence) || other
     }
 
-    /// Whether a packet belongs to a later connection on the same ports, to the same upstream.
+    /// Whether a packet belongs to a later connection on the same ports and to the same upstream.
     ///
-    /// Packets of an older connection may come late: nothing may have come for as long as such copies exist.
+    /// Packets of an older connection may arrive late. A packet therefore counts as later only if
+    /// none has arrived for as long as such copies can exist.
     fn is_later_connection(&self, now: Millis, sequence: u32) -> bool {
         let later =
             self.other_sequence.is_some_and(|known| within_sequence_window(known, sequence));
@@ -368,12 +378,13 @@
     }
 }
 
-/// Whether packets with these sequence numbers can belong to one connection. Datagrams have none.
+/// Whether packets with these sequence numbers may belong to one connection. Datagrams have the
+/// sequence number zero, which matches any other.
 pub(super) fn may_share_connection(one: u32, other: u32) -> bool {
     one == 0 || other == 0 || within_sequence_window(one, other)
 }
 
-/// Whether two sequence numbers can be of packets that are on their way at the same time.
+/// Whether two sequence numbers can belong to packets that are in flight at the same time.
 fn within_sequence_window(one: u32, other: u32) -> bool {
     let ahead = one.wrapping_sub(other);
     ahead.min(ahead.wrapping_neg()) <= limits::SEQUENCE_WINDOW_BYTES
--- a/crates/decision/src/agent/mod.rs
+++ b/crates/decision/src/agent/mod.rs
@@ -1,7 +1,7 @@
-//! The agent's decisions: which openings its upstream takes, and where every other packet goes.
+//! The agent's decisions: which openings its upstream accepts, and where every other packet goes.
 //!
-//! The truth about a flow lives here, beside the upstream that holds it. Everything else that an
-//! agent knows (who holds what) is soft state, learned from peers and rebuilt after a restart.
+//! The agent beside an upstream is authoritative for the flows of that upstream. What it knows
+//! about flows of other upstreams is soft state, learned from peers and rebuilt after a restart.
 
 pub mod assign;
 pub mod limits;
@@ -75,10 +75,10 @@
     health: health::Health,
     past: relearn::Past,
     recall: recall::Recall,
-    /// By bucket: agents to which the flows are announced.
+    /// Agents to which the flows are announced, by bucket.
     announce_targets: Vec<announce::Targets>,
     next_heartbeat_at: Millis,
-    /// Counts heartbeats, from a number that differs between agents.
+    /// Counter of heartbeats. Its initial value differs between agents.
     heartbeats: u64,
     next_refresh_at: Millis,
     refresh_bucket: u16,
@@ -91,7 +91,7 @@
 }
 
 impl Agent {
-    /// An agent at its start, with the newest settings that the shell could hear of.
+    /// Creates an agent from the newest settings that the shell could fetch.
     ///
     /// ```
     /// use decision::agent::{Agent, AgentConfig};
@@ -157,18 +157,19 @@
         agent
     }
 
-    /// Replaces the policy by which openings are spread; [`assign::two_choices_prefer_local`] otherwise.
+    /// Replaces the policy by which openings are assigned to upstreams. The default is
+    /// [`assign::two_choices_prefer_local`].
     pub fn set_policy(&mut self, policy: assign::Policy) {
         self.policy = policy;
     }
 
-    /// Takes out one safeguard, or none.
+    /// Disables one safeguard, or none.
     #[cfg(feature = "mutants")]
     pub fn set_mutant(&mut self, mutant: Option<Mutant>) {
         self.mutant = mutant;
     }
 
-    /// Takes in an event and appends what must be done about it.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.detect_pause(now);
         match event {
@@ -181,7 +182,7 @@
         }
     }
 
-    /// The systems that run over the tables, each bounded.
+    /// Runs the periodic work over all tables. The work of each step is bounded.
     fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.last_tick = now;
         self.tend_claims(now, out);
@@ -298,7 +299,8 @@
         }
     }
 
-    /// Makes an entry for a peer that newer settings may list; false if there are too many.
+    /// Creates an entry for a peer that newer settings may list. Returns false if there are too
+    /// many peers.
     fn ensure_peer(&mut self, now: Millis, id: UpstreamId) -> bool {
         if self.peers.get(id).is_some() {
             return true;
@@ -310,7 +312,8 @@
         true
     }
 
-    /// Somebody runs or has seen these settings.
+    /// Records a settings version that another agent or a balancer has named, and requests it if it
+    /// is newer than the one in force.
     fn observe_version(&mut self, now: Millis, version: Version, out: &mut Vec<Action>) {
         let is_newer = version > self.seen_version;
         self.seen_version = self.seen_version.max(version);
@@ -321,7 +324,7 @@
         out.push(Action::FetchSettings { at_least: self.seen_version });
     }
 
-    /// Forgets memberships under which nobody can claim any more.
+    /// Removes memberships under which no agent can claim any more.
     fn prune_memberships(&mut self, now: Millis) {
         let me = self.config.upstream;
         let peers = &self.peers;
--- a/crates/decision/src/agent/packet.rs
+++ b/crates/decision/src/agent/packet.rs
@@ -1,4 +1,4 @@
-//! Packets: the fast path of known flows, and the ways of all others.
+//! Packet handling: the fast path for known flows, and the decisions for all other packets.
 
 use super::flows::{Flow, FlowState};
 use super::mutant::mutated;
@@ -12,7 +12,7 @@
 use crate::view::WhenInDoubt;
 
 impl Agent {
-    /// Decides about one packet. The fast path (a known flow) touches nothing but the flow table.
+    /// Decides about one packet. The fast path, for a known flow, accesses only the flow table.
     pub fn handle_packet(
         &mut self,
         now: Millis,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Marks a packet of a flow that is certainly open; false for any other.
+    /// Records a packet of a flow that is confirmed open. Returns false for any other packet.
     fn deliver_known(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) -> bool {
         if !self.flows.touch(now, packet) {
             return false;
@@ -41,7 +41,8 @@
         true
     }
 
-    /// Marks a packet of a flow that nobody else can hold; false if it is not in the table.
+    /// Confirms the flow of a packet, which no other agent can hold. Returns false if the flow is
+    /// not in the table.
     pub(super) fn deliver_confirmed(
         &mut self,
         now: Millis,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Passes a packet on, unless it has been passed on too often.
+    /// Forwards a packet unless it has been forwarded too often.
     pub(super) fn forward(&self, hops: u8, to: UpstreamId, forwarding: Forwarding) -> Verdict {
         if hops >= limits::MAX_HOPS {
             return Verdict::Drop(Reason::TooManyHops);
@@ -73,7 +74,7 @@
         Verdict::Forward { to, forwarding }
     }
 
-    /// Takes a flow into the table and tells its home and second rank.
+    /// Inserts a flow into the table and announces it to its home and second rank.
     pub(super) fn hold_flow(
         &mut self,
         now: Millis,
@@ -124,14 +125,17 @@
         if let Some(entry) = self.flows.get(flow).copied() {
             self.announce_end(flow, &entry);
         }
-        // The process may end at any moment: what waits for the next batch would never be told.
+        // The process may exit at any moment, and a note that waits for the next batch would be
+        // lost.
         if self.leaving {
             self.send_announcements(now, out);
         }
     }
 
-    /// A packet in the middle of a flow that this agent does not hold. It never reaches the own
-    /// upstream unasked: the upstream would reset a flow that lives elsewhere.
+    /// Handles a packet, not an opening, of a flow that this agent is not known to hold.
+    ///
+    /// It is not delivered to the local upstream before the other agents have been asked. Otherwise
+    /// the upstream would reset a flow that another upstream holds.
     fn handle_unknown(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) -> Verdict {
         if mutated!(self, AdoptAlways) {
             return Verdict::Deliver;
@@ -145,20 +149,21 @@
         }
         let redirect = self.redirects.get(now, packet.flow).map(|redirect| redirect.holder);
         let holder = redirect.filter(|holder| self.may_hold_flows(now, *holder));
-        // A packet that was already redirected twice follows stale redirects; asking ends that.
+        // A packet that was already forwarded twice has followed stale redirects. A lookup ends
+        // that.
         if let Some(holder) = holder.filter(|_| packet.hops < 2) {
             return self.forward(packet.hops, holder, Forwarding::Redirected);
         }
         self.look_up(now, packet, out)
     }
 
-    /// A packet of a flow that is closing here, or known from hearsay.
+    /// Handles a packet of a flow that is closing here or known only from peers.
     ///
-    /// Failure: the caller uses the ports of the closing flow again, and packets of the new flow
-    /// reach the agent of the old one. Symptom: the old upstream resets the new flow. A closing
-    /// flow is therefore believed only for as long as the caller's ports rest, and only where
-    /// the home has sent the packet or is this agent; otherwise all others are asked first. After a reset
-    /// they don't rest: the caller may use them at once.
+    /// If the caller reuses the ports of the closing flow, packets of the new flow may reach the
+    /// agent of the old one, whose upstream would reset the new flow. A closing flow is therefore
+    /// trusted only while the caller does not reuse its ports, and only if the home has forwarded
+    /// the packet or is this agent. Otherwise all other agents are asked first. After a reset the
+    /// caller may reuse its ports at once.
     fn deliver_closing_or_look_up(
         &mut self,
         now: Millis,
@@ -177,7 +182,7 @@
         Verdict::Deliver
     }
 
-    /// Whether a peer may be alive and hold flows; a redirect to another one leads nowhere.
+    /// Whether a peer may be alive and hold flows. Redirects to other peers are not followed.
     fn may_hold_flows(&self, now: Millis, id: UpstreamId) -> bool {
         self.peers.get(id).is_some_and(|peer| peer.may_hold_flows(now))
     }
@@ -192,13 +197,14 @@
         Verdict::Deliver
     }
 
-    /// Takes over a flow that only this agent's earlier life can have held. If it did not, the
-    /// upstream itself answers with a reset, and nobody else is harmed.
+    /// Adopts a flow that only a previous incarnation of this agent can have held. If it did not,
+    /// the upstream answers with a reset, and no other upstream is affected.
     pub(super) fn adopt(&mut self, now: Millis, flow: FlowId, out: &mut Vec<Action>) {
         if self.flows.confirm(now, flow) {
             return;
         }
-        // Unless more packets follow, it was a stray one, and is soon forgotten.
+        // A stray packet creates such an entry as well. It is inserted as unanswered, so that it
+        // expires early unless a packet is recorded for it.
         self.hold_flow(now, flow, None, false);
         out.push(Action::Record(TimelineEntry::Adopted(flow)));
     }
--- a/crates/decision/src/agent/types.rs
+++ b/crates/decision/src/agent/types.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of an agent's decisions.
+//! Input and output types of the agent.
 
 use std::sync::Arc;
 
@@ -7,15 +7,16 @@
 use crate::spread::Member;
 use crate::view::View;
 
-/// What a packet means for its flow.
+/// Role of a packet in its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacketKind {
-    /// First packet of a flow: a SYN without ACK, or the datagram of a `Refuse` service.
+    /// First packet of a flow: a SYN without ACK, or a datagram of a service that refuses when in
+    /// doubt.
     Opening {
         /// Initial sequence number, or hash of the datagram's payload.
         nonce: u32,
     },
-    /// Anything in the middle of a flow.
+    /// Any other packet of a flow.
     Middle,
     /// The caller's FIN: the flow ends after a linger.
     Finish,
@@ -23,60 +24,61 @@
     Reset,
 }
 
-/// A packet, already authenticated and parsed by the shell.
+/// A packet that the shell has authenticated and parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Packet {
-    /// Service that the sender believes the packet to be for.
+    /// Service to which the sender addressed the packet.
     pub service: ServiceId,
-    /// Flow.
+    /// Flow of the packet.
     pub flow: FlowId,
-    /// Meaning for the flow.
+    /// Role in the flow.
     pub kind: PacketKind,
     /// Sequence number of the TCP segment; zero for a datagram.
     pub sequence: u32,
-    /// Settings version of the account at the sender.
+    /// Settings version of the client account at the sender.
     pub view: Version,
-    /// Agents that handled the packet before this one.
+    /// Number of agents that handled the packet before this one.
     pub hops: u8,
-    /// How the previous agent passed it on.
+    /// Why the sender sent it to this agent.
     pub forwarding: Forwarding,
 }
 
-/// Why a packet was passed from agent to agent.
+/// Why a packet was sent to an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Forwarding {
-    /// Straight from a balancer.
+    /// It comes directly from a balancer.
     Direct,
-    /// The sender knows that the receiver holds the flow, or is its home in newer settings.
+    /// The sending agent knows that the receiver holds the flow or is its home by newer settings.
     Redirected,
-    /// The sender, home of the flow, has assigned the opening to the receiver. The claim, where one
-    /// is needed, is already recorded.
+    /// The sending agent, home of the flow, has assigned the opening to the receiver. If a claim is
+    /// needed, it has already been recorded.
     Assigned,
-    /// Every other agent has denied the flow; only the receiver may hold it without knowing.
+    /// All other agents have denied the flow. Only the receiver may hold it without knowing.
     Adopt,
 }
 
-/// What happens to one packet.
+/// Decision about one packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Hand it to the upstream.
+    /// Deliver it to the upstream.
     Deliver,
-    /// Pass it on to another agent of the service, with one more hop.
+    /// Forward it to another agent of the service, with one more hop.
     Forward {
         /// Receiver.
         to: UpstreamId,
-        /// How it is passed.
+        /// Why it is forwarded.
         forwarding: Forwarding,
     },
-    /// Answer the caller that the opening was not run, or that the flow does not exist.
+    /// Reply to the caller that the opening was not run or that the flow does not exist.
     Refuse(Reason),
-    /// Discard without an answer; the caller retransmits.
+    /// Drop it without a reply. The caller retransmits.
     Drop(Reason),
-    /// Keep the packet under this key until a [`Action::Resolve`] names it.
+    /// Keep the packet under this key until an [`Action::Resolve`] names it.
     Hold(HoldKey),
 }
 
-/// Key of a held packet, chosen by the core; at most [`limits`](AgentConfig) are held at a time.
+/// Key of a held packet, chosen by the agent. The number of packets held at a time is bounded, see
+/// [`limits`](super::limits).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HoldKey(pub u32);
 
@@ -86,17 +88,17 @@
 pub enum Reason {
     /// The service is not the one that this agent serves.
     WrongService = 2001,
-    /// Every upstream of the service is full or not accepting.
+    /// Every upstream of the service is full or accepts no openings.
     AllFull = 2002,
-    /// Too few witnesses answered and the service refuses when in doubt.
+    /// Too few witnesses answered, and the service refuses when in doubt.
     InDoubt = 2003,
     /// The opening was refused before.
     Tombstone = 2004,
     /// No agent of the service knows the flow.
     UnknownFlow = 2005,
-    /// Some agent that may hold the flow has not answered yet.
+    /// An agent that may hold the flow has not answered yet.
     HolderSilent = 2006,
-    /// The packet was passed on too often.
+    /// The packet was forwarded too often.
     TooManyHops = 2007,
     /// A bounded table or queue is full.
     Overload = 2008,
@@ -106,10 +108,10 @@
     StaleView = 2010,
 }
 
-/// Something that happened to the agent.
+/// Input of the agent.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A control message of a peer.
+    /// A control message from a peer.
     Message {
         /// Sender, authenticated by the shell.
         from: UpstreamId,
@@ -118,37 +120,37 @@
     },
     /// Newer settings are in force.
     View(Arc<View>),
-    /// Evidence about the upstream, from its own endpoints; may lag or lie.
+    /// Status of the upstream as read from its own endpoints. It may be late or wrong.
     Upstream(UpstreamReport),
-    /// The platform's list or the gossip says that a peer is gone or back; a hint.
+    /// The platform's list or gossip indicates that a peer is gone or back. This is only a hint.
     PeerHint {
         /// The peer.
         upstream: UpstreamId,
-        /// Whether it is said to be alive.
+        /// Whether it is reported to be alive.
         alive: bool,
     },
     /// This agent is shutting down gracefully.
     Leave,
-    /// Time has passed; due at least every [`MAX_TICK_INTERVAL_MS`].
+    /// Time has passed. Due at least every [`MAX_TICK_INTERVAL_MS`].
     Tick,
 }
 
-/// What the upstream says about itself.
+/// Status that the upstream reports about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamReport {
-    /// The health endpoint answers well.
+    /// Whether the health endpoint reports success.
     pub healthy: bool,
-    /// The upstream asks to be drained.
+    /// Whether the upstream asks to be drained.
     pub draining: bool,
-    /// The upstream sheds load.
+    /// Whether the upstream is shedding load.
     pub shedding: bool,
-    /// Flows that it says it has open.
+    /// Number of flows that it reports as open.
     pub open_flows: u32,
-    /// Milliseconds since the upstream process started, if it says so.
+    /// Milliseconds since the upstream process started, if reported.
     pub age_ms: Option<u64>,
 }
 
-/// Something that the shell must do.
+/// Output of the agent, to be carried out by the shell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a control message to a peer of this service.
@@ -158,30 +160,31 @@
         /// The message.
         message: Message,
     },
-    /// A held packet has its verdict, never [`Verdict::Hold`].
+    /// Apply this verdict to a held packet. It is never [`Verdict::Hold`].
     Resolve {
         /// The held packet.
         hold: HoldKey,
         /// What happens to it.
         verdict: Verdict,
     },
-    /// Somebody runs newer settings: fetch at least this version of the account.
+    /// Fetch at least this version of the client account's settings, because another process runs
+    /// it.
     FetchSettings {
         /// Version that was seen.
         at_least: Version,
     },
-    /// Tell balancers whether an agent is up.
+    /// Report to the balancers whether an agent is up.
     Report(Member),
-    /// Put an entry into the time line.
+    /// Add an entry to the timeline.
     Record(TimelineEntry),
 }
 
-/// Time-line entries of the agent.
+/// Timeline entries of the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimelineEntry {
-    /// The upstream has taken a flow.
+    /// The upstream has accepted a flow.
     Admitted(Opening),
-    /// An opening was given to another agent.
+    /// An opening was assigned to another agent.
     Assigned {
         /// The opening.
         opening: Opening,
@@ -192,40 +195,41 @@
     Refused {
         /// The opening.
         opening: Opening,
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
     },
     /// The flow has ended.
     Ended(FlowId),
-    /// A flow of an earlier life was found again.
+    /// A peer reported a flow that a previous incarnation held.
     Relearned(FlowId),
-    /// A flow that nobody else knew was taken over without record.
+    /// A flow that no other agent knows was adopted without a record of its opening.
     Adopted(FlowId),
-    /// A peer went silent or came back.
+    /// A peer stopped responding or came back.
     PeerSuspected {
         /// The peer.
         upstream: UpstreamId,
-        /// True when it went silent.
+        /// True if it stopped responding.
         suspected: bool,
     },
     /// Newer settings are in force.
     ViewInstalled(Version),
 }
 
-/// Longest time between two [`Event::Tick`].
+/// Longest time between two [`Event::Tick`] events.
 pub const MAX_TICK_INTERVAL_MS: u64 = 50;
 
-/// What an agent is told at its start.
+/// Configuration of an agent, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct AgentConfig {
     /// Upstream beside which it runs.
     pub upstream: UpstreamId,
     /// Service of that upstream.
     pub service: ServiceId,
-    /// This life of the process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Whether flows may exist from an earlier life; false only if the upstream is new as well.
+    /// Whether flows may exist from a previous incarnation. False only if the upstream is new as
+    /// well.
     pub may_have_prior_flows: bool,
-    /// Seed for choices by chance.
+    /// Seed of the random choices.
     pub seed: u64,
 }
