--- a/crates/decision/src/agent/announce.rs
+++ b/crates/decision/src/agent/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements: every holder tells the first two ranks of a flow's bucket that it holds it.
+//! Announcements: the holder of a flow announces it to the first two ranks of the flow's bucket.
 
 use super::flows::Flow;
 use super::home::buckets;
@@ -14,7 +14,7 @@
 pub(super) type Targets = [Option<UpstreamId>; 2];
 
 impl Agent {
-    /// Queues a change of the flow table for the agents that must know it.
+    /// Queues the start or end of a flow for the agents to which its bucket is announced.
     pub(super) fn announce(&mut self, opening: Opening, open: bool) {
         for target in self.targets_of(opening.flow).into_iter().flatten() {
             if let Some(peer) = self.peers.get_mut(target) {
@@ -23,10 +23,12 @@
         }
     }
 
-    /// Queues the end of a flow for all who may have been told of it.
+    /// Queues the end of a flow for all agents that may have a redirect to it.
     ///
-    /// A peer that an earlier life had told may name the flow at the next restart. What a leaving agent has
-    /// handed over, its peers tell one another.
+    /// A relearned flow may have been announced by a previous incarnation to a peer that this one
+    /// does not know of, and the peer would report the flow at the next restart. Flows of a leaving
+    /// agent may have been passed on between its peers. In both cases the end is announced to all
+    /// peers.
     pub(super) fn announce_end(&mut self, flow: FlowId, entry: &Flow) {
         let opening = entry.opening(flow);
         if !entry.relearned && !self.leaving {
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Sends what is due, or everything that waits if this agent leaves.
+    /// Sends the batches that are due. Rebuilds outboxes that have overflowed.
     pub(super) fn send_announcements(&mut self, now: Millis, out: &mut Vec<Action>) {
         let overflowed: Vec<UpstreamId> = self
             .peers
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Tells a peer about all flows that it must know.
+    /// Queues all flows whose bucket is announced to the peer.
     pub(super) fn announce_all(&mut self, to: UpstreamId) {
         if mutated!(self, RedirectsNotReannounced) {
             return;
@@ -73,10 +75,10 @@
         }
     }
 
-    /// Works out anew who must know the flows, and tells those who have not been told.
+    /// Recomputes the agents to which flows are announced, and announces the flows to new ones.
     ///
-    /// Only agents that are up count: if a home and the next rank leave or die together, there
-    /// are still two that know its flows, and one of them is home now.
+    /// Agents that are up are preferred. If a home and the next rank leave or die together, two
+    /// other agents still receive the flows, and one of them is the home now.
     pub(super) fn update_announce_targets(&mut self) {
         let targets: Vec<Targets> = buckets().map(|bucket| self.find_targets(bucket)).collect();
         let before = std::mem::replace(&mut self.announce_targets, targets.clone());
@@ -92,14 +94,15 @@
             if !added.is_empty() {
                 self.announce_bucket(bucket, &added, true);
             }
-            // Whoever is not told any more must not remember for long: it would not hear of the end.
+            // A former target does not receive the end of the flows, so its redirects must expire
+            // soon.
             if !dropped.is_empty() {
                 self.announce_bucket(bucket, &dropped, false);
             }
         }
     }
 
-    /// Tells every open flow again from time to time, spread over the ticks by bucket.
+    /// Announces every open flow again periodically, one bucket at a time.
     pub(super) fn refresh_announcements(&mut self, now: Millis) {
         let period_ms = limits::ANNOUNCE_REFRESH_INTERVAL_MS / u64::from(rank::BUCKET_COUNT);
         if now < self.next_refresh_at || mutated!(self, RedirectsNotReannounced) {
@@ -156,9 +159,10 @@
         self.send_announcement(now, from, out);
     }
 
-    /// Notes which life of a peer is speaking; false for a life that is over.
+    /// Records the incarnation of a peer that has sent a message. Returns false for an older one
+    /// than is known.
     ///
-    /// A new life has lost its redirects, so it is told all flows again.
+    /// A new incarnation has lost its redirects, so all flows are announced to it again.
     pub(super) fn observe_incarnation(
         &mut self,
         now: Millis,
@@ -189,8 +193,9 @@
     fn send_announcement(&mut self, now: Millis, to: UpstreamId, out: &mut Vec<Action>) {
         let leaving = self.leaving;
         let Some(peer) = self.peers.get_mut(to) else { return };
-        // A retired agent that has long been silent is gone: it would be sent the same batch for as
-        // long as its entry is listed. If it speaks again, what waits for it is sent.
+        // A retired agent that has not responded for long is gone. Without this check it would be
+        // sent the same batch for as long as it is listed. If it responds again, the queued batch
+        // is sent.
         if !peer.may_hold_flows(now) {
             return;
         }
@@ -222,7 +227,8 @@
             self.redirects.close(now, from.0, note.opening);
             return;
         }
-        // Its holder's own word outweighs hearsay, and a flow that is closing here.
+        // An announcement by the holder takes precedence over a flow that is known here only from
+        // peers, and over one that is closing here.
         match self.flows.get(note.opening.flow) {
             Some(flow) if flow.is_confirmed_open() => return,
             Some(flow) if !flow.peer_reported && flow.nonce == Some(note.opening.nonce) => return,
@@ -262,7 +268,7 @@
         open.map(|(id, flow)| (id, flow.opening(id)))
     }
 
-    /// The first two ranks without this agent, as far as possible of those that are up.
+    /// The first two ranks other than this agent. Agents that are up come first.
     fn find_targets(&self, bucket: BucketIndex) -> Targets {
         let others = || self.ranking(bucket).filter(|id| *id != self.config.upstream);
         let up = others().filter(|id| self.is_up(*id));
--- a/crates/decision/src/agent/finding.rs
+++ b/crates/decision/src/agent/finding.rs
@@ -1,4 +1,5 @@
-//! What the answers to a question about a flow come to: where its packet goes, or that nobody can tell.
+//! Evaluation of the answers to a lookup: which agent holds the flow, if the answers suffice to
+//! tell.
 
 use super::Agent;
 use super::flows::{Flow, FlowState};
@@ -9,17 +10,19 @@
 use crate::message::Knowledge;
 use crate::time::Millis;
 
-/// What a lookup has found.
+/// Result of a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Finding {
     Holder(UpstreamId),
-    /// Only this agent or the given one may hold it, from an earlier life.
+    /// Only this agent may hold the flow, either confirmed or from a previous incarnation.
     OnlyThisAgent,
+    /// Only this peer may hold the flow, from a previous incarnation.
     OnlyPeer(UpstreamId),
     NoHolder,
-    /// Nobody holds it; the own upstream has another connection on its ports, and judges.
+    /// No agent holds the flow, but the local upstream has another connection on its ports. Its TCP
+    /// stack decides about the packet.
     OlderConnection,
-    /// Somebody may hold it who has not answered, or two may.
+    /// An agent that has not answered may hold the flow, or several agents may.
     Undecided,
 }
 
@@ -45,18 +48,19 @@
         if unanswered && !timed_out {
             return None;
         }
-        let peer_reported = own.is_some();
-        if let Some(holder) = self.most_reported_holder(lookup, peer_reported) {
-            // The caller may use the ports of a closing flow again, and a silent agent hold the new one:
-            // the old upstream would reset it.
+        let unconfirmed = own.is_some();
+        if let Some(holder) = self.most_reported_holder(lookup, unconfirmed) {
+            // The caller may have reused the ports of the closing flow, and an agent that has not
+            // answered may hold the new flow, which the old upstream would reset.
             let undecided = unanswered && lookup.reports_closing(holder);
             return Some(if undecided { Finding::Undecided } else { Finding::Holder(holder) });
         }
-        // The caller may have opened the next flow on these ports at an agent that does not answer.
+        // The caller may have opened the next flow on these ports at an agent that has not
+        // answered.
         if unanswered && self.was_reset(flow) {
             return Some(Finding::Undecided);
         }
-        if peer_reported {
+        if unconfirmed {
             return Some(Finding::OnlyThisAgent);
         }
         let newer = self.seen_version > self.settings.version;
@@ -72,9 +76,10 @@
         })
     }
 
-    /// Whether another agent has taken a flow on these ports since the lookup began.
+    /// Whether another agent has accepted a flow on these ports since the lookup started.
     ///
-    /// The answers then still name an earlier holder; the caller sends again.
+    /// The answers may then name the previous holder. The packet is dropped, and the caller
+    /// retransmits.
     fn is_superseded(&self, now: Millis, flow: FlowId, lookup: &Lookup) -> bool {
         let redirect = self.redirects.get(now, flow);
         redirect.is_some_and(|redirect| {
@@ -86,26 +91,29 @@
         self.flows.get(flow).is_some_and(|known| known.state == FlowState::Reset)
     }
 
-    /// The peer that most answers name as holder. If it has denied the flow it may still decide
-    /// about it, but not against hearsay at this agent, and not where others name this one.
-    fn most_reported_holder(&self, lookup: &Lookup, peer_reported: bool) -> Option<UpstreamId> {
-        let me = self.config.upstream;
+    /// The peer that most answers name as holder.
+    ///
+    /// A peer that has denied the flow still qualifies, unless peers have reported the flow to this
+    /// agent or some answers name this agent.
+    fn most_reported_holder(&self, lookup: &Lookup, unconfirmed: bool) -> Option<UpstreamId> {
+        let self_id = self.config.upstream;
         let count = |id: UpstreamId| lookup.reported_holders().filter(|named| *named == id).count();
         lookup
             .reported_holders()
-            .filter(|id| *id != me && self.peers.get(*id).is_some())
-            .filter(|id| !lookup.denied_by(*id) || (!peer_reported && count(me) == 0))
-            .filter(|id| !peer_reported || count(*id) > count(me))
+            .filter(|id| *id != self_id && self.peers.get(*id).is_some())
+            .filter(|id| !lookup.denied_by(*id) || (!unconfirmed && count(self_id) == 0))
+            .filter(|id| !unconfirmed || count(*id) > count(self_id))
             .max_by_key(|id| (count(*id), *id))
     }
 
-    /// Everybody has answered and nobody holds the flow for certain.
+    /// Evaluates the answers if all peers have answered and none has confirmed the flow.
     fn evaluate_denials(&self, now: Millis, lookup: &Lookup) -> Finding {
-        let me = self.config.upstream;
-        // A redirect that names this agent is proof enough for one that has had an earlier life.
+        let self_id = self.config.upstream;
+        // If a redirect names this agent and it has had a previous incarnation, it counts as a
+        // possible holder.
         let named_by_peer =
-            self.config.may_have_prior_flows && lookup.reported_holders().any(|id| id == me);
-        let own = (me, self.unknown_flows().filter(|_| !named_by_peer));
+            self.config.may_have_prior_flows && lookup.reported_holders().any(|id| id == self_id);
+        let own = (self_id, self.unknown_flows().filter(|_| !named_by_peer));
         let possible: Vec<(UpstreamId, Option<Unknown>)> = lookup
             .possible_holders()
             .chain((named_by_peer || self.is_unsure(now)).then_some(own))
@@ -116,14 +124,15 @@
             several => sole_likely_holder(several),
         };
         match only {
-            Some(only) if only == me => Finding::OnlyThisAgent,
+            Some(only) if only == self_id => Finding::OnlyThisAgent,
             Some(only) => Finding::OnlyPeer(only),
             None => Finding::Undecided,
         }
     }
 }
 
-/// Of several that may hold a flow, the one whose upstream alone has a flow that its agent does not know.
+/// Of several possible holders, returns the only one whose upstream reports flows unknown to its
+/// agent, if the upstreams of all others report none.
 fn sole_likely_holder(possible: &[(UpstreamId, Option<Unknown>)]) -> Option<UpstreamId> {
     let others = possible.iter().filter(|(_, unknown)| *unknown != Some(Unknown::Nothing));
     let others: Vec<_> = others.collect();
@@ -134,13 +143,14 @@
 }
 
 impl Lookup {
-    /// The agent that says it holds the flow.
+    /// The agent that has answered that it holds the flow.
     fn holder(&self) -> Option<UpstreamId> {
         let mut answers = self.answers.iter();
         answers.find(|(_, answer)| *answer == Some(Knowledge::Mine)).map(|(id, _)| *id)
     }
 
-    /// Agents that may hold the flow without knowing, and what their upstreams say of such flows.
+    /// Agents that may hold the flow without knowing it, and whether their upstreams report unknown
+    /// flows.
     fn possible_holders(&self) -> impl Iterator<Item = (UpstreamId, Option<Unknown>)> + '_ {
         self.answers.iter().filter_map(|(id, answer)| match answer {
             Some(Knowledge::Unsure) => Some((*id, None)),
@@ -158,7 +168,8 @@
         self.answers.contains(&(id, Some(Knowledge::Closing)))
     }
 
-    /// Agents that may hold the flow by their own word or that of others.
+    /// Agents that may hold the flow by the answers of others, or because it is closing there by
+    /// their own answer.
     fn reported_holders(&self) -> impl Iterator<Item = UpstreamId> + '_ {
         self.answers.iter().filter_map(|(id, answer)| match answer {
             Some(Knowledge::HeldBy(holder)) => Some(*holder),
--- a/crates/decision/src/agent/flows.rs
+++ b/crates/decision/src/agent/flows.rs
@@ -120,8 +120,8 @@
     /// Time of the oldest opening after which the caller has sent no further packet.
     pub(super) fn oldest_unanswered(&mut self) -> Option<Millis> {
         while let Some(&(opened_at, id)) = self.openings.front() {
-            let waits = |flow: &Flow| flow.opened_at == opened_at && flow.is_unanswered();
-            if self.flows.get(&id).is_some_and(waits) {
+            let is_waiting = |flow: &Flow| flow.opened_at == opened_at && flow.is_unanswered();
+            if self.flows.get(&id).is_some_and(is_waiting) {
                 return Some(opened_at);
             }
             self.openings.pop_front();
--- a/crates/decision/src/agent/home.rs
+++ b/crates/decision/src/agent/home.rs
@@ -1,4 +1,4 @@
-//! Which agent is home of a bucket, and which agents may have been until a moment ago.
+//! Which agent is the home of a bucket, and which agents may have been until recently.
 
 use super::Agent;
 use super::limits;
@@ -7,12 +7,12 @@
 use crate::rank;
 use crate::time::Millis;
 
-/// Agents that may have admitted openings in this agent's place, and until when they are asked.
+/// Agents that may have admitted openings in place of this agent, and until when they are asked.
 ///
-/// Failure: a bucket moves, and a copy of an opening that the former home has admitted reaches the
-/// new one. Symptom: two upstreams answer the SYN, and the flow breaks when its packets reach the
-/// wrong one. Asking the former home is enough, because it records a claim before it admits, and
-/// it names that record to whoever asks.
+/// When a bucket moves, a copy of an opening that the former home has admitted may reach the new
+/// home. Without a question to the former home, two upstreams would answer the SYN, and the flow
+/// would break once its packets reach the wrong one. It suffices to ask the former home because it
+/// records a claim before it admits an opening, and reports this claim when asked.
 #[derive(Debug, Default)]
 pub(super) struct FormerHomes {
     everywhere: SortedMap<UpstreamId, Millis>,
@@ -20,12 +20,12 @@
 }
 
 impl FormerHomes {
-    /// `upstream` may have stood in for this agent in every bucket.
+    /// Records that `upstream` may have replaced this agent as home of any bucket.
     pub(super) fn add_everywhere(&mut self, now: Millis, upstream: UpstreamId) {
         self.everywhere.insert(upstream, now.after(limits::FORMER_HOME_TTL_MS));
     }
 
-    /// `upstream` was home of `bucket` until now.
+    /// Records that `upstream` was home of `bucket` until now.
     pub(super) fn add_for_bucket(
         &mut self,
         now: Millis,
@@ -57,7 +57,8 @@
 }
 
 impl Agent {
-    /// The home of a bucket as this agent sees it: the first rank that is up.
+    /// Home of a bucket by the state of this agent: the first rank that is up, or the first rank if
+    /// none is.
     pub(super) fn home(&self, bucket: BucketIndex) -> Option<UpstreamId> {
         let up = self.ranking(bucket).find(|id| self.is_up(*id));
         up.or_else(|| self.ranking(bucket).next())
@@ -76,21 +77,22 @@
         self.peers.get(upstream).is_some_and(|peer| peer.is_up())
     }
 
-    /// Agents to ask before this one admits in a bucket: those that rank before it, and those that
-    /// may have been home a moment ago. Empty in the steady state.
+    /// Agents to ask before this agent admits an opening of a bucket: those that rank before it,
+    /// and those that may have been home until recently. Empty in the steady state.
     ///
-    /// An agent that hears from few of its peers may be the one that is cut off, with a stand-in
-    /// beyond the cut. It asks everybody, since the cut may end before it hears of that.
+    /// An agent that suspects most of its peers may itself be partitioned, and another agent may
+    /// act as home on the other side. It asks all peers, since the partition may end before it
+    /// notices.
     pub(super) fn agents_to_consult(&self, now: Millis, bucket: BucketIndex) -> Vec<UpstreamId> {
-        let me = self.config.upstream;
-        let everybody = self.is_isolated();
-        let cut_off = self.peers.iter().filter(|_| everybody).map(|(id, _)| id);
+        let self_id = self.config.upstream;
+        let ask_all = self.is_isolated();
+        let all_peers = self.peers.iter().filter(|_| ask_all).map(|(id, _)| id);
         let mut asked: Vec<UpstreamId> = self
             .ranking(bucket)
-            .take_while(|id| *id != me)
+            .take_while(|id| *id != self_id)
             .chain(self.former_homes.for_bucket(now, bucket))
-            .chain(cut_off)
-            .filter(|id| *id != me)
+            .chain(all_peers)
+            .filter(|id| *id != self_id)
             .filter(|id| self.peers.get(*id).is_some_and(|peer| peer.may_hold_flows(now)))
             .collect();
         asked.sort_unstable();
@@ -98,19 +100,19 @@
         asked
     }
 
-    /// Whether most peers are silent.
+    /// Whether most peers are unresponsive.
     pub(super) fn is_isolated(&self) -> bool {
         let listed = || self.peers.iter().filter(|(_, peer)| peer.listed && !peer.retired);
         let suspected = listed().filter(|(_, peer)| peer.suspected).count();
         2 * suspected > listed().count()
     }
 
-    /// Home of every bucket, to be compared before and after a change.
+    /// Homes of all buckets, for a comparison before and after a change.
     pub(super) fn homes(&self) -> Vec<Option<UpstreamId>> {
         buckets().map(|bucket| self.home(bucket)).collect()
     }
 
-    /// Remembers the homes that a change has replaced, and those that were only passed over.
+    /// Records the homes that a change has replaced, including those that are only suspected.
     pub(super) fn record_former_homes(&mut self, now: Millis, before: &[Option<UpstreamId>]) {
         for (bucket, former) in buckets().zip(before) {
             let Some(former) = *former else { continue };
@@ -120,8 +122,8 @@
         }
     }
 
-    /// A pause that this agent has noticed: everybody may have stood in for it, and nobody's
-    /// silence during it counts.
+    /// Detects a pause of this process. Any peer may have replaced this agent as home meanwhile,
+    /// and the lack of messages during the pause is no evidence against a peer.
     pub(super) fn detect_pause(&mut self, now: Millis) {
         if now.since(self.last_tick) < limits::PAUSE_THRESHOLD_MS {
             return;
--- a/crates/decision/src/agent/lookup.rs
+++ b/crates/decision/src/agent/lookup.rs
@@ -1,7 +1,7 @@
-//! Lookup of flows that neither the own flow table nor a redirect knows.
+//! Lookup of flows that are neither in the flow table nor in the redirect table.
 //!
-//! Every agent that may hold the flow is asked. Only when all of them have denied it may the
-//! caller be told that it does not exist: a reset in doubt would break a flow that lives elsewhere.
+//! Every agent that may hold the flow is asked. Only if all of them deny it may the caller receive
+//! a reset: a premature reset would break a flow that another upstream holds.
 
 use super::finding::Finding;
 use super::flows::{Flow, may_share_connection};
@@ -13,7 +13,7 @@
 use crate::message::{Knowledge, Message};
 use crate::time::Millis;
 
-/// A peer's answer, as received.
+/// An answer as received from a peer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Answer {
     pub(super) flow: FlowId,
@@ -28,24 +28,24 @@
     packet: Packet,
 }
 
-/// One lookup.
+/// A lookup in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Lookup {
     question: u64,
-    /// Sequence number of the first packet; the answers are about its connection.
+    /// Sequence number of the first packet. The answers apply to its connection.
     pub(super) sequence: u32,
     held: Vec<Held>,
-    /// Peers in sorted order with what they have said.
+    /// Peers in sorted order with their answers, `None` until they answer.
     pub(super) answers: Vec<(UpstreamId, Option<Knowledge>)>,
     pub(super) started_at: Millis,
     deadline: Millis,
     resend_at: Millis,
 }
 
-/// All lookups that wait for answers.
+/// Lookups that wait for answers, by flow.
 pub(super) type LookupTable = SortedMap<FlowId, Lookup>;
 
-/// Bounds the rate of lookups.
+/// Token bucket that bounds the rate of lookups.
 #[derive(Debug, Default)]
 pub(super) struct TokenBucket {
     tokens: u64,
@@ -53,7 +53,7 @@
 }
 
 impl Agent {
-    /// Holds the packet and asks around.
+    /// Holds the packet and asks the peers for its flow. Decides at once if no answer is needed.
     pub(super) fn look_up(
         &mut self,
         now: Millis,
@@ -82,7 +82,9 @@
         self.hold_for_lookup(packet)
     }
 
-    /// Too many lookups: hearsay has to do. Of a flow that was reset, only the next one's packets matter.
+    /// Decides about a packet if too many lookups are in progress. The entry in the flow table
+    /// suffices then, even if it is closing or known only from peers. If it was reset, the packet
+    /// is dropped, since it may belong to the next flow on the same ports.
     fn decide_without_lookup(
         &mut self,
         now: Millis,
@@ -116,7 +118,7 @@
         self.conclude(now, flow, out);
     }
 
-    /// Ends lookups whose time is over and repeats the questions of the others.
+    /// Ends lookups that have timed out and repeats the questions of others that are due.
     pub(super) fn poll_lookups(&mut self, now: Millis, out: &mut Vec<Action>) {
         let due: Vec<FlowId> = self
             .lookups
@@ -160,7 +162,8 @@
         Verdict::Hold(hold)
     }
 
-    /// Asks those that have not answered; if they were asked before, also as the last release does.
+    /// Asks the peers that have not answered. A repeated question is also sent in the form of the
+    /// previous release.
     fn ask(&self, flow: FlowId, lookup: &Lookup, again: bool, out: &mut Vec<Action>) {
         let Lookup { question, sequence, .. } = *lookup;
         let unanswered = lookup.answers.iter().filter(|(_, answer)| answer.is_none());
@@ -173,7 +176,8 @@
         }
     }
 
-    /// What this agent knows of the connection that a packet with this sequence number belongs to.
+    /// Knowledge of this agent about the connection to which a packet with this sequence number
+    /// belongs.
     pub(super) fn knowledge(&self, now: Millis, flow: FlowId, sequence: u32) -> Knowledge {
         match self.own_flow(flow, sequence) {
             Some(known) if known.is_confirmed_open() => return Knowledge::Mine,
@@ -181,8 +185,8 @@
             Some(_) => return Knowledge::Closing,
             None => {}
         }
-        let me = self.config.upstream;
-        match self.redirects.get(now, flow).filter(|redirect| redirect.holder != me) {
+        let self_id = self.config.upstream;
+        match self.redirects.get(now, flow).filter(|redirect| redirect.holder != self_id) {
             Some(redirect) if !self.is_unsure(now) || is_announced_open(redirect, sequence) => {
                 Knowledge::HeldBy(redirect.holder)
             }
@@ -191,7 +195,8 @@
         }
     }
 
-    /// The same, with what the own upstream says of flows that this agent does not know.
+    /// Like [`Self::knowledge`], refined by the upstream's report of flows that this agent does not
+    /// know.
     pub(super) fn knowledge_with_upstream_report(
         &self,
         now: Millis,
@@ -205,12 +210,12 @@
         }
     }
 
-    /// The flow in the table, unless it is another connection on the same ports.
+    /// The entry in the flow table, unless it is for another connection on the same ports.
     pub(super) fn own_flow(&self, flow: FlowId, sequence: u32) -> Option<&Flow> {
         self.flows.get(flow).filter(|known| known.may_match_connection(sequence))
     }
 
-    /// Ends a lookup if it has found something or its time is over.
+    /// Ends a lookup if its answers suffice or it has timed out.
     fn conclude(&mut self, now: Millis, flow: FlowId, out: &mut Vec<Action>) {
         let Some(lookup) = self.lookups.get(flow) else { return };
         let timed_out = now >= lookup.deadline;
@@ -223,8 +228,8 @@
             self.insert_found_redirect(now, flow, holder, &lookup);
         }
         for (index, held) in lookup.held.iter().enumerate() {
-            // The denials are older than the packets that joined later: the flow may have been
-            // opened in between, so these are left to the caller's retransmission.
+            // The denials may be older than packets that were held later, and the flow may have
+            // been opened in between. These packets are dropped, and the caller retransmits.
             let denied_before = index > 0 && finding == Finding::NoHolder;
             let finding = if denied_before { Finding::Undecided } else { finding };
             let verdict = self.apply_finding(now, &held.packet, finding, out);
@@ -249,14 +254,15 @@
                 Verdict::Deliver
             }
             Finding::OlderConnection => Verdict::Deliver,
-            // A reset is never answered with a reset.
+            // A reset is never answered by a reset.
             Finding::NoHolder if kind == PacketKind::Reset => Verdict::Drop(Reason::UnknownFlow),
             Finding::NoHolder => Verdict::Refuse(Reason::UnknownFlow),
             Finding::Undecided => Verdict::Drop(Reason::HolderSilent),
         }
     }
 
-    /// Only a holder's own word is remembered; hearsay would keep sending packets the long way.
+    /// Inserts a redirect if the holder itself has answered. A redirect from reports of other peers
+    /// could keep sending packets by an extra hop.
     fn insert_found_redirect(
         &mut self,
         now: Millis,
@@ -280,10 +286,11 @@
     }
 }
 
-/// Whether the holder itself has said that it has the flow open, and not a connection that may be an older one
-/// on the ports.
+/// Whether the holder has announced the flow as open, and for the connection of this sequence
+/// number rather than an older one on the same ports.
 ///
-/// The holder's word is newer than anything that an earlier life of the asked agent can have taken.
+/// Such an announcement is newer than any flow that a previous incarnation of this agent can have
+/// accepted.
 fn is_announced_open(redirect: &Redirect, sequence: u32) -> bool {
     let same = redirect.nonce.is_some_and(|nonce| may_share_connection(nonce, sequence));
     redirect.evidence == Evidence::Announced && !redirect.closing && same
@@ -301,7 +308,7 @@
         granted
     }
 
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(super) fn full(now: Millis) -> Self {
         Self { tokens: limits::LOOKUPS_PER_SECOND, filled_at: now }
     }
--- a/crates/decision/src/agent/mod.rs
+++ b/crates/decision/src/agent/mod.rs
@@ -326,10 +326,10 @@
 
     /// Removes memberships under which no agent can claim any more.
     fn prune_memberships(&mut self, now: Millis) {
-        let me = self.config.upstream;
+        let self_id = self.config.upstream;
         let peers = &self.peers;
         let runs = |id: UpstreamId, version: Version| {
-            id == me || peers.get(id).is_some_and(|peer| peer.view >= version)
+            id == self_id || peers.get(id).is_some_and(|peer| peer.view >= version)
         };
         self.settings.cuts.settle(now, runs);
     }
--- a/crates/decision/src/agent/outbox.rs
+++ b/crates/decision/src/agent/outbox.rs
@@ -1,7 +1,8 @@
-//! Announcements waiting for one peer: one batch at a time, sent again until it is acknowledged.
+//! Queue of announcements for one peer. One batch at a time is in flight, and it is sent again
+//! until it is acknowledged.
 //!
-//! One batch at a time gives the receiver a total order, so that a late copy of an older batch
-//! can be told by its number and cannot bring back a flow that has ended.
+//! This gives the receiver a total order. It detects a late copy of an older batch by its sequence
+//! number, so the copy cannot restore a flow that has ended.
 
 use std::collections::VecDeque;
 
@@ -9,22 +10,22 @@
 use crate::message::Opening;
 use crate::time::Millis;
 
-/// A note that is still to be sent; its age is worked out when it is.
+/// A flow note that is still to be sent. Its age is computed when it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PendingNote {
     pub(super) opening: Opening,
     pub(super) open: bool,
 }
 
-/// Announcements for one peer.
+/// Queue of announcements for one peer.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
     queue: VecDeque<PendingNote>,
-    /// Notes of the batch in flight, at the front of the queue.
+    /// Number of notes in the batch in flight, which are at the front of the queue.
     in_flight: usize,
     sequence: u64,
     sent_at: Option<Millis>,
-    /// Notes were given up; all flows must be announced again.
+    /// Whether notes were dropped, so that all flows must be announced again.
     overflowed: bool,
 }
 
@@ -41,12 +42,13 @@
         self.queue.len()
     }
 
-    /// Whether everything must be announced anew; asking clears the mark.
+    /// Returns whether all flows must be announced again, and clears this flag. False until the
+    /// queue is empty.
     pub(super) fn take_overflow(&mut self) -> bool {
         self.queue.is_empty() && std::mem::take(&mut self.overflowed)
     }
 
-    /// Forgets what is waiting, since a full announcement follows.
+    /// Discards all queued notes, before all flows are announced again.
     pub(super) fn clear(&mut self) {
         self.queue.clear();
         self.in_flight = 0;
@@ -54,7 +56,7 @@
         self.overflowed = false;
     }
 
-    /// The batch that is due now, if any.
+    /// Returns the batch that is due now, if any, with its sequence number.
     pub(super) fn next_due(
         &mut self,
         now: Millis,
@@ -76,7 +78,8 @@
         self.sent_at = None;
     }
 
-    /// The batch in flight has arrived. A full batch is followed by the next at once.
+    /// Records that the batch in flight has arrived. After a full batch the next one is due at
+    /// once.
     pub(super) fn acknowledge(&mut self, sequence: u64) {
         if self.in_flight == 0 || sequence != self.sequence {
             return;
--- a/crates/decision/src/agent/packet.rs
+++ b/crates/decision/src/agent/packet.rs
@@ -174,8 +174,8 @@
         let is_home = self.home(rank::bucket_of(packet.flow)) == Some(self.config.upstream);
         let from_home = is_home || packet.forwarding != Forwarding::Direct;
         let recent = now.since(flow.last_seen) < limits::CLOSING_TRUST_MS;
-        let rests = recent && flow.state != FlowState::Reset;
-        if flow.peer_reported || !from_home || !rests {
+        let ports_unused = recent && flow.state != FlowState::Reset;
+        if flow.peer_reported || !from_home || !ports_unused {
             return self.look_up(now, packet, out);
         }
         self.deliver_confirmed(now, packet, out);
@@ -188,8 +188,8 @@
     }
 
     fn adopt_or_drop(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) -> Verdict {
-        let named = self.flows.get(packet.flow).is_some();
-        if !named && !self.is_unsure(now) {
+        let known = self.flows.get(packet.flow).is_some();
+        if !known && !self.is_unsure(now) {
             return Verdict::Drop(Reason::HolderSilent);
         }
         self.adopt(now, packet.flow, out);
--- a/crates/decision/src/agent/redirects.rs
+++ b/crates/decision/src/agent/redirects.rs
@@ -1,6 +1,6 @@
-//! Redirects: flows of this service that other agents hold, as they have announced them.
+//! Redirects: the flows of this service that other agents hold.
 //!
-//! Soft state. A missing redirect costs a lookup, a wrong one an extra hop.
+//! They are soft state: a missing redirect costs a lookup, and a wrong one costs an extra hop.
 
 use std::collections::VecDeque;
 
@@ -10,10 +10,10 @@
 use crate::message::{Entrusted, Opening};
 use crate::time::Millis;
 
-/// What a redirect rests on, the weakest first.
+/// Evidence for a redirect, weakest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Evidence {
-    /// The holder has answered a question.
+    /// The holder has answered a lookup, or a peer has reported the holder.
     Found,
     /// This agent has assigned the opening.
     Assigned,
@@ -21,23 +21,24 @@
     Announced,
 }
 
-/// Where a flow is.
+/// Location of a flow that another agent holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Redirect {
-    /// Its holder.
+    /// Agent that holds the flow.
     pub holder: UpstreamId,
-    /// Life of the holder's agent that said so, or to which the opening was assigned; zero where another
-    /// agent said it.
+    /// Incarnation of the holder that announced the flow or was assigned the opening. Zero if
+    /// unknown, as for flows that another agent has reported.
     pub incarnation: Incarnation,
     /// Nonce of its opening, if known.
     pub nonce: Option<u32>,
-    /// When it was opened, as far as the holder's clockless report tells.
+    /// Time of its opening. It is computed from the age that the holder has reported, since clocks
+    /// are not synchronized.
     pub opened_at: Millis,
-    /// How this agent knows.
+    /// Evidence for the redirect.
     pub evidence: Evidence,
-    /// Whether it is closing: late packets still follow, openings do not.
+    /// Whether the flow is closing. The redirect then applies to late packets but not to openings.
     pub closing: bool,
-    /// When it is forgotten without refresh.
+    /// Time at which the redirect expires unless it is refreshed.
     pub expires_at: Millis,
 }
 
@@ -45,7 +46,7 @@
 #[derive(Debug, Default)]
 pub(super) struct RedirectTable {
     redirects: FlowMap<Redirect>,
-    /// Redirects in the order of their last check.
+    /// Flows in the order of the last expiry check of their redirects.
     check_order: VecDeque<(Millis, FlowId)>,
 }
 
@@ -66,7 +67,8 @@
         self.redirects.remove(&flow);
     }
 
-    /// Records a redirect; when the table is full, the one unchecked for longest makes room.
+    /// Inserts a redirect. If the table is full, the redirect whose last expiry check is oldest is
+    /// evicted.
     pub(super) fn insert(&mut self, now: Millis, flow: FlowId, redirect: Redirect) {
         if self.redirects.insert(flow, redirect).is_some() {
             return;
@@ -78,11 +80,11 @@
         }
     }
 
-    /// Takes in a holder's word about a flow that it has open.
+    /// Applies the announcement of an open flow by its holder.
     ///
-    /// An old holder that has not noticed the end of its flow refreshes it for hours. If that
-    /// replaced the redirect of a later flow on the same ports, the later flow would be reset by
-    /// the wrong upstream; the later opening therefore stands.
+    /// A holder that has not noticed the end of its flow announces it for hours. If that replaced
+    /// the redirect to a later flow on the same ports, the wrong upstream would reset the later
+    /// flow. The redirect to the later opening is therefore kept.
     pub(super) fn apply_announcement(
         &mut self,
         now: Millis,
@@ -114,10 +116,10 @@
         self.insert(now, opening.flow, redirect);
     }
 
-    /// The holder says that the flow is closing or has ended.
+    /// Records that the holder has announced the flow as closing or ended.
     pub(super) fn close(&mut self, now: Millis, holder: UpstreamId, opening: Opening) {
         let Some(redirect) = self.redirects.get_mut(&opening.flow) else { return };
-        // Zero where the holder does not know the opening itself.
+        // The nonce is zero if the holder does not know the opening.
         let same = opening.nonce == 0 || redirect.nonce.is_none_or(|nonce| nonce == opening.nonce);
         if redirect.holder == holder && same {
             redirect.closing = true;
@@ -125,7 +127,8 @@
         }
     }
 
-    /// The caller uses the ports of a closing flow again, see [`super::Agent::forget_closing`].
+    /// Removes the redirect of a closing flow whose ports the caller reuses, see
+    /// [`super::Agent::forget_closing`].
     pub(super) fn forget_closing(&mut self, opening: Opening) {
         let known = self.redirects.get(&opening.flow);
         if known.is_some_and(|known| known.closing && known.nonce != Some(opening.nonce)) {
@@ -133,7 +136,8 @@
         }
     }
 
-    /// Takes in what another agent knows of a silent holder; whatever is known here stands.
+    /// Inserts a flow of an unresponsive holder that another agent has reported. A redirect that is
+    /// already known is kept.
     pub(super) fn insert_reported(&mut self, now: Millis, entrusted: Entrusted) {
         if self.get(now, entrusted.opening.flow).is_some() {
             return;
@@ -150,13 +154,16 @@
         self.insert(now, entrusted.opening.flow, redirect);
     }
 
-    /// The upstream of `holder` has started anew beside its life `born`: flows from before are gone.
+    /// Removes flows that `holder` announced before its incarnation `born`. Its upstream started
+    /// with that incarnation, so flows from before are gone.
     pub(super) fn remove_before(&mut self, holder: UpstreamId, born: Incarnation) {
         self.redirects.retain(|_, known| known.holder != holder || known.incarnation >= born);
     }
 
-    /// One page of the openings of all redirects that are `wanted`, from flow `from` on, and where the
-    /// next page begins. A scan: it runs only when a peer has restarted.
+    /// Returns one page of the openings of all redirects that are `wanted`, starting at flow
+    /// `from`, and the start of the next page.
+    ///
+    /// This scans the whole table, but only after a peer has restarted.
     pub(super) fn page(
         &self,
         now: Millis,
@@ -185,7 +192,7 @@
         (page, Some(next))
     }
 
-    /// Forgets what has expired, a bounded number at a time.
+    /// Removes expired redirects, a bounded number at a time.
     pub(super) fn expire(&mut self, now: Millis) {
         const CHECK_MS: u64 = 60_000;
         const CHECKS_PER_TICK: usize = 512;
--- a/crates/decision/src/agent/sorted.rs
+++ b/crates/decision/src/agent/sorted.rs
@@ -1,6 +1,6 @@
-//! A small table kept as a vector sorted by key.
+//! Map for small tables, kept as a vector that is sorted by key.
 
-/// Sorted vector with binary search.
+/// Map backed by a sorted vector with binary search.
 #[derive(Clone, Debug)]
 pub(super) struct SortedMap<K, V> {
     entries: Vec<(K, V)>,
--- a/crates/decision/src/agent/status.rs
+++ b/crates/decision/src/agent/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of an agent.
+//! State of an agent as reported to operators.
 
 use super::Agent;
 use super::flows::FlowState;
@@ -15,7 +15,7 @@
     pub open_flows: usize,
     /// Flows that are closing.
     pub closing_flows: usize,
-    /// Openings that their callers have not followed up yet.
+    /// Openings after which the caller has sent no further packet yet.
     pub unanswered: usize,
     /// Redirects to other agents.
     pub redirects: usize,
@@ -25,78 +25,78 @@
     pub pending_claims: usize,
     /// Lookups that wait for answers.
     pub lookups: usize,
-    /// Announcements not yet acknowledged.
+    /// Flow notes not yet acknowledged.
     pub unannounced: usize,
-    /// Peers that are believed to be silent.
+    /// Peers that are suspected to be down.
     pub suspected_peers: usize,
     /// Settings version in force.
     pub version: Version,
-    /// Whether the agent may hold flows of an earlier life that it does not know.
+    /// Whether the agent may hold flows of a previous incarnation that it does not know.
     pub may_hold_unknown_flows: bool,
 }
 
-/// Where a flow is, as one agent knows it.
+/// Location of a flow as known to one agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowLocation {
-    /// At the own upstream.
+    /// At the local upstream.
     Local(FlowState),
-    /// At another agent.
+    /// At the upstream of another agent.
     Remote(Redirect),
-    /// Not known; a packet would lead to a lookup.
+    /// Not known. A packet would lead to a lookup.
     Unknown,
 }
 
-/// Whether an agent can be the home of a bucket, as another one sees it.
+/// Whether an agent can be the home of a bucket, as known to another agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentStatus {
-    /// It can.
+    /// It can be home.
     Up,
-    /// It is suspected, because nothing was heard from it.
+    /// It is suspected to be down, because it does not respond.
     Suspected,
-    /// It has said that it leaves.
+    /// It has announced that it is leaving.
     Leaving,
 }
 
-/// Why a packet of a flow goes where it goes.
+/// Explanation of how packets of a flow are routed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Explanation {
     /// Bucket of the flow.
     pub bucket: BucketIndex,
     /// Agents of the bucket from first to last rank.
     pub ranking: Vec<(UpstreamId, AgentStatus)>,
-    /// Home as this agent sees it.
+    /// Home as known to this agent.
     pub home: Option<UpstreamId>,
-    /// Where the flow is.
+    /// Location of the flow.
     pub location: FlowLocation,
 }
 
 impl Agent {
-    /// Flows that this agent holds for its upstream, closing ones left out.
+    /// Number of flows that this agent holds for its upstream, excluding closing ones.
     pub fn open_flows(&self) -> usize {
         self.flows.open()
     }
 
-    /// Flows of the upstream in any order, closing ones included.
+    /// Flows of the upstream in any order, including closing ones.
     pub fn flows(&self) -> impl Iterator<Item = (FlowId, FlowState)> + '_ {
         self.flows.iter().map(|(id, flow)| (id, flow.state))
     }
 
-    /// Redirects in any order, some of them perhaps expired.
+    /// Redirects in any order. Some of them may have expired.
     pub fn redirects(&self) -> impl Iterator<Item = (FlowId, Redirect)> + '_ {
         self.redirects.iter().map(|(id, redirect)| (id, *redirect))
     }
 
-    /// Settings version in force, zero before any lists the service.
+    /// Settings version in force, or zero before any settings list the service.
     pub fn version(&self) -> Version {
         self.settings.version
     }
 
-    /// Whether new openings go to this agent's upstream for now.
+    /// Whether this agent's upstream currently accepts openings.
     pub fn is_accepting(&mut self, now: Millis) -> bool {
         self.accepts(now)
     }
 
-    /// Whether every announcement has been acknowledged: a leaving agent may then end.
+    /// Whether all announcements have been acknowledged, so that a leaving agent may exit.
     pub fn is_handed_over(&self) -> bool {
         self.is_all_acknowledged()
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Why a packet of the flow goes where it goes.
+    /// Explains how packets of the flow are routed.
     pub fn explain(&self, now: Millis, flow: FlowId) -> Explanation {
         let bucket = rank::bucket_of(flow);
         let here = self.flows.get(flow).map(|flow| FlowLocation::Local(flow.state));
