--- a/crates/agent/src/plane/tests.rs
+++ b/crates/agent/src/plane/tests.rs
@@ -9,7 +9,7 @@
 
 use decision::agent::{Agent, AgentConfig, Event, FlowState, Passed, Whereabouts};
 use decision::keys::{AccountId, FlowId, Incarnation, ServiceId, UpstreamId, Version};
-use decision::message::{Claim, ClaimAnswer, Heartbeat, Knowledge, Memory, Message};
+use decision::message::{Claim, ClaimAnswer, Heartbeat, Knowledge, Message, RecordCompleteness};
 use decision::rank;
 use decision::view::WhenInDoubt;
 use etherparse::PacketBuilder;
@@ -300,7 +300,7 @@
             from,
             records: Vec::new(),
             next: None,
-            memory: Memory::Complete,
+            memory: RecordCompleteness::Complete,
             met_before: true,
         }),
         _ => None,
--- a/crates/decision/src/agent/handover.rs
+++ b/crates/decision/src/agent/handover.rs
@@ -10,7 +10,7 @@
 use super::relearn::Past;
 use super::{Action, Agent, limits};
 use crate::keys::{Incarnation, UpstreamId};
-use crate::message::{Former, HandedOver, Message};
+use crate::message::{HandedOver, Message, PreviousIncarnation};
 use crate::time::Millis;
 
 /// How far a leaving agent has handed over.
@@ -42,11 +42,11 @@
         }
         self.handover.said_at = Some(now);
         let told = self.told();
-        let silences = self.handover.silences;
+        let peer_timeouts = self.handover.silences;
         let incarnation = self.config.incarnation;
         for (to, _) in self.peers.iter().filter(|(_, peer)| !peer.suspected) {
-            let told = if told.contains(&to) { told.len() as u32 } else { 0 };
-            let state = HandedOver { silences, told };
+            let informed_agents = if told.contains(&to) { told.len() as u32 } else { 0 };
+            let state = HandedOver { peer_timeouts, informed_agents };
             out.push(Action::Send { to, message: Message::HandedOver { incarnation, state } });
         }
     }
@@ -86,26 +86,31 @@
         }
         let Some(peer) = self.peers.get_mut(from) else { return };
         let before = peer.handed_over.filter(|(known, _)| *known == life);
-        let silences = before.map_or(0, |(_, known)| known.silences);
+        let silences = before.map_or(0, |(_, known)| known.peer_timeouts);
         peer.handed_over = Some((life, state));
-        if state.silences > silences {
+        if state.peer_timeouts > silences {
             peer.cursor.restart();
             self.ask_page(now, from, out);
         }
     }
 
     /// What this agent knows of the life of `from` before the present one.
-    pub(super) fn former_of(&self, from: UpstreamId) -> Former {
-        let Some(peer) = self.peers.get(from) else { return Former::default() };
+    pub(super) fn former_of(&self, from: UpstreamId) -> PreviousIncarnation {
+        let Some(peer) = self.peers.get(from) else { return PreviousIncarnation::default() };
         let handed_over = peer.handed_over.filter(|(life, _)| Some(*life) == peer.former);
-        Former {
-            life: peer.former,
+        PreviousIncarnation {
+            incarnation: peer.former,
             handed_over: handed_over.map(|(_, state)| state),
             resumed: self.past == Past::Resumed,
         }
     }
 
-    pub(super) fn former_told(&mut self, from: UpstreamId, incarnation: Incarnation, told: Former) {
+    pub(super) fn former_told(
+        &mut self,
+        from: UpstreamId,
+        incarnation: Incarnation,
+        told: PreviousIncarnation,
+    ) {
         if incarnation != self.config.incarnation {
             return;
         }
@@ -125,7 +130,10 @@
         let Some((last, state)) = self.last_handover() else { return };
         let told_again = |peer: &Peer| peer.cursor.done && peer.cursor.has_all_of(last, state);
         let complete = self.peers.iter().filter(|(_, peer)| told_again(peer)).count();
-        if state.told > 0 && complete > 0 && complete + 1 >= state.told as usize {
+        if state.informed_agents > 0
+            && complete > 0
+            && complete + 1 >= state.informed_agents as usize
+        {
             self.past = Past::Resumed;
         }
     }
@@ -140,8 +148,8 @@
     /// The former life and the newest that it has said at its end, as far as the peers know.
     fn last_handover(&self) -> Option<(Incarnation, HandedOver)> {
         let told = || self.peers.iter().filter_map(|(_, peer)| peer.cursor.former);
-        let last = told().filter_map(|former| former.life).max()?;
-        let of_last = told().filter(|former| former.life == Some(last));
+        let last = told().filter_map(|former| former.incarnation).max()?;
+        let of_last = told().filter(|former| former.incarnation == Some(last));
         let state = of_last.filter_map(|former| former.handed_over).max()?;
         Some((last, state))
     }
--- a/crates/decision/src/agent/quorum.rs
+++ b/crates/decision/src/agent/quorum.rs
@@ -122,7 +122,7 @@
         let count = settled.len() as u64 + others.clone().count() as u64;
         let turn = turn.checked_rem(count)?;
         let (from, next, until) = settled.chain(others).nth(turn as usize)?;
-        Some(Outdated { from, next, forgotten_in_ms: until.since(now) as u32 })
+        Some(Outdated { from, next, expires_in_ms: until.since(now) as u32 })
     }
 
     /// Takes in what a peer knows of an outdated membership.
@@ -130,7 +130,7 @@
     /// That nobody can claim under a membership is true for all once it is for one, and a message that
     /// comes late only makes the wait longer.
     pub(super) fn hear(&mut self, now: Millis, outdated: Outdated) {
-        let until = now.after(outdated.forgotten_in_ms.into());
+        let until = now.after(outdated.expires_in_ms.into());
         let (from, next) = (outdated.from, Some(outdated.next));
         let known = self.cuts.iter_mut().find(|cut| (cut.from, cut.next) == (from, next));
         let Some(cut) = known else { return };
--- a/crates/decision/src/agent/recall.rs
+++ b/crates/decision/src/agent/recall.rs
@@ -15,7 +15,7 @@
 use super::sorted::Sorted;
 use super::{Action, Agent, limits};
 use crate::keys::{Incarnation, UpstreamId};
-use crate::message::{ClaimRecord, Memory, Message, Opening};
+use crate::message::{ClaimRecord, Message, Opening, RecordCompleteness};
 use crate::time::Millis;
 use crate::view::WhenInDoubt;
 
@@ -53,7 +53,7 @@
     pub(super) from: u64,
     pub(super) records: Vec<ClaimRecord>,
     pub(super) next: Option<u64>,
-    pub(super) memory: Memory,
+    pub(super) memory: RecordCompleteness,
     pub(super) met_before: bool,
 }
 
@@ -81,11 +81,13 @@
         !self.config.may_have_past && self.recall.listed_new
     }
 
-    fn memory(&self, now: Millis) -> Memory {
+    fn memory(&self, now: Millis) -> RecordCompleteness {
         match self.abstains(now) || !self.recall.disputed.is_empty() {
-            false => Memory::Complete,
-            true if self.is_newborn() && self.recall.disputed.is_empty() => Memory::Newborn,
-            true => Memory::Forgetful,
+            false => RecordCompleteness::Complete,
+            true if self.is_newborn() && self.recall.disputed.is_empty() => {
+                RecordCompleteness::Newborn
+            }
+            true => RecordCompleteness::Forgetful,
         }
     }
 
@@ -145,8 +147,8 @@
             return;
         }
         cursor.met_before |= page.met_before;
-        cursor.newborn = page.memory == Memory::Newborn;
-        if page.memory != Memory::Complete {
+        cursor.newborn = page.memory == RecordCompleteness::Newborn;
+        if page.memory != RecordCompleteness::Complete {
             // Asked again from the start after the retry time: it may know more by then.
             cursor.from = 0;
             self.check_recall();
--- a/crates/decision/src/agent/relearn.rs
+++ b/crates/decision/src/agent/relearn.rs
@@ -5,7 +5,7 @@
 use super::redirects::{Evidence, Redirect};
 use super::{Action, Agent, Note, limits};
 use crate::keys::{FlowId, Incarnation, UpstreamId};
-use crate::message::{Entrusted, Former, HandedOver, Message, Opening};
+use crate::message::{Entrusted, HandedOver, Message, Opening, PreviousIncarnation};
 use crate::time::Millis;
 use crate::view::WhenInDoubt;
 
@@ -18,7 +18,7 @@
     /// Whether the peer had been told everything before this agent restarted.
     complete: bool,
     /// What the peer has said of this agent's former life.
-    pub(super) former: Option<Former>,
+    pub(super) former: Option<PreviousIncarnation>,
 }
 
 impl Cursor {
@@ -30,7 +30,7 @@
     /// Whether the peer was told all by the life `last`, or has resumed after it and was told by others.
     pub(super) fn has_all_of(&self, last: Incarnation, state: HandedOver) -> bool {
         let former = self.former.unwrap_or_default();
-        match former.life == Some(last) {
+        match former.incarnation == Some(last) {
             true => former.handed_over == Some(state),
             false => former.resumed,
         }
--- a/crates/decision/src/message.rs
+++ b/crates/decision/src/message.rs
@@ -67,7 +67,7 @@
 
 /// What a witness knows of the promises that it may have made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Memory {
+pub enum RecordCompleteness {
     /// All of them.
     Complete,
     /// It believes that it never made any: its upstream has just begun, and so has its listing.
@@ -106,7 +106,7 @@
     /// First version with other members.
     pub next: Version,
     /// Milliseconds after which everything that was claimed under it is forgotten.
-    pub forgotten_in_ms: u32,
+    pub expires_in_ms: u32,
 }
 
 /// How a leaving agent has handed over. It says so anew whenever it has found another agent silent.
@@ -114,16 +114,16 @@
 pub struct HandedOver {
     /// How often this life has found an agent silent. Each time the receiver asks for what the sender
     /// knows of that one's flows.
-    pub silences: u32,
+    pub peer_timeouts: u32,
     /// To how many agents that are up the sender tells its flows, zero if the receiver is none of them.
-    pub told: u32,
+    pub informed_agents: u32,
 }
 
 /// What an agent knows of the life of another before its present one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Former {
+pub struct PreviousIncarnation {
     /// That life, if it was met.
-    pub life: Option<Incarnation>,
+    pub incarnation: Option<Incarnation>,
     /// The newest that it has said at its end.
     pub handed_over: Option<HandedOver>,
     /// Whether the agent's own former life has handed over, so that it knows what was entrusted to it.
@@ -278,7 +278,7 @@
         /// Where the next page begins; `None` after the last.
         next: Option<u64>,
         /// What the sender knows of its own promises.
-        memory: Memory,
+        memory: RecordCompleteness,
         /// Whether the sender has met an earlier life of the asker.
         met_before: bool,
     },
@@ -299,6 +299,6 @@
         /// Life that asked.
         incarnation: Incarnation,
         /// What the sender knows.
-        former: Former,
+        former: PreviousIncarnation,
     },
 }
--- a/crates/wire/src/control/dto.rs
+++ b/crates/wire/src/control/dto.rs
@@ -2,8 +2,8 @@
 
 use decision::keys::{FlowId, Incarnation, UpstreamId, Version};
 use decision::message::{
-    Claim, ClaimAnswer, ClaimRecord, Entrusted, FlowNote, Former, HandedOver, Heartbeat, Knowledge,
-    Memory, Message, Opening, Outdated,
+    Claim, ClaimAnswer, ClaimRecord, Entrusted, FlowNote, HandedOver, Heartbeat, Knowledge,
+    Message, Opening, Outdated, PreviousIncarnation, RecordCompleteness,
 };
 use serde::{Deserialize, Deserializer, Serialize};
 
@@ -203,17 +203,17 @@
     }
 }
 
-impl From<Memory> for MemoryDto {
-    fn from(memory: Memory) -> Self {
+impl From<RecordCompleteness> for MemoryDto {
+    fn from(memory: RecordCompleteness) -> Self {
         match memory {
-            Memory::Complete => Self::Complete,
-            Memory::Newborn => Self::Newborn,
-            Memory::Forgetful => Self::Forgetful,
+            RecordCompleteness::Complete => Self::Complete,
+            RecordCompleteness::Newborn => Self::Newborn,
+            RecordCompleteness::Forgetful => Self::Forgetful,
         }
     }
 }
 
-impl From<MemoryDto> for Memory {
+impl From<MemoryDto> for RecordCompleteness {
     fn from(memory: MemoryDto) -> Self {
         match memory {
             MemoryDto::Complete => Self::Complete,
@@ -361,25 +361,25 @@
 
 impl From<Outdated> for OutdatedDto {
     fn from(outdated: Outdated) -> Self {
-        Self(outdated.from.0, outdated.next.0, outdated.forgotten_in_ms)
+        Self(outdated.from.0, outdated.next.0, outdated.expires_in_ms)
     }
 }
 
 impl From<OutdatedDto> for Outdated {
-    fn from(OutdatedDto(from, next, forgotten_in_ms): OutdatedDto) -> Self {
-        Self { from: Version(from), next: Version(next), forgotten_in_ms }
+    fn from(OutdatedDto(from, next, expires_in_ms): OutdatedDto) -> Self {
+        Self { from: Version(from), next: Version(next), expires_in_ms }
     }
 }
 
 impl From<HandedOver> for HandedOverDto {
     fn from(state: HandedOver) -> Self {
-        Self(state.silences, state.told)
+        Self(state.peer_timeouts, state.informed_agents)
     }
 }
 
 impl From<HandedOverDto> for HandedOver {
-    fn from(HandedOverDto(silences, told): HandedOverDto) -> Self {
-        Self { silences, told }
+    fn from(HandedOverDto(peer_timeouts, informed_agents): HandedOverDto) -> Self {
+        Self { peer_timeouts, informed_agents }
     }
 }
 
@@ -456,7 +456,7 @@
             }
             Message::Former { incarnation, former } => Body::Former {
                 incarnation: incarnation.0,
-                life: former.life.map(|life| life.0),
+                life: former.incarnation.map(|previous| previous.0),
                 handed_over: former.handed_over.map(HandedOverDto::from),
                 resumed: former.resumed,
             },
@@ -537,8 +537,8 @@
             }
             Body::Former { incarnation, life, handed_over, resumed } => Self::Former {
                 incarnation: Incarnation(incarnation),
-                former: Former {
-                    life: life.map(Incarnation),
+                former: PreviousIncarnation {
+                    incarnation: life.map(Incarnation),
                     handed_over: handed_over.map(HandedOver::from),
                     resumed,
                 },
--- a/crates/wire/tests/control.rs
+++ b/crates/wire/tests/control.rs
@@ -4,8 +4,8 @@
 
 use decision::keys::{FlowId, Incarnation, UpstreamId, Version};
 use decision::message::{
-    Claim, ClaimAnswer, ClaimRecord, Entrusted, FlowNote, Former, HandedOver, Heartbeat, Knowledge,
-    Memory, Message, Opening, Outdated,
+    Claim, ClaimAnswer, ClaimRecord, Entrusted, FlowNote, HandedOver, Heartbeat, Knowledge,
+    Message, Opening, Outdated, PreviousIncarnation, RecordCompleteness,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -14,7 +14,7 @@
 const OPENING: Opening = Opening { flow: FlowId(u64::MAX), nonce: u32::MAX };
 const VIEW: Version = Version(7);
 const LIFE: Incarnation = Incarnation(u64::MAX);
-const STATE: HandedOver = HandedOver { silences: u32::MAX, told: 3 };
+const STATE: HandedOver = HandedOver { peer_timeouts: u32::MAX, informed_agents: 3 };
 
 fn note() -> FlowNote {
     FlowNote { opening: OPENING, open: true, age_ms: u32::MAX }
@@ -71,7 +71,7 @@
     from: 9,
     records: vec![ClaimRecord { opening: OPENING, claim: Claim::Refuse, incarnation: LIFE }],
     next: Some(37),
-    memory: Memory::Newborn,
+    memory: RecordCompleteness::Newborn,
     met_before: true,
 })]
 #[case::granted(claim_reply(ClaimAnswer::Granted))]
@@ -91,14 +91,14 @@
 #[case::page(page(2))]
 #[case::entrusted(entrusted_page(2))]
 #[case::heartbeat(heartbeat())]
-#[case::outdated(Message::Outdated(Outdated { from: Version(3), next: VIEW, forgotten_in_ms: 9 }))]
+#[case::outdated(Message::Outdated(Outdated { from: Version(3), next: VIEW, expires_in_ms: 9 }))]
 #[case::ask_about(Message::AskAbout { flow: OPENING.flow, question: u64::MAX, sequence: u32::MAX })]
 #[case::tell_likely(Message::Tell { flow: OPENING.flow, question: 1, knowledge: Knowledge::Likely, view: VIEW })]
 #[case::tell_unlikely(Message::Tell { flow: OPENING.flow, question: 1, knowledge: Knowledge::Unlikely, view: VIEW })]
 #[case::tell(Message::Tell { flow: OPENING.flow, question: 1, knowledge: Knowledge::Unsure, view: VIEW })]
 #[case::handed_over(Message::HandedOver { incarnation: LIFE, state: STATE })]
-#[case::former(Message::Former { incarnation: LIFE, former: Former { life: Some(Incarnation(3)), handed_over: Some(STATE), resumed: true } })]
-#[case::former_unknown(Message::Former { incarnation: LIFE, former: Former { life: None, handed_over: None, resumed: false } })]
+#[case::former(Message::Former { incarnation: LIFE, former: PreviousIncarnation { incarnation: Some(Incarnation(3)), handed_over: Some(STATE), resumed: true } })]
+#[case::former_unknown(Message::Former { incarnation: LIFE, former: PreviousIncarnation { incarnation: None, handed_over: None, resumed: false } })]
 fn decode_own_encoding(#[case] message: Message) {
     let envelope = Envelope { clock: u64::MAX, message };
     let mut bytes = Vec::new();
@@ -115,7 +115,7 @@
         from: u64::MAX,
         records: vec![record; count],
         next: Some(u64::MAX),
-        memory: Memory::Forgetful,
+        memory: RecordCompleteness::Forgetful,
         met_before: true,
     }
 }
