--- a/crates/balancer/src/spreading/link.rs
+++ b/crates/balancer/src/spreading/link.rs
@@ -10,14 +10,14 @@
 use std::time::Duration;
 
 use decision::keys::{AccountId, ServiceId, Version};
-use decision::spread::{NodeId, ROUND_MS, SpreadMessage};
+use decision::spread::{NodeId, ROUND_INTERVAL_MS, SpreadMessage};
 use wire::exchange::FLEET;
 use wire::gue::{self, Content};
 use wire::sealed::{AccountKeyring, Header, Payload, SenderId, control_datagram};
 use wire::spread;
 
 /// Longest wait for a datagram. A fraction of a round, so that rounds are on time.
-const RECEIVE_TIMEOUT: Duration = Duration::from_millis(ROUND_MS / 4);
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(ROUND_INTERVAL_MS / 4);
 /// Largest datagram that is taken.
 const DATAGRAM_BYTES_MAX: usize = 2_048;
 
--- a/crates/balancer/src/spreading/mod.rs
+++ b/crates/balancer/src/spreading/mod.rs
@@ -181,9 +181,9 @@
     fn act(&self, action: SpreadAction) {
         match action {
             SpreadAction::Send { to, message } => self.send(to, &message),
-            SpreadAction::FetchFromPeer { from, wants } => {
+            SpreadAction::FetchFromPeer { from, missing } => {
                 let Some(peer) = self.address(from) else { return };
-                let accounts = wants.iter().map(|want| want.account).collect();
+                let accounts = missing.iter().map(|version| version.account).collect();
                 self.fetch(Fetch::FromPeer { peer, accounts });
             }
             SpreadAction::FetchFromService { account } => self.fetch(Fetch::FromService(account)),
--- a/crates/decision/src/spread/mod.rs
+++ b/crates/decision/src/spread/mod.rs
@@ -23,7 +23,7 @@
 use crate::time::Millis;
 
 /// Time between two rounds. Ten rounds are enough for 1,600 nodes and take 2 s of the 7 s allowed.
-pub const ROUND_MS: u64 = 200;
+pub const ROUND_INTERVAL_MS: u64 = 200;
 /// Notices in one message. Keeps a node below 10 KB/s while a whole zone is reported: see
 /// `docs/CAPACITY.md` for the measured peak.
 pub const NOTICES_PER_MESSAGE: usize = 16;
@@ -31,15 +31,15 @@
 /// not fit is found by the next comparison, which starts elsewhere.
 pub const DIFFERENCES_MAX: usize = 40;
 /// Time between two digest comparisons that a node starts.
-pub const DIGEST_MS: u64 = 2_000;
+pub const DIGEST_INTERVAL_MS: u64 = 2_000;
 /// Time until the next comparison after one that found a difference: a storm is settled by
 /// comparisons in quick succession, and quiet costs no more than before.
-pub const UNEQUAL_DIGEST_MS: u64 = 400;
+pub const UNEQUAL_DIGEST_INTERVAL_MS: u64 = 400;
 /// A node that no peer has confirmed for this long reads the configuration service itself, reader or
 /// not. 11,600 nodes that all do so are 97 reads a second of the 2,000 allowed.
 pub const FALLBACK_READ_MS: u64 = 120_000;
 /// Time a peer gets to deliver a version before the configuration service is asked for it.
-pub const PEER_FETCH_MS: u64 = 1_000;
+pub const PEER_FETCH_TIMEOUT_MS: u64 = 1_000;
 
 /// Messages between the nodes that spread.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -75,7 +75,7 @@
 
 /// A version that a peer has and this node lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Want {
+pub struct MissingVersion {
     /// Account, or [`ROOT`].
     pub account: AccountId,
     /// Version wanted, or a later one.
@@ -108,7 +108,7 @@
         /// The message.
         message: SpreadMessage,
     },
-    /// Time has passed; due at least every [`ROUND_MS`].
+    /// Time has passed; due at least every [`ROUND_INTERVAL_MS`].
     Tick,
 }
 
@@ -127,7 +127,7 @@
         /// Who has them.
         from: NodeId,
         /// What is lacking here.
-        wants: Vec<Want>,
+        missing: Vec<MissingVersion>,
     },
     /// Get the newest version of an account from the configuration service.
     FetchFromService {
@@ -140,14 +140,14 @@
 
 /// A version that was asked for.
 #[derive(Clone, Copy, Debug)]
-struct Wanted {
-    want: Want,
-    asked: Millis,
+struct PendingFetch {
+    missing: MissingVersion,
+    asked_at: Millis,
 }
 
 /// A fact that still has to be passed on.
 #[derive(Clone, Copy, Debug)]
-struct Rumour {
+struct QueuedNotice {
     notice: Notice,
     rounds_left: u8,
 }
@@ -157,13 +157,13 @@
 pub struct Spread {
     peers: Peers,
     facts: Facts,
-    rumours: Vec<Rumour>,
-    wanted: Vec<Wanted>,
+    queued: Vec<QueuedNotice>,
+    pending_fetches: Vec<PendingFetch>,
     tuning: Tuning,
     /// False until the facts were once found equal to a peer's or the service's. What a node learns
     /// while it starts is news to nobody else.
-    settled: bool,
-    confirmed: Millis,
+    synchronized: bool,
+    confirmed_at: Millis,
     next_round: Millis,
     next_digest: Millis,
     random: Pcg64,
@@ -181,11 +181,11 @@
         Self {
             peers: Peers::new(own),
             facts: Facts::default(),
-            rumours: Vec::new(),
-            wanted: Vec::new(),
+            queued: Vec::new(),
+            pending_fetches: Vec::new(),
             tuning: Tuning::default(),
-            settled: false,
-            confirmed: now,
+            synchronized: false,
+            confirmed_at: now,
             next_round: now,
             next_digest: now,
             random: Pcg64::seed_from_u64(seed),
@@ -233,7 +233,7 @@
     /// Milliseconds since the configuration service, or a peer that had asked it, confirmed the
     /// versions in force here.
     pub fn confirmed_age_ms(&self, now: Millis) -> u64 {
-        now.since(self.confirmed)
+        now.since(self.confirmed_at)
     }
 
     /// Version in force here.
@@ -246,9 +246,10 @@
         if !self.facts.learn(notice) {
             return;
         }
-        self.wanted.retain(|known| known.want.account != account || known.want.version > version);
-        if self.settled {
-            self.start_rumour(notice);
+        self.pending_fetches
+            .retain(|known| known.missing.account != account || known.missing.version > version);
+        if self.synchronized {
+            self.enqueue(notice);
         }
     }
 
@@ -264,7 +265,7 @@
             SpreadMessage::Compare(digest) => self.compare(now, from, &digest, out),
             SpreadMessage::Differences { notices, digest } => {
                 self.learn_all(now, from, &notices, out);
-                self.next_digest = self.next_digest.min(now.after(UNEQUAL_DIGEST_MS));
+                self.next_digest = self.next_digest.min(now.after(UNEQUAL_DIGEST_INTERVAL_MS));
                 if let Some(digest) = digest {
                     let notices = self.differences(&digest);
                     let reply = SpreadMessage::Differences { notices, digest: None };
@@ -283,40 +284,41 @@
         notices: &[Notice],
         out: &mut Vec<SpreadAction>,
     ) {
-        let mut wants = Vec::new();
+        let mut missing = Vec::new();
         for notice in notices {
             match *notice {
                 Notice::Settings { account, version } => {
-                    wants.extend(self.want(now, Want { account, version }));
+                    missing.extend(self.start_fetch(now, MissingVersion { account, version }));
                 }
                 Notice::Member(member) => self.learn_member(member, out),
             }
         }
-        if !wants.is_empty() {
-            out.push(SpreadAction::FetchFromPeer { from, wants });
+        if !missing.is_empty() {
+            out.push(SpreadAction::FetchFromPeer { from, missing });
         }
     }
 
     fn learn_member(&mut self, member: Member, out: &mut Vec<SpreadAction>) {
         let notice = Notice::Member(member);
         if self.facts.learn(notice) {
-            self.start_rumour(notice);
+            self.enqueue(notice);
             out.push(SpreadAction::MembersChanged);
         }
     }
 
     /// The want, unless it is in force or was asked for.
-    fn want(&mut self, now: Millis, want: Want) -> Option<Want> {
-        if self.facts.version(want.account).is_some_and(|known| known >= want.version) {
+    fn start_fetch(&mut self, now: Millis, missing: MissingVersion) -> Option<MissingVersion> {
+        if self.facts.version(missing.account).is_some_and(|known| known >= missing.version) {
             return None;
         }
-        let asked = Wanted { want, asked: now };
-        match self.wanted.iter_mut().find(|known| known.want.account == want.account) {
-            Some(known) if known.want.version >= want.version => return None,
-            Some(known) => *known = asked,
-            None => self.wanted.push(asked),
+        let fetch = PendingFetch { missing, asked_at: now };
+        match self.pending_fetches.iter_mut().find(|known| known.missing.account == missing.account)
+        {
+            Some(known) if known.missing.version >= missing.version => return None,
+            Some(known) => *known = fetch,
+            None => self.pending_fetches.push(fetch),
         }
-        Some(want)
+        Some(missing)
     }
 
     fn compare(&mut self, now: Millis, from: NodeId, digest: &Digest, out: &mut Vec<SpreadAction>) {
@@ -337,18 +339,19 @@
 
     /// A peer with the same facts passes on its confirmation, never a younger one than it has.
     fn confirm(&mut self, now: Millis, age_ms: u64) {
-        self.confirmed = self.confirmed.max(Millis(now.0.saturating_sub(age_ms)));
-        self.settled = true;
+        self.confirmed_at = self.confirmed_at.max(Millis(now.0.saturating_sub(age_ms)));
+        self.synchronized = true;
     }
 
     fn tick(&mut self, now: Millis, out: &mut Vec<SpreadAction>) {
         if now >= self.next_round {
-            self.next_round = now.after(ROUND_MS);
+            self.next_round = now.after(ROUND_INTERVAL_MS);
             self.round(out);
         }
         if now >= self.next_digest {
             // Half to one and a half periods: nodes that started together do not stay in step.
-            let period_ms = self.random.random_range(DIGEST_MS / 2..DIGEST_MS * 3 / 2);
+            let period_ms =
+                self.random.random_range(DIGEST_INTERVAL_MS / 2..DIGEST_INTERVAL_MS * 3 / 2);
             self.next_digest = now.after(period_ms);
             self.start_comparison(now, out);
         }
@@ -357,31 +360,30 @@
     }
 
     fn round(&mut self, out: &mut Vec<SpreadAction>) {
-        if self.rumours.is_empty() {
+        if self.queued.is_empty() {
             return;
         }
-        let count = self.rumours.len().min(NOTICES_PER_MESSAGE);
-        let notices: Vec<Notice> =
-            self.rumours[..count].iter().map(|rumour| rumour.notice).collect();
+        let count = self.queued.len().min(NOTICES_PER_MESSAGE);
+        let notices: Vec<Notice> = self.queued[..count].iter().map(|entry| entry.notice).collect();
         for to in self.peers.sample(self.tuning.fanout, &mut self.random) {
             let message = SpreadMessage::Notices(notices.clone());
             out.push(SpreadAction::Send { to, message });
         }
-        self.age_rumours(count);
+        self.age_queued(count);
     }
 
     /// Sent rumours go to the back of the queue, so that none starves, and end after their rounds.
-    fn age_rumours(&mut self, count: usize) {
-        for rumour in &mut self.rumours[..count] {
-            rumour.rounds_left -= 1;
+    fn age_queued(&mut self, count: usize) {
+        for entry in &mut self.queued[..count] {
+            entry.rounds_left -= 1;
         }
-        self.rumours.rotate_left(count);
-        self.rumours.retain(|rumour| rumour.rounds_left > 0);
+        self.queued.rotate_left(count);
+        self.queued.retain(|entry| entry.rounds_left > 0);
     }
 
-    fn start_rumour(&mut self, notice: Notice) {
-        self.rumours.retain(|rumour| !rumour.notice.same_subject(&notice));
-        self.rumours.push(Rumour { notice, rounds_left: self.tuning.rounds });
+    fn enqueue(&mut self, notice: Notice) {
+        self.queued.retain(|entry| !entry.notice.same_subject(&notice));
+        self.queued.push(QueuedNotice { notice, rounds_left: self.tuning.rounds });
     }
 
     fn start_comparison(&mut self, now: Millis, out: &mut Vec<SpreadAction>) {
@@ -395,10 +397,10 @@
     /// A peer may die between its notice and our fetch. The configuration service, or the next
     /// comparison, then delivers the version: nothing waits for one peer.
     fn escalate_fetches(&mut self, now: Millis, out: &mut Vec<SpreadAction>) {
-        for wanted in &mut self.wanted {
-            if now.since(wanted.asked) >= PEER_FETCH_MS {
-                wanted.asked = now;
-                out.push(SpreadAction::FetchFromService { account: wanted.want.account });
+        for pending in &mut self.pending_fetches {
+            if now.since(pending.asked_at) >= PEER_FETCH_TIMEOUT_MS {
+                pending.asked_at = now;
+                out.push(SpreadAction::FetchFromService { account: pending.missing.account });
             }
         }
     }
@@ -408,7 +410,7 @@
             return;
         }
         // Counted as if confirmed, so that a service that is down gets one read for each period.
-        self.confirmed = now;
+        self.confirmed_at = now;
         out.push(SpreadAction::FetchFromService { account: ROOT });
     }
 }
--- a/crates/decision/src/spread/tests.rs
+++ b/crates/decision/src/spread/tests.rs
@@ -34,7 +34,7 @@
     }
 
     fn step(&mut self) {
-        self.now = self.now.after(ROUND_MS);
+        self.now = self.now.after(ROUND_INTERVAL_MS);
         for index in 0..self.nodes.len() {
             self.dispatch(index, SpreadEvent::Tick);
         }
@@ -54,9 +54,9 @@
             SpreadAction::Send { to, message } if !self.dead.contains(&(to.0 as usize)) => {
                 self.dispatch(to.0 as usize, SpreadEvent::Message { from, message });
             }
-            SpreadAction::FetchFromPeer { from, wants } => {
-                for want in wants {
-                    self.fetch(index, from.0 as usize, want);
+            SpreadAction::FetchFromPeer { from, missing } => {
+                for wanted in missing {
+                    self.fetch(index, from.0 as usize, wanted);
                 }
             }
             SpreadAction::FetchFromService { .. } => self.service_reads += 1,
@@ -64,8 +64,8 @@
         }
     }
 
-    fn fetch(&mut self, index: usize, holder: usize, want: Want) {
-        let Want { account, version } = want;
+    fn fetch(&mut self, index: usize, holder: usize, wanted: MissingVersion) {
+        let MissingVersion { account, version } = wanted;
         let has = self.nodes[holder].version(account) >= Some(version);
         if has && !self.dead.contains(&holder) {
             self.dispatch(index, SpreadEvent::Installed { account, version });
@@ -98,7 +98,7 @@
     fleet.dead = dead.to_vec();
     fleet.install(0, 5);
     let rounds = fleet.rounds_until_all_have(5);
-    assert!(rounds * ROUND_MS <= 7_000, "{rounds} rounds");
+    assert!(rounds * ROUND_INTERVAL_MS <= 7_000, "{rounds} rounds");
 }
 
 /// A node reads an old copy from a stale configuration service after the fleet has moved on. Nobody,
@@ -116,34 +116,34 @@
 /// The peer that announced a version dies before it is fetched. The settings still arrive, since the
 /// configuration service is asked after a while.
 #[test]
-fn want_silent_peer_asks_service() {
+fn fetch_silent_peer_asks_service() {
     let mut node = Spread::new(Peer { id: NodeId(1), zone: "a".into() }, 1, Millis(0));
     let notice = Notice::Settings { account: AccountId(9), version: Version(2) };
     let message = SpreadMessage::Notices(vec![notice]);
     let mut out = Vec::new();
     node.handle(Millis(0), SpreadEvent::Message { from: NodeId(2), message }, &mut out);
     let (account, version) = (AccountId(9), Version(2));
-    let wants = vec![Want { account, version }];
-    assert_eq!(out, [SpreadAction::FetchFromPeer { from: NodeId(2), wants }]);
+    let missing = vec![MissingVersion { account, version }];
+    assert_eq!(out, [SpreadAction::FetchFromPeer { from: NodeId(2), missing }]);
     out.clear();
-    node.handle(Millis(PEER_FETCH_MS), SpreadEvent::Tick, &mut out);
+    node.handle(Millis(PEER_FETCH_TIMEOUT_MS), SpreadEvent::Tick, &mut out);
     assert_eq!(out, [SpreadAction::FetchFromService { account }]);
 }
 
 /// A balancer starts and reads 300 accounts. It tells nobody: its peers have them, and 300 rumours from
 /// each replaced instance would take the byte budget for seconds.
 #[test]
-fn installed_while_starting_is_no_rumour() {
+fn installed_while_starting_is_not_sent() {
     let mut node = Spread::new(Peer { id: NodeId(1), zone: "a".into() }, 1, Millis(0));
     for n in 1..=300 {
         let event = SpreadEvent::Installed { account: AccountId(n), version: Version(1) };
         node.handle(Millis(0), event, &mut Vec::new());
     }
-    assert_eq!(node.rumours.len(), 0);
+    assert_eq!(node.queued.len(), 0);
     node.handle(Millis(0), SpreadEvent::Confirmed { age_ms: 0 }, &mut Vec::new());
     let event = SpreadEvent::Installed { account: AccountId(1), version: Version(2) };
     node.handle(Millis(0), event, &mut Vec::new());
-    assert_eq!(node.rumours.len(), 1);
+    assert_eq!(node.queued.len(), 1);
 }
 
 /// An agent is paused and reported down, then wakes. Whoever hears a later heartbeat refutes the
--- a/crates/loadgen/src/control/fleet.rs
+++ b/crates/loadgen/src/control/fleet.rs
@@ -2,7 +2,8 @@
 
 use decision::keys::{AccountId, Version};
 use decision::spread::{
-    NodeId, Peer, ROUND_MS, Spread, SpreadAction, SpreadEvent, SpreadMessage, Tuning, Want,
+    MissingVersion, NodeId, Peer, ROUND_INTERVAL_MS, Spread, SpreadAction, SpreadEvent,
+    SpreadMessage, Tuning,
 };
 use decision::time::Millis;
 use wire::exchange::SUBTREES_MAX;
@@ -155,7 +156,7 @@
     }
 
     fn round(&mut self) {
-        self.now = self.now.after(ROUND_MS);
+        self.now = self.now.after(ROUND_INTERVAL_MS);
         for (node, event) in std::mem::take(&mut self.queue) {
             self.dispatch(node, event);
         }
@@ -180,13 +181,13 @@
     fn perform(&mut self, node: usize, action: SpreadAction) {
         match action {
             SpreadAction::Send { to, message } => self.send(node, to, message),
-            SpreadAction::FetchFromPeer { from, wants } => {
+            SpreadAction::FetchFromPeer { from, missing } => {
                 // A list entry is a name of 20 bytes, a version and two separators.
                 let entry_bytes = 26;
-                let exchanges = wants.len().div_ceil(SUBTREES_MAX) as u64;
-                let bodies = wants.len() as u64 * (self.delta_bytes + entry_bytes);
+                let exchanges = missing.len().div_ceil(SUBTREES_MAX) as u64;
+                let bodies = missing.len() as u64 * (self.delta_bytes + entry_bytes);
                 self.count(node, from.0 as usize, exchanges * self.exchange_bytes + bodies);
-                for Want { account, version } in wants {
+                for MissingVersion { account, version } in missing {
                     self.queue.push((node, SpreadEvent::Installed { account, version }));
                 }
             }
