--- a/crates/agent/src/plane/notes.rs
+++ b/crates/agent/src/plane/notes.rs
@@ -14,7 +14,7 @@
         Note::Admitted(opening) => ("admitted", opened(opening)),
         Note::Assigned { opening, to } => ("assigned", opened(opening).with("to", Value::Id(to.0))),
         Note::Refused { opening, reason } => {
-            let reason = Value::Word(Code::from(reason).name());
+            let reason = Value::Static(Code::from(reason).name());
             ("refused", opened(opening).with("reason", reason))
         }
         Note::Ended(flow) => ("ended", of_flow(flow)),
--- a/crates/shell/src/settings_sync/store.rs
+++ b/crates/shell/src/settings_sync/store.rs
@@ -221,7 +221,7 @@
             Outcome::Accepted(version) => {
                 log::info!(account, version = version.0, source = source.word(); "settings accepted");
                 let fields = Fields::default().with("version", Value::Number(version.0));
-                let fields = fields.with("source", Value::Word(source.word()));
+                let fields = fields.with("source", Value::Static(source.word()));
                 self.timeline.record(account, "settings_accepted", fields);
             }
             Outcome::Refused(faults) => {
--- a/crates/telemetry/src/budget.rs
+++ b/crates/telemetry/src/budget.rs
@@ -1,16 +1,16 @@
 //! A bound on the log lines of each kind.
 
 /// Lines of one kind that may come at once.
-pub const BURST: u32 = 20;
+pub const BURST_LINES: u32 = 20;
 /// Lines of one kind a second after that.
-pub const PER_SECOND: u32 = 5;
+pub const LINES_PER_SECOND: u32 = 5;
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     code: u16,
     /// Thousandths of a line.
-    tokens: u64,
-    at_ms: u64,
+    millitokens: u64,
+    refilled_at_ms: u64,
     suppressed: u64,
 }
 
@@ -24,31 +24,32 @@
     /// Whether a line may be written now; if so, how many of its kind were left out before.
     ///
     /// ```
-    /// use telemetry::budget::{BURST, LineBudget};
+    /// use telemetry::budget::{BURST_LINES, LineBudget};
     /// let mut budget = LineBudget::default();
     /// let lines = (0..100).filter(|_| budget.allow(0, 2201).is_some()).count();
-    /// assert_eq!(lines, BURST as usize);
+    /// assert_eq!(lines, BURST_LINES as usize);
     /// assert_eq!(budget.allow(200, 2201), Some(80));
     /// ```
     pub fn allow(&mut self, now_ms: u64, code: u16) -> Option<u64> {
-        let full = u64::from(BURST) * 1_000;
+        let full = u64::from(BURST_LINES) * 1_000;
         let index = match self.buckets.binary_search_by_key(&code, |bucket| bucket.code) {
             Ok(index) => index,
             Err(index) => {
-                let bucket = Bucket { code, tokens: full, at_ms: now_ms, suppressed: 0 };
+                let bucket =
+                    Bucket { code, millitokens: full, refilled_at_ms: now_ms, suppressed: 0 };
                 self.buckets.insert(index, bucket);
                 index
             }
         };
         let bucket = &mut self.buckets[index];
-        let gained = now_ms.saturating_sub(bucket.at_ms) * u64::from(PER_SECOND);
-        bucket.tokens = full.min(bucket.tokens + gained);
-        bucket.at_ms = now_ms;
-        if bucket.tokens < 1_000 {
+        let gained = now_ms.saturating_sub(bucket.refilled_at_ms) * u64::from(LINES_PER_SECOND);
+        bucket.millitokens = full.min(bucket.millitokens + gained);
+        bucket.refilled_at_ms = now_ms;
+        if bucket.millitokens < 1_000 {
             bucket.suppressed += 1;
             return None;
         }
-        bucket.tokens -= 1_000;
+        bucket.millitokens -= 1_000;
         Some(std::mem::take(&mut bucket.suppressed))
     }
 }
--- a/crates/telemetry/src/queued.rs
+++ b/crates/telemetry/src/queued.rs
@@ -14,24 +14,24 @@
 use logforth::{Diagnostic, Layout};
 
 /// Lines that wait at most; with 400 bytes each this is 100 KB.
-pub const LINES_MAX: usize = 256;
+pub const QUEUE_LINES_MAX: usize = 256;
 /// Lines written with one call.
 const BATCH_BYTES: usize = 4 << 10;
 
 /// Appends lines to a queue.
 #[derive(Debug)]
-pub struct Queued {
+pub struct QueuedAppender {
     layout: JsonLayout,
     sender: Mutex<SyncSender<Vec<u8>>>,
     dropped: Arc<AtomicU64>,
 }
 
-impl Queued {
+impl QueuedAppender {
     /// A queue before `out`, with a thread that writes.
     ///
     /// Errors: the thread could not be started.
-    pub fn before(out: impl Write + Send + 'static) -> std::io::Result<Self> {
-        let (sender, receiver) = sync_channel(LINES_MAX);
+    pub fn new(out: impl Write + Send + 'static) -> std::io::Result<Self> {
+        let (sender, receiver) = sync_channel(QUEUE_LINES_MAX);
         let dropped = Arc::new(AtomicU64::new(0));
         let counted = Arc::clone(&dropped);
         thread::Builder::new()
@@ -51,7 +51,7 @@
     }
 }
 
-impl Append for Queued {
+impl Append for QueuedAppender {
     fn append(
         &self,
         record: &logforth::record::Record,
@@ -73,7 +73,7 @@
 ///
 /// Errors: the thread that writes could not be started.
 pub fn start(instance: &str) -> std::io::Result<bool> {
-    Ok(crate::log::start_to(instance, Queued::before(std::io::stdout())?))
+    Ok(crate::log::start_to(instance, QueuedAppender::new(std::io::stdout())?))
 }
 
 fn write_all(mut out: impl Write, lines: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
--- a/crates/telemetry/src/timeline.rs
+++ b/crates/telemetry/src/timeline.rs
@@ -18,7 +18,7 @@
     /// An id, written as hexadecimal text because JSON numbers lose large integers.
     Id(u64),
     /// A word known at build time.
-    Word(&'static str),
+    Static(&'static str),
     /// Any text.
     Text(Arc<str>),
 }
@@ -77,7 +77,7 @@
             match value {
                 Value::Number(number) => map.serialize_entry(name, number)?,
                 Value::Id(id) => map.serialize_entry(name, &format!("{id:016x}"))?,
-                Value::Word(word) => map.serialize_entry(name, word)?,
+                Value::Static(text) => map.serialize_entry(name, text)?,
                 Value::Text(text) => map.serialize_entry(name, text)?,
             }
         }
--- a/crates/telemetry/tests/log_bounds.rs
+++ b/crates/telemetry/tests/log_bounds.rs
@@ -4,9 +4,9 @@
 use std::sync::mpsc::{Receiver, channel};
 
 use rstest::rstest;
-use telemetry::budget::{BURST, LineBudget, PER_SECOND};
+use telemetry::budget::{BURST_LINES, LINES_PER_SECOND, LineBudget};
 use telemetry::flowline::FlowLine;
-use telemetry::queued::{LINES_MAX, Queued};
+use telemetry::queued::{QUEUE_LINES_MAX, QueuedAppender};
 
 /// Output that nobody reads: every write waits until it is let go.
 struct Blocked(Receiver<()>);
@@ -27,11 +27,11 @@
 #[test]
 fn blocked_output_blocks_nobody() {
     let (release, blocked) = channel();
-    let queued = Queued::before(Blocked(blocked)).unwrap();
-    let lines = 10 * LINES_MAX;
+    let queued = QueuedAppender::new(Blocked(blocked)).unwrap();
+    let lines = 10 * QUEUE_LINES_MAX;
     let taken = (0..lines).filter(|_| queued.push(vec![b'x'; 5_000])).count();
-    assert!(taken >= LINES_MAX, "the queue itself has room");
-    assert!(taken <= LINES_MAX + 1, "and one line is being written");
+    assert!(taken >= QUEUE_LINES_MAX, "the queue itself has room");
+    assert!(taken <= QUEUE_LINES_MAX + 1, "and one line is being written");
     drop(release);
 }
 
@@ -51,7 +51,7 @@
             }
         }
     }
-    let bound = BURST + 10 * PER_SECOND;
+    let bound = BURST_LINES + 10 * LINES_PER_SECOND;
     assert!(written.iter().all(|count| *count <= bound && *count >= bound - 1), "{written:?}");
     let all = u64::try_from(codes.len()).unwrap() * 10_000;
     let total = suppressed + written.iter().map(|count| u64::from(*count)).sum::<u64>();
--- a/crates/telemetry/tests/timeline.rs
+++ b/crates/telemetry/tests/timeline.rs
@@ -41,7 +41,7 @@
     let timeline = Timeline::new("shelf-1".into(), 1);
     let fields = Fields::default()
         .with("flow", Value::Id(258))
-        .with("reason", Value::Word("all_full"))
+        .with("reason", Value::Static("all_full"))
         .with("peer", Value::Text("shelf-2".into()))
         .with("version", Value::Number(7))
         .with("fifth", Value::Number(0));
