--- a/crates/decision/src/keys.rs
+++ b/crates/decision/src/keys.rs
@@ -32,11 +32,11 @@
     FlowId
 );
 id!(
-    /// Version of one account's settings; only grows.
+    /// Version of one account's settings; never decreases.
     Version
 );
 id!(
-    /// Distinguishes the lives of one process; a later life has the larger number.
+    /// Distinguishes successive runs of one process; a later run has the larger number.
     Incarnation
 );
 
@@ -52,7 +52,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamKey(pub u32);
 
-/// One of the fixed number of shares into which the flows of a service are hashed.
+/// One of the [`BUCKET_COUNT`](crate::rank::BUCKET_COUNT) buckets into which the flows of a service
+/// are hashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BucketIndex(pub u16);
 
@@ -69,7 +70,7 @@
 }
 
 impl ServiceId {
-    /// Derives the id of a service from its account's and its own name.
+    /// Derives the id of a service from the names of account and service.
     ///
     /// ```
     /// use decision::keys::ServiceId;
@@ -95,7 +96,7 @@
     }
 }
 
-/// Hashes names with their lengths, so that `["ab", "c"]` and `["a", "bc"]` differ.
+/// Hashes each name together with its length, so that `["ab", "c"]` and `["a", "bc"]` differ.
 fn hash_names(names: &[&str]) -> u64 {
     let mut hasher = SipHasher13::new();
     for name in names {
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decision core: every choice that the balancers and agents make, as plain data in and out.
+//! The decision core: all decisions of the balancers and agents, without input or output.
 //!
-//! Nothing here reads a clock, opens a socket, starts a thread or draws from a global source of
-//! random numbers. Time, seeds, settings and the messages of peers come in as arguments; what
-//! should happen comes out as values. A shell, a fuzzer or a bench can drive the same decisions.
+//! Nothing here reads a clock, opens a socket, starts a thread or uses a global random number
+//! generator. Time, seeds, settings and the messages of peers are arguments; the actions to perform
+//! are returned as values. The daemons, the fuzzer and the benchmarks therefore run the same code.
 
 pub mod agent;
 pub mod keys;
--- a/crates/decision/src/message.rs
+++ b/crates/decision/src/message.rs
@@ -1,9 +1,9 @@
-//! Messages that the agents of one service exchange. All are idempotent: any may be lost,
-//! duplicated, delayed or reordered without harm to an open flow.
+//! Messages between the agents of one service. All are idempotent: loss, duplication, delay and
+//! reordering do not harm open flows.
 
 use crate::keys::{FlowId, Incarnation, UpstreamId, Version};
 
-/// What a claim wants recorded for an opening.
+/// The decision about an opening that a claimant asks the witnesses to record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Claim {
     /// The opening runs at this upstream and nowhere else.
@@ -12,146 +12,158 @@
     Refuse,
 }
 
-/// Identifies one opening: retransmissions share it, a later connection on the same ports does not.
+/// Identifies one opening. Retransmissions have the same value; a later connection on the same
+/// ports has a different one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Opening {
     /// Flow that is being opened.
     pub flow: FlowId,
-    /// Initial sequence number of the caller for TCP, a hash of the payload for UDP.
+    /// The caller's initial sequence number for TCP, a hash of the payload for UDP.
     pub nonce: u32,
 }
 
-/// Answer of a witness to a claim.
+/// A witness's reply to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimAnswer {
     /// Recorded now, or recorded before with the same content.
     Granted,
-    /// Another claim came first and stands.
+    /// A different claim was recorded earlier and remains in force.
     Taken(Claim),
-    /// The witness restarted too recently to know what it promised before.
+    /// The witness has restarted too recently to know which claims it granted before.
     Abstained,
-    /// The witness runs newer settings than the claimant, who must catch up and ask again.
+    /// The witness runs newer settings than the claimant, which must update and retry.
     StaleView,
 }
 
-/// What an agent knows about a flow when asked.
+/// An agent's reply to the question whether it knows a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Knowledge {
     /// The asked agent holds the flow.
     Mine,
-    /// The asked agent was told that another one holds it.
+    /// The asked agent knows of another agent that holds it.
     HeldBy(UpstreamId),
-    /// The asked agent holds a flow on these ports that is closing: somebody may hold a later one.
+    /// The asked agent holds a flow on these ports that is closing. Another agent may hold a later
+    /// flow on them.
     Closing,
-    /// The asked agent does not hold it and would know if it did.
+    /// The asked agent certainly does not hold it.
     NotMine,
-    /// The asked agent restarted and may hold it without knowing.
+    /// The asked agent has restarted and may hold the flow without knowing it.
     Unsure,
-    /// The same, and its upstream reports more flows than it knows. Only in a [`Message::Tell`].
+    /// Like [`Unsure`](Self::Unsure), and its upstream reports more flows than the agent knows.
+    /// Sent only in a [`Message::Tell`].
     Likely,
-    /// The same, but its upstream reports no flow that it does not know for certain. Only in a
-    /// [`Message::Tell`].
+    /// Like [`Unsure`](Self::Unsure), but its upstream reports no flow beyond those that the agent
+    /// knows for certain. Sent only in a [`Message::Tell`].
     Unlikely,
 }
 
-/// A witness's record of a claim, as told to another witness after its restart.
+/// A witness's record of a claim, as sent to another witness that has restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimRecord {
     /// The opening.
     pub opening: Opening,
     /// What is recorded for it.
     pub claim: Claim,
-    /// Life of the claimant.
+    /// Incarnation of the claimant.
     pub incarnation: Incarnation,
 }
 
-/// What a witness knows of the promises that it may have made.
+/// Whether a witness has records of all claims that it may have granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordCompleteness {
-    /// All of them.
+    /// It has all records.
     Complete,
-    /// It believes that it never made any: its upstream has just begun, and so has its listing.
+    /// It has probably never granted a claim: neither it nor its upstream has run before, and the
+    /// settings have only just listed the upstream.
     Newborn,
-    /// It may have made some that it does not know.
+    /// It may have granted claims of which it has no record.
     Forgetful,
 }
 
-/// One change of a holder's flow table, or one flow of it when everything is announced again.
+/// A change of a holder's flow table, or one of its flows when the whole table is announced again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowNote {
     /// The opening that the flow came from.
     pub opening: Opening,
     /// False once the flow is closing or has ended.
     pub open: bool,
-    /// Milliseconds since the sender's upstream took the flow, when the note was sent. Where two
-    /// holders announce one flow with different nonces, the later opening is the living one.
+    /// Age of the flow at the sender's upstream when the note was sent, in milliseconds. If two
+    /// holders announce the same flow with different nonces, the younger one is the current flow.
     pub age_ms: u32,
 }
 
-/// A flow of an agent that is silent, as told to another one that has lost its memory.
+/// A flow of an unresponsive agent, as reported to a third agent that has restarted. The holder
+/// itself cannot report it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entrusted {
     /// The opening that the flow came from.
     pub opening: Opening,
-    /// The silent agent that holds it.
+    /// The unresponsive agent that holds it.
     pub holder: UpstreamId,
 }
 
-/// A former membership of the service of which so many members run later settings that the others are
-/// no majority: nobody can claim anything under it, and what was claimed is forgotten after a while.
+/// An earlier membership of the service under which nobody can win a claim any more: so many of its
+/// members run later settings that the others are no majority. Claims that were granted under it
+/// expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outdated {
     /// First version with these members.
     pub from: Version,
     /// First version with other members.
     pub next: Version,
-    /// Milliseconds after which everything that was claimed under it is forgotten.
+    /// Milliseconds until all claims that were granted under it have expired.
     pub expires_in_ms: u32,
 }
 
-/// How a leaving agent has handed over. It says so anew whenever it has found another agent silent.
+/// State of a leaving agent's handover. The agent sends it again whenever it has found another
+/// agent unresponsive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HandedOver {
-    /// How often this life has found an agent silent. Each time the receiver asks for what the sender
-    /// knows of that one's flows.
+    /// How often this incarnation has found an agent unresponsive. Whenever the number grows, the
+    /// receiver asks the sender what it knows of the flows of unresponsive agents.
     pub peer_timeouts: u32,
-    /// To how many agents that are up the sender tells its flows, zero if the receiver is none of them.
+    /// Number of responsive agents to which the sender announces its flows; zero if the receiver is
+    /// not one of them.
     pub informed_agents: u32,
 }
 
-/// What an agent knows of the life of another before its present one.
+/// What an agent knows of another agent's previous incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PreviousIncarnation {
-    /// That life, if it was met.
+    /// The previous incarnation, if the agent has received messages from it.
     pub incarnation: Option<Incarnation>,
-    /// The newest that it has said at its end.
+    /// The last handover state that it sent.
     pub handed_over: Option<HandedOver>,
-    /// Whether the agent's own former life has handed over, so that it knows what was entrusted to it.
+    /// Whether the agent itself has restarted and recovered everything that its own previous
+    /// incarnation handed over, including what it knew of other agents' flows.
     pub resumed: bool,
 }
 
-/// Load and state of an agent, sent to its peers as heartbeat.
+/// Load and state of an agent, sent to its peers periodically.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Life of the sending process.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// First life beside the present upstream process, if the sender knows: whatever an earlier one
-    /// has announced is gone.
+    /// First incarnation that ran beside the present upstream process, if the sender knows it.
+    /// Flows that an earlier incarnation has announced ended with the previous upstream process.
     pub born: Option<Incarnation>,
-    /// Grows with each heartbeat and through all lives of the agent: its incarnation plus the
-    /// milliseconds since its start. Orders what observers say about its liveness.
+    /// Sequence number that grows with each heartbeat, also across restarts: the incarnation plus
+    /// the milliseconds since the start. Orders the reports of observers about the agent's
+    /// liveness.
     pub beat: u64,
     /// Settings version in force at the sender.
     pub view: Version,
     /// Flows that the sender holds.
     pub open_flows: u32,
-    /// Openings delivered but not yet answered by the caller's next packet.
+    /// Openings that were delivered to the upstream but not yet followed by another packet of the
+    /// caller.
     pub unanswered: u32,
-    /// False while draining, shedding, cold or leaving: assign no opening to the sender.
+    /// Whether openings may be assigned to the sender. False while it drains, sheds, is cold or
+    /// leaves.
     pub accepting: bool,
-    /// Share of its weight that a cold upstream takes for now, in percent.
+    /// Percentage of its weight that the upstream takes while it warms up.
     pub ramp_percent: u8,
-    /// True once the sender leaves: buckets move to the next rank.
+    /// Whether the sender leaves. Its buckets then move to the next rank.
     pub leaving: bool,
 }
 
@@ -162,39 +174,39 @@
     ClaimRequest {
         /// The opening.
         opening: Opening,
-        /// What is to be recorded.
+        /// What the witness is asked to record.
         claim: Claim,
         /// Settings version of the claimant.
         view: Version,
-        /// Life of the claimant. A later life of a holder must not use what an earlier one was
-        /// granted: the earlier one may have run the opening.
+        /// Incarnation of the claimant. A later incarnation must not use a grant to an earlier one,
+        /// because the earlier one may already have run the opening.
         incarnation: Incarnation,
     },
     /// Answers a [`Message::ClaimRequest`].
     ClaimReply {
         /// The opening.
         opening: Opening,
-        /// What was asked for.
+        /// The claim that was requested.
         claim: Claim,
-        /// What the witness says.
+        /// The witness's reply.
         answer: ClaimAnswer,
         /// Settings version of the witness.
         view: Version,
-        /// Life of the claimant that asked.
+        /// Incarnation of the claimant that sent the request.
         incarnation: Incarnation,
     },
-    /// Tells the home and the next rank which flows the sender holds.
+    /// Announces to the home and the next rank which flows the sender holds.
     Announce {
-        /// Life of the sender.
+        /// Incarnation of the sender.
         incarnation: Incarnation,
-        /// Number of this batch, for the acknowledgement.
+        /// Number of this batch, repeated in the acknowledgement.
         sequence: u64,
         /// Changes since the last batch.
         notes: Vec<FlowNote>,
     },
     /// Acknowledges an [`Message::Announce`].
     AnnounceAck {
-        /// Life of the receiver of the batch.
+        /// Incarnation of the receiver of the batch.
         incarnation: Incarnation,
         /// Number of the batch.
         sequence: u64,
@@ -203,7 +215,8 @@
     Ask {
         /// The flow.
         flow: FlowId,
-        /// Number of the question, so that a late answer to an older one is not taken for new.
+        /// Number of the question. Keeps a late reply to an older question from being taken for a
+        /// reply to this one.
         question: u64,
     },
     /// Answers an [`Message::Ask`].
@@ -214,11 +227,12 @@
         question: u64,
         /// What the sender knows.
         knowledge: Knowledge,
-        /// Settings version of the sender: in a newer one there may be holders not yet asked.
+        /// Settings version of the sender. A newer version may list holders that were not yet
+        /// asked.
         view: Version,
     },
-    /// Asks whether the receiver knows the connection that a packet belongs to. An agent that cannot read it
-    /// gets a [`Message::Ask`] when it stays silent.
+    /// Asks whether the receiver knows the connection that a packet belongs to. An agent that does
+    /// not reply, for example because it cannot decode this message, gets a [`Message::Ask`].
     AskAbout {
         /// The flow.
         flow: FlowId,
@@ -238,38 +252,38 @@
         /// Settings version of the sender.
         view: Version,
     },
-    /// Asks a peer, after a restart, for all flows that it believes the sender to hold.
+    /// Asks a peer, after a restart, for all flows that the sender holds according to that peer.
     Relearn {
-        /// New life of the sender.
+        /// New incarnation of the sender.
         incarnation: Incarnation,
-        /// First flow of the page, zero to begin with.
+        /// First flow of the page; zero for the first page.
         from: FlowId,
     },
     /// Answers a [`Message::Relearn`] with one page.
     RelearnReply {
-        /// Life that asked.
+        /// Incarnation that asked.
         incarnation: Incarnation,
         /// First flow of this page.
         from: FlowId,
-        /// Openings that the asker holds according to the sender.
+        /// Openings of the flows that the asker holds according to the sender.
         openings: Vec<Opening>,
-        /// Flows of agents that are silent: these cannot tell the asker themselves.
+        /// Flows of unresponsive agents, which cannot report them to the asker themselves.
         entrusted: Vec<Entrusted>,
         /// Where the next page begins; `None` after the last.
         next: Option<FlowId>,
-        /// True if the sender itself has been complete since before the asker restarted.
+        /// Whether the sender's own knowledge has been complete since before the asker restarted.
         complete: bool,
     },
     /// Asks a witness, after a restart, for its records of claims.
     Recall {
-        /// New life of the sender.
+        /// New incarnation of the sender.
         incarnation: Incarnation,
-        /// Where the page begins, zero to begin with.
+        /// Where the page begins; zero for the first page.
         from: u64,
     },
     /// Answers a [`Message::Recall`] with one page.
     RecallReply {
-        /// Life that asked.
+        /// Incarnation that asked.
         incarnation: Incarnation,
         /// Where this page begins.
         from: u64,
@@ -277,26 +291,28 @@
         records: Vec<ClaimRecord>,
         /// Where the next page begins; `None` after the last.
         next: Option<u64>,
-        /// What the sender knows of its own promises.
+        /// Whether the sender's own records are complete.
         memory: RecordCompleteness,
-        /// Whether the sender has met an earlier life of the asker.
+        /// Whether the sender has received messages from an earlier incarnation of the asker.
         met_before: bool,
     },
-    /// Load and liveness.
+    /// Reports load and liveness of the sender.
     Heartbeat(Heartbeat),
-    /// A former membership of the service that needs no majority any more, another one each time.
+    /// Reports an earlier membership of the service whose majority is no longer needed. Successive
+    /// messages report the outdated memberships in turn.
     Outdated(Outdated),
-    /// The sender is about to end: it has told everything that the receiver must know, and takes no
-    /// flow any more.
+    /// The sender is about to exit: it has sent everything that the receiver must know and accepts
+    /// no more flows.
     HandedOver {
-        /// Life that ends.
+        /// Incarnation that ends.
         incarnation: Incarnation,
-        /// To whom it has told everything.
+        /// State of the handover.
         state: HandedOver,
     },
-    /// Beside the answer to a [`Message::Relearn`]: what the sender knows of the asker's former life.
+    /// Sent together with the reply to a [`Message::Relearn`]: what the sender knows of the asker's
+    /// previous incarnation.
     Former {
-        /// Life that asked.
+        /// Incarnation that asked.
         incarnation: Incarnation,
         /// What the sender knows.
         former: PreviousIncarnation,
--- a/crates/decision/src/rank.rs
+++ b/crates/decision/src/rank.rs
@@ -1,7 +1,8 @@
-//! Weighted rendezvous hashing: which agents are first in line for a bucket.
+//! Weighted rendezvous hashing: ranks the agents of a service for each bucket.
 //!
-//! Every upstream draws a score from a hash of (service, bucket, upstream); a larger weight makes
-//! a larger score likelier. A change of one upstream moves only the buckets it wins or loses.
+//! The score of an upstream is derived from a hash of (service, bucket, upstream); a larger weight
+//! makes a larger score more likely. Adding, removing or reweighting one upstream moves only the
+//! buckets that it gains or loses.
 
 use std::hash::Hasher as _;
 
@@ -9,11 +10,11 @@
 
 use crate::keys::{BucketIndex, FlowId, ServiceId, UpstreamId};
 
-/// Buckets of a service. With 64 buckets and a mean of five upstreams, one agent's share is off
-/// by a few buckets; homes spread openings by load, so the share need not be exact.
+/// Buckets of a service. With 64 buckets and a mean of five upstreams, an agent's share deviates
+/// from its weight by a few buckets. That is enough, because homes assign openings by load.
 pub const BUCKET_COUNT: u16 = 64;
 
-/// The bucket of a flow.
+/// Maps a flow to its bucket.
 ///
 /// ```
 /// use decision::{keys::FlowId, rank};
@@ -24,7 +25,8 @@
     BucketIndex((wide >> 64) as u16)
 }
 
-/// Sorts `candidates` (id, weight) from first to last rank for a bucket; weight zero is left out.
+/// Sorts `candidates` (id, weight) from first to last rank for a bucket; those with weight zero are
+/// left out.
 ///
 /// ```
 /// use decision::{keys::*, rank};
@@ -45,7 +47,7 @@
     scored.into_iter().map(|(_, id)| id).collect()
 }
 
-/// The logarithmic method: `-weight / ln(u)` with `u` uniform in (0, 1).
+/// Logarithmic method of weighted rendezvous hashing: `-weight / ln(u)` with `u` uniform in (0, 1).
 fn score(service: ServiceId, bucket: BucketIndex, upstream: UpstreamId, weight: u32) -> f64 {
     let mut hasher = SipHasher13::new();
     hasher.write_u64(service.0);
--- a/crates/decision/src/router/mod.rs
+++ b/crates/decision/src/router/mod.rs
@@ -1,4 +1,5 @@
-//! The balancer's whole decision: which agent gets a packet. Pure function of view and liveness.
+//! Routing in the balancer: chooses the agent that gets a packet. The result is a pure function of
+//! the view and the set of agents that are believed down.
 
 use std::sync::Arc;
 
@@ -9,7 +10,7 @@
 /// Where a packet goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Service that owns the destination.
+    /// Service that owns the destination address.
     pub service: ServiceKey,
     /// Bucket of the flow.
     pub bucket: BucketIndex,
@@ -17,16 +18,16 @@
     pub home: UpstreamKey,
 }
 
-/// Routes packets by view and suspected agents.
+/// Routes packets to the first agent of a bucket's ranking that is not believed down.
 #[derive(Clone, Debug, Default)]
 pub struct Router {
     view: Arc<View>,
-    /// Sorted ids of agents that are believed unable to take packets.
+    /// Sorted ids of the agents that are believed down.
     down: Vec<UpstreamId>,
 }
 
 impl Router {
-    /// A router over `view` that passes over the agents in `down`.
+    /// Creates a router over `view` that skips the agents in `down`.
     ///
     /// ```
     /// use decision::router::Router;
@@ -48,17 +49,18 @@
         self.view.find_endpoint(endpoint)
     }
 
-    /// The home of a flow, see [`Router::home`].
+    /// Routes a flow to the home of its bucket, see [`Router::home`].
     pub fn route(&self, service: ServiceKey, flow: FlowId) -> Option<Route> {
         let bucket = rank::bucket_of(flow);
         let home = self.home(service, bucket)?;
         Some(Route { service, bucket, home })
     }
 
-    /// The home of a bucket: the first rank that is not down, or the first rank if all are.
+    /// The home of a bucket: the first agent of its ranking that is not down, or the first agent if
+    /// all are down.
     ///
-    /// A suspicion may be false. The agent that gets the packet instead asks its peers, so a
-    /// living flow is found all the same, at the price of one more hop.
+    /// An agent may be suspected wrongly. The agent that gets its packets instead asks its peers,
+    /// so an open flow is still found, at the cost of one more hop.
     pub fn home(&self, service: ServiceKey, bucket: BucketIndex) -> Option<UpstreamKey> {
         let ranking = self.view.service(service).ranking(bucket);
         let up = ranking.iter().find(|key| !self.is_down(**key));
--- a/crates/decision/src/time.rs
+++ b/crates/decision/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the core sees it: a number that the caller passes in.
+//! Time as a number that the caller passes in.
 
 /// Milliseconds of a monotonic clock that also counts suspended time (`CLOCK_BOOTTIME`).
 ///
@@ -11,12 +11,12 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// Milliseconds from `earlier` to `self`, zero where `earlier` lies in the future.
+    /// Milliseconds from `earlier` to `self`, zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Millis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The moment `delay_ms` after `self`.
+    /// The time `delay_ms` after `self`, saturating.
     pub fn after(self, delay_ms: u64) -> Millis {
         Millis(self.0.saturating_add(delay_ms))
     }
--- a/crates/decision/src/view/build.rs
+++ b/crates/decision/src/view/build.rs
@@ -1,4 +1,4 @@
-//! Building a view from checked subtrees.
+//! Building a view from validated subtrees.
 
 use super::{Account, AccountSpec, Service, ServiceSpec, Upstream, UpstreamState, View};
 use crate::keys::{
@@ -6,7 +6,7 @@
 };
 use crate::rank;
 
-/// Builds a view. The subtrees are taken as checked: names unique, endpoints disjoint.
+/// Builds a view. The subtrees must have been validated: names are unique, endpoints disjoint.
 ///
 /// ```
 /// use decision::{keys::Version, view};
--- a/crates/decision/src/view/mod.rs
+++ b/crates/decision/src/view/mod.rs
@@ -1,6 +1,6 @@
-//! The settings as the core sees them: immutable tables built from checked account subtrees.
+//! The settings as the core uses them: immutable tables built from validated account subtrees.
 //!
-//! A [`View`] is shared behind an `Arc` and replaced whole. Services and upstreams are kept in
+//! A [`View`] is shared behind an `Arc` and replaced as a whole. Services and upstreams are kept in
 //! sorted vectors; the ranking of every bucket is computed when the view is built.
 
 mod build;
@@ -34,10 +34,11 @@
     pub transport: Transport,
 }
 
-/// What a service does with an opening when a witness stays silent.
+/// What a service does with an opening when a witness does not reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WhenInDoubt {
-    /// Admit after a short wait: the caller's handshake completes at one upstream only.
+    /// Admit after a short wait. If several upstreams admit the opening, the caller's handshake
+    /// still completes at only one of them.
     Admit,
     /// Refuse unless a quorum of the service's agents has recorded the claim.
     Refuse,
@@ -48,13 +49,13 @@
 pub enum UpstreamState {
     /// Takes openings.
     Active,
-    /// Takes no openings, keeps its flows, stays in the ranking as home and witness.
+    /// Takes no openings, keeps its flows and stays in the ranking as home and witness.
     Draining,
-    /// Gone or about to go: counts as a witness of claims, is never ranked.
+    /// Removed or about to be removed: still counts as a witness of claims, but is not ranked.
     Retired,
 }
 
-/// One account's checked subtree, the input from which a view is built.
+/// One account's validated subtree, from which a view is built.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AccountSpec {
     /// Name of the client account.
@@ -72,9 +73,10 @@
     pub name: Arc<str>,
     /// Endpoints, owned by the account.
     pub endpoints: Vec<Endpoint>,
-    /// What to do when a witness is silent.
+    /// What to do with an opening when a witness does not reply.
     pub when_in_doubt: WhenInDoubt,
-    /// Share of load above the zone's mean at which openings spill to other zones, in percent.
+    /// Percentage by which the mean load of a zone may exceed the mean load of all zones before
+    /// openings spill to other zones.
     pub zone_spill_percent: u32,
     /// Upstreams in any order.
     pub upstreams: Vec<UpstreamSpec>,
@@ -91,17 +93,17 @@
     pub weight: u32,
     /// Open flows that the upstream can hold.
     pub max_flows: u32,
-    /// Where the agent takes encapsulated packets and control datagrams.
+    /// Address on which the agent receives encapsulated packets and control datagrams.
     pub agent_address: SocketAddr,
-    /// Where the agent's HTTP endpoint listens.
+    /// Address on which the agent's HTTP endpoint listens.
     pub control_address: SocketAddr,
-    /// Where the upstream takes plain GUE.
+    /// Address on which the upstream receives plain GUE.
     pub address: SocketAddr,
     /// Whether it takes openings.
     pub state: UpstreamState,
     /// First version that lists this upstream.
     pub since: Version,
-    /// Version from which it counts as retired.
+    /// First version in which it counts as retired.
     pub retired: Option<Version>,
 }
 
@@ -121,13 +123,13 @@
 pub struct Service {
     /// Stable id.
     pub id: ServiceId,
-    /// Owner.
+    /// Account that owns the service.
     pub account: AccountKey,
-    /// Settings as checked.
+    /// Validated settings.
     pub spec: ServiceSpec,
-    /// Upstreams of this service as a range of keys, sorted by id.
+    /// Keys of this service's upstreams, in the order of their ids.
     pub upstreams: std::ops::Range<u32>,
-    /// Flattened rankings: `ranks_per_bucket` keys for each bucket, first rank first.
+    /// Rankings of all buckets in one vector: `ranks_per_bucket` keys each, first rank first.
     ranking: Vec<UpstreamKey>,
     ranks_per_bucket: usize,
 }
@@ -139,7 +141,7 @@
     pub id: UpstreamId,
     /// Service that it belongs to.
     pub service: ServiceKey,
-    /// Settings as checked.
+    /// Validated settings.
     pub spec: UpstreamSpec,
 }
 
@@ -153,7 +155,7 @@
 }
 
 impl Service {
-    /// Agents of `bucket` from first to last rank.
+    /// Ranking of `bucket`, from first to last rank.
     pub fn ranking(&self, bucket: BucketIndex) -> &[UpstreamKey] {
         let start = usize::from(bucket.0) * self.ranks_per_bucket;
         &self.ranking[start..start + self.ranks_per_bucket]
@@ -176,17 +178,17 @@
         &self.services
     }
 
-    /// The account behind a key of this view.
+    /// The account with a key of this view.
     pub fn account(&self, key: AccountKey) -> &Account {
         &self.accounts[key.0 as usize]
     }
 
-    /// The service behind a key of this view.
+    /// The service with a key of this view.
     pub fn service(&self, key: ServiceKey) -> &Service {
         &self.services[key.0 as usize]
     }
 
-    /// The upstream behind a key of this view.
+    /// The upstream with a key of this view.
     pub fn upstream(&self, key: UpstreamKey) -> &Upstream {
         &self.upstreams[key.0 as usize]
     }
@@ -201,7 +203,7 @@
         find(&self.services, |service| service.id.cmp(&id)).map(ServiceKey)
     }
 
-    /// Finds the service that answers on an endpoint.
+    /// Finds the service that owns an endpoint.
     pub fn find_endpoint(&self, endpoint: Endpoint) -> Option<ServiceKey> {
         let index = self.endpoints.binary_search_by(|(known, _)| known.cmp(&endpoint)).ok()?;
         Some(self.endpoints[index].1)
