--- a/crates/decision/src/spread/facts.rs
+++ b/crates/decision/src/spread/facts.rs
@@ -1,4 +1,4 @@
-//! The table of facts that spreading keeps equal on all nodes, and its digest.
+//! The table of facts that the gossip protocol replicates to all nodes, and its digest.
 
 use std::hash::Hasher as _;
 
@@ -6,25 +6,25 @@
 
 use crate::keys::{AccountId, UpstreamId, Version};
 
-/// Stands for the root document, which has a version like an account's subtree.
+/// Account id under which the version of the root document is kept.
 pub const ROOT: AccountId = AccountId(0);
 /// Shares into which the facts are hashed for a comparison. One change makes one share differ, so
-/// that about 1/16 of the table is sent and not all of it.
+/// only about 1/16 of the table is sent.
 pub const SHARES: usize = 16;
 
-/// Whether an agent is up, as seen by its peers at one of its heartbeats.
+/// Whether an agent is up, as observed by its peers after one of its heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The agent, named by its upstream.
     pub upstream: UpstreamId,
-    /// Number of the last heartbeat that the observer had from the agent. It grows through all
-    /// lives of an agent, so *down since 7* is refuted by anybody who has heard heartbeat 8.
+    /// Number of the last heartbeat that the observer received from the agent. It grows across all
+    /// incarnations of the agent, so any node that has received heartbeat 8 refutes *down since 7*.
     pub beat: u64,
-    /// False if no further heartbeat came.
+    /// False if no further heartbeat arrived.
     pub up: bool,
 }
 
-/// One fact.
+/// One fact of the replicated table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// A settings version is in force at the sender.
@@ -39,7 +39,7 @@
 }
 
 impl Notice {
-    /// True if one of the two replaces the other.
+    /// Whether the two concern the same account or agent, so that one replaces the other.
     pub fn same_subject(&self, other: &Notice) -> bool {
         match (self, other) {
             (Notice::Settings { account: a, .. }, Notice::Settings { account: b, .. }) => a == b,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Hash of each share of a node's facts.
+/// Hashes of the shares of a node's facts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Digest {
     /// One hash for each share.
@@ -58,7 +58,7 @@
     pub confirmed_age_ms: u64,
 }
 
-/// Versions in force and agents whose state has changed, each sorted by id.
+/// Versions in force, and agents that have been down at least once, each sorted by id.
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
     versions: Vec<(AccountId, Version)>,
@@ -66,7 +66,7 @@
 }
 
 impl Facts {
-    /// Takes in a fact; true if it is news.
+    /// Merges a fact; returns whether it changed the table.
     pub(super) fn learn(&mut self, notice: Notice) -> bool {
         match notice {
             Notice::Settings { account, version } => self.learn_version(account, version),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The version of an account.
+    /// The version of an account in force on this node.
     pub fn version(&self, account: AccountId) -> Option<Version> {
         let index = self.versions.binary_search_by_key(&account, |entry| entry.0).ok()?;
         Some(self.versions[index].1)
@@ -93,14 +93,15 @@
     pub(super) fn digest(&self, confirmed_age_ms: u64) -> Digest {
         let mut shares = [0u64; SHARES];
         for notice in self.notices() {
-            // Addition commutes, so the order in which facts were learned does not matter.
+            // Addition is commutative, so the digest does not depend on the order of the facts.
             let share = &mut shares[share_of(&notice)];
             *share = share.wrapping_add(hash_of(&notice));
         }
         Digest { shares, confirmed_age_ms }
     }
 
-    /// Up to `limit` facts in the shares that differ from `other`, from `offset` on and around.
+    /// Up to `limit` facts in the shares that differ from `other`, beginning at `offset` and
+    /// wrapping around at the end.
     pub(super) fn differences(&self, other: &Digest, offset: usize, limit: usize) -> Vec<Notice> {
         let own = self.digest(0);
         let differs = |notice: &Notice| {
@@ -131,13 +132,14 @@
         true
     }
 
-    /// The later heartbeat wins; at the same heartbeat, *down* wins, since it was said later.
+    /// The later heartbeat wins. At the same heartbeat *down* wins, since it is reported after the
+    /// heartbeat.
     fn learn_member(&mut self, member: Member) -> bool {
         let order = |member: &Member| (member.beat, !member.up);
         match self.members.binary_search_by_key(&member.upstream, |known| known.upstream) {
             Ok(index) if order(&self.members[index]) >= order(&member) => return false,
             Ok(index) => self.members[index] = member,
-            // An agent that was never down needs no entry.
+            // An agent that was never reported down needs no entry.
             Err(_) if member.up => return false,
             Err(index) => self.members.insert(index, member),
         }
--- a/crates/decision/src/spread/mod.rs
+++ b/crates/decision/src/spread/mod.rs
@@ -1,12 +1,14 @@
-//! Spreading settings versions and membership changes among the balancers.
+//! Gossip of settings versions and membership changes among the balancers.
 //!
-//! Two mechanisms share one table of facts. *Rumours* carry a change once to a few random peers, so
-//! that it is everywhere within a logarithmic number of rounds. *Digests* compare the whole table
-//! with one random peer from time to time, so that what a rumour missed is found as well. Contents
-//! of settings are not carried here: a notice names a version, and who lacks it fetches it.
+//! Two mechanisms share one table of facts. *Notices* push each change to a few random peers, which
+//! push it on, so it reaches all nodes within a logarithmic number of rounds. *Digests*
+//! periodically compare the whole table with that of one random peer and thereby repair what
+//! notices missed. Contents of settings are not carried here: a notice names a version, and a node
+//! that lacks it fetches it.
 //!
-//! Nobody is elected. Who watches the configuration service follows from the instance list by
-//! rendezvous; two lists that differ give a few readers too many or too few, and digests cover both.
+//! There is no leader election. Which nodes watch the configuration service follows from the
+//! instance list by rendezvous hashing. If the lists of two nodes differ, there are a few readers
+//! too many or too few for a while, and digests compensate for both.
 
 mod facts;
 mod peers;
@@ -22,48 +24,48 @@
 use crate::keys::{AccountId, UpstreamId, Version};
 use crate::time::Millis;
 
-/// Time between two rounds. Ten rounds are enough for 1,600 nodes and take 2 s of the 7 s allowed.
+/// Time between two rounds. Ten rounds suffice for 1,600 nodes and take 2 s of the 7 s allowed.
 pub const ROUND_INTERVAL_MS: u64 = 200;
-/// Notices in one message. Keeps a node below 10 KB/s while a whole zone is reported: see
-/// `docs/CAPACITY.md` for the measured peak.
+/// Notices in one message. Keeps a node's traffic below 10 KB/s while the failure of a whole zone
+/// is reported; see `docs/CAPACITY.md` for the peak.
 pub const NOTICES_PER_MESSAGE: usize = 16;
-/// Notices in the answer to a comparison, so that it fits a datagram and the byte budget. What does
-/// not fit is found by the next comparison, which starts elsewhere.
+/// Notices in the reply to a comparison, so that it fits a datagram and the byte budget. The next
+/// comparison starts at another offset and finds the remaining differences.
 pub const DIFFERENCES_MAX: usize = 40;
 /// Time between two digest comparisons that a node starts.
 pub const DIGEST_INTERVAL_MS: u64 = 2_000;
-/// Time until the next comparison after one that found a difference: a storm is settled by
-/// comparisons in quick succession, and quiet costs no more than before.
+/// Time until the next comparison after one that found a difference. Comparisons in quick
+/// succession resolve a burst of changes without raising the traffic of an idle fleet.
 pub const UNEQUAL_DIGEST_INTERVAL_MS: u64 = 400;
-/// A node that no peer has confirmed for this long reads the configuration service itself, reader or
-/// not. 11,600 nodes that all do so are 97 reads a second of the 2,000 allowed.
+/// Time without confirmation of its versions after which a node reads the configuration service
+/// itself, even if it is no reader. If all 11,600 nodes do so, that is 97 reads a second of the
+/// 2,000 allowed.
 pub const FALLBACK_READ_MS: u64 = 120_000;
-/// Time a peer gets to deliver a version before the configuration service is asked for it.
+/// Time for a peer to deliver a version before it is fetched from the configuration service.
 pub const PEER_FETCH_TIMEOUT_MS: u64 = 1_000;
 
-/// Messages between the nodes that spread.
+/// Messages between the nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpreadMessage {
-    /// News for the receiver.
+    /// Changes that the receiver may not know.
     Notices(Vec<Notice>),
-    /// Start of a comparison.
+    /// Starts a comparison.
     Compare(Digest),
-    /// Answer to a comparison: all facts in the shares that differ, and whether the sender of this
-    /// answer wants the receiver's facts in return.
+    /// Reply to a comparison, or to such a reply: the sender's facts in the shares that differ.
     Differences {
         /// Facts of the shares that differ.
         notices: Vec<Notice>,
-        /// Digest of the answering node, set if it wants an answer in turn.
+        /// Digest of the replying node; set if it asks for the receiver's facts in turn.
         digest: Option<Digest>,
     },
 }
 
-/// How eagerly rumours are passed on. The default was chosen from `docs/measurements.md`.
+/// How widely and how often notices are pushed; see `docs/measurements.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// Peers that get each rumour in a round.
+    /// Peers that get each notice in a round.
     pub fanout: usize,
-    /// Rounds in which a node passes on a rumour after it has heard it for the first time.
+    /// Rounds in which a node pushes a notice after it has learned it.
     pub rounds: u8,
 }
 
@@ -78,28 +80,28 @@
 pub struct MissingVersion {
     /// Account, or [`ROOT`].
     pub account: AccountId,
-    /// Version wanted, or a later one.
+    /// Lowest version to fetch.
     pub version: Version,
 }
 
-/// What happened to a spreading node.
+/// Input of a node.
 #[derive(Clone, Debug)]
 pub enum SpreadEvent {
     /// The platform's instance list has changed.
     Peers(Vec<Peer>),
-    /// A version is in force here, wherever it came from.
+    /// A version has come into force on this node, whatever its source.
     Installed {
         /// Account, or [`ROOT`].
         account: AccountId,
         /// Version now in force.
         version: Version,
     },
-    /// The configuration service has confirmed the versions in force here.
+    /// The configuration service has confirmed the versions in force on this node.
     Confirmed {
-        /// Milliseconds since then.
+        /// Milliseconds since the confirmation.
         age_ms: u64,
     },
-    /// An agent was seen to fail or to be back.
+    /// An agent was observed to fail or to recover.
     Observed(Member),
     /// A peer's message.
     Message {
@@ -112,7 +114,7 @@
     Tick,
 }
 
-/// What the shell must do.
+/// Action that the caller must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpreadAction {
     /// Send a message to a peer.
@@ -122,14 +124,14 @@
         /// The message.
         message: SpreadMessage,
     },
-    /// Get versions from a peer that has them, in one exchange.
+    /// Fetch versions from a peer that has them, in one exchange.
     FetchFromPeer {
-        /// Who has them.
+        /// Peer that has the versions.
         from: NodeId,
-        /// What is lacking here.
+        /// Versions that this node lacks.
         missing: Vec<MissingVersion>,
     },
-    /// Get the newest version of an account from the configuration service.
+    /// Fetch the newest version of an account from the configuration service.
     FetchFromService {
         /// Account, or [`ROOT`].
         account: AccountId,
@@ -138,21 +140,21 @@
     MembersChanged,
 }
 
-/// A version that was asked for.
+/// A version that was requested from a peer and has not yet come into force.
 #[derive(Clone, Copy, Debug)]
 struct PendingFetch {
     missing: MissingVersion,
     asked_at: Millis,
 }
 
-/// A fact that still has to be passed on.
+/// A fact that is still to be pushed to peers.
 #[derive(Clone, Copy, Debug)]
 struct QueuedNotice {
     notice: Notice,
     rounds_left: u8,
 }
 
-/// State of a spreading node.
+/// State of a node.
 #[derive(Debug)]
 pub struct Spread {
     peers: Peers,
@@ -160,8 +162,9 @@
     queued: Vec<QueuedNotice>,
     pending_fetches: Vec<PendingFetch>,
     tuning: Tuning,
-    /// False until the facts were once found equal to a peer's or the service's. What a node learns
-    /// while it starts is news to nobody else.
+    /// False until the facts have once been equal to a peer's or to those of the configuration
+    /// service. Versions that a node installs before that are known to its peers, so it does not
+    /// push them.
     synchronized: bool,
     confirmed_at: Millis,
     next_round: Millis,
@@ -170,7 +173,7 @@
 }
 
 impl Spread {
-    /// A node that knows nothing yet.
+    /// Creates a node without facts or peers.
     ///
     /// ```
     /// use decision::{spread::{NodeId, Peer, Spread}, time::Millis};
@@ -192,12 +195,12 @@
         }
     }
 
-    /// Replaces the default tuning, for experiments.
+    /// Replaces the default tuning. Used by experiments.
     pub fn set_tuning(&mut self, tuning: Tuning) {
         self.tuning = tuning;
     }
 
-    /// Takes in an event and appends what must be done about it.
+    /// Processes an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Millis, event: SpreadEvent, out: &mut Vec<SpreadAction>) {
         match event {
             SpreadEvent::Peers(list) => self.peers.replace(list),
@@ -209,18 +212,18 @@
         }
     }
 
-    /// True if this node is to watch the configuration service.
+    /// Whether this node must watch the configuration service.
     pub fn is_reader(&self) -> bool {
         self.peers.is_reader()
     }
 
-    /// True if this node is one of the two that tell an agent of newer settings.
+    /// Whether this node is one of the two that notify an agent of newer settings.
     pub fn is_notifier(&self, agent: UpstreamId) -> bool {
         self.peers.is_notifier(agent)
     }
 
-    /// Forgets what is known of agents that the settings no longer list. Every node does so on the
-    /// same versions, so the digests stay equal.
+    /// Removes agents that the settings no longer list. All nodes do so on the same versions, so
+    /// their digests stay equal.
     pub fn retain_members(&mut self, listed: impl Fn(UpstreamId) -> bool) {
         self.facts.retain_members(listed);
     }
@@ -230,13 +233,13 @@
         self.facts.down()
     }
 
-    /// Milliseconds since the configuration service, or a peer that had asked it, confirmed the
-    /// versions in force here.
+    /// Milliseconds since the versions in force on this node were confirmed, by the configuration
+    /// service or by a peer that had asked it.
     pub fn confirmed_age_ms(&self, now: Millis) -> u64 {
         now.since(self.confirmed_at)
     }
 
-    /// Version in force here.
+    /// Version of an account in force on this node.
     pub fn version(&self, account: AccountId) -> Option<Version> {
         self.facts.version(account)
     }
@@ -275,8 +278,8 @@
         }
     }
 
-    /// Settings count as known only once they are in force here, so a notice of them is turned into
-    /// a fetch; a membership change takes effect by itself.
+    /// Merges a peer's notices. A settings version enters the table only once it is in force on
+    /// this node, so a notice of one starts a fetch. A membership change takes effect at once.
     fn learn_all(
         &mut self,
         now: Millis,
@@ -306,7 +309,8 @@
         }
     }
 
-    /// The want, unless it is in force or was asked for.
+    /// Records a fetch of `missing` and returns it, unless that version or a later one is in force
+    /// or was requested already.
     fn start_fetch(&mut self, now: Millis, missing: MissingVersion) -> Option<MissingVersion> {
         if self.facts.version(missing.account).is_some_and(|known| known >= missing.version) {
             return None;
@@ -337,7 +341,8 @@
         self.facts.differences(digest, offset, DIFFERENCES_MAX)
     }
 
-    /// A peer with the same facts passes on its confirmation, never a younger one than it has.
+    /// Takes over the confirmation of a peer with the same facts, or of the configuration service,
+    /// if it is more recent than the one known. `age_ms` is the time since the service confirmed.
     fn confirm(&mut self, now: Millis, age_ms: u64) {
         self.confirmed_at = self.confirmed_at.max(Millis(now.0.saturating_sub(age_ms)));
         self.synchronized = true;
@@ -349,7 +354,7 @@
             self.round(out);
         }
         if now >= self.next_digest {
-            // Half to one and a half periods: nodes that started together do not stay in step.
+            // A random delay of 0.5 to 1.5 periods desynchronizes nodes that started together.
             let period_ms =
                 self.random.random_range(DIGEST_INTERVAL_MS / 2..DIGEST_INTERVAL_MS * 3 / 2);
             self.next_digest = now.after(period_ms);
@@ -372,7 +377,8 @@
         self.age_queued(count);
     }
 
-    /// Sent rumours go to the back of the queue, so that none starves, and end after their rounds.
+    /// Moves the notices that were just sent to the back of the queue, so that none starves, and
+    /// drops those that have been sent in all their rounds.
     fn age_queued(&mut self, count: usize) {
         for entry in &mut self.queued[..count] {
             entry.rounds_left -= 1;
@@ -394,8 +400,8 @@
         }
     }
 
-    /// A peer may die between its notice and our fetch. The configuration service, or the next
-    /// comparison, then delivers the version: nothing waits for one peer.
+    /// Fetches from the configuration service what a peer has not delivered in time. A peer may
+    /// fail between its notice and the fetch, so no version depends on a single peer.
     fn escalate_fetches(&mut self, now: Millis, out: &mut Vec<SpreadAction>) {
         for pending in &mut self.pending_fetches {
             if now.since(pending.asked_at) >= PEER_FETCH_TIMEOUT_MS {
@@ -409,7 +415,7 @@
         if self.confirmed_age_ms(now) < FALLBACK_READ_MS {
             return;
         }
-        // Counted as if confirmed, so that a service that is down gets one read for each period.
+        // Treated as a confirmation, so that an unavailable service gets one read per period.
         self.confirmed_at = now;
         out.push(SpreadAction::FetchFromService { account: ROOT });
     }
--- a/crates/decision/src/spread/peers.rs
+++ b/crates/decision/src/spread/peers.rs
@@ -1,4 +1,4 @@
-//! The nodes that spread, and who among them watches the configuration service.
+//! The nodes that exchange gossip, and the choice of those that watch the configuration service.
 
 use std::hash::Hasher as _;
 use std::sync::Arc;
@@ -9,15 +9,15 @@
 
 use crate::keys::UpstreamId;
 
-/// Readers of the configuration service in each availability zone: one may fail unnoticed until the
-/// instance list catches up. 17 zones with two readers wait in 34 watches, and a change costs 34
+/// Readers of the configuration service in each availability zone. With two, one may fail before
+/// the instance list shows it. 17 zones have 34 readers with one watch each, so a change costs 34
 /// reads of the 2,000 a second allowed.
 pub const READERS_PER_ZONE: usize = 2;
 
-/// Nodes that tell an agent of newer settings; one of them may be down.
+/// Nodes that notify an agent of newer settings. With two, one of them may be down.
 const NOTIFIERS_PER_AGENT: usize = 2;
 
-/// Identifies a spreading node: a hash of its instance name.
+/// Identifies a node: a hash of its instance name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u64);
 
@@ -38,13 +38,13 @@
 /// A node of the instance list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its id.
+    /// Id of the node.
     pub id: NodeId,
-    /// Its availability zone.
+    /// Availability zone of the node.
     pub zone: Arc<str>,
 }
 
-/// The instance list as seen by one node, itself left out, sorted by id.
+/// The instance list as known to one node, without the node itself and sorted by id.
 #[derive(Clone, Debug)]
 pub struct Peers {
     own: Peer,
@@ -52,12 +52,12 @@
 }
 
 impl Peers {
-    /// A list with nobody else on it.
+    /// Creates a list without other nodes.
     pub(super) fn new(own: Peer) -> Self {
         Self { own, others: Vec::new() }
     }
 
-    /// Takes over a newer list.
+    /// Replaces the list by a newer one.
     pub(super) fn replace(&mut self, mut list: Vec<Peer>) {
         list.retain(|peer| peer.id != self.own.id);
         list.sort_by_key(|peer| peer.id);
@@ -65,7 +65,7 @@
         self.others = list;
     }
 
-    /// True if fewer than [`READERS_PER_ZONE`] nodes of the own zone score higher.
+    /// Whether fewer than [`READERS_PER_ZONE`] nodes of the own zone have a higher score.
     pub(super) fn is_reader(&self) -> bool {
         let score = |peer: &Peer| score(peer.id, peer.zone.as_bytes());
         let own_score = score(&self.own);
@@ -73,7 +73,7 @@
         ahead.filter(|peer| score(peer) > own_score).count() < READERS_PER_ZONE
     }
 
-    /// True if fewer than [`NOTIFIERS_PER_AGENT`] nodes score higher for the agent.
+    /// Whether fewer than [`NOTIFIERS_PER_AGENT`] nodes have a higher score for the agent.
     pub(super) fn is_notifier(&self, agent: UpstreamId) -> bool {
         let score = |peer: &Peer| score(peer.id, &agent.0.to_be_bytes());
         let own_score = score(&self.own);
@@ -81,7 +81,7 @@
         ahead.take(NOTIFIERS_PER_AGENT).count() < NOTIFIERS_PER_AGENT
     }
 
-    /// Up to `count` different random nodes.
+    /// Draws up to `count` different nodes at random.
     pub(super) fn sample(&self, count: usize, random: &mut Pcg64) -> Vec<NodeId> {
         let mut chosen: Vec<NodeId> = Vec::with_capacity(count);
         let wanted = count.min(self.others.len());
--- a/crates/decision/src/spread/tests.rs
+++ b/crates/decision/src/spread/tests.rs
@@ -1,10 +1,10 @@
-//! Spreading among many nodes in one process; only messages are passed, time is a number.
+//! Gossip among many nodes in one process, with messages delivered at once and simulated time.
 
 use rstest::rstest;
 
 use super::*;
 
-/// Nodes, the versions that each could serve, and messages under way.
+/// Nodes that deliver their messages to each other directly.
 struct Fleet {
     nodes: Vec<Spread>,
     ids: Vec<NodeId>,
@@ -82,18 +82,18 @@
                 return round;
             }
         }
-        panic!("not everywhere after 100 rounds");
+        panic!("version {version} is not in force on all nodes after 100 rounds");
     }
 }
 
-/// A team publishes a version that one reader sees. The caller of any balancer meets the new version
-/// within the 7 s that the users allow, although rumours may miss a node and some nodes are dead.
+/// A version that one reader installs is in force on all balancers within the 7 s allowed, although
+/// notices may miss a node and some nodes are down.
 #[rstest]
 #[case::today(6, &[])]
 #[case::hundred(100, &[])]
 #[case::hundred_with_dead(100, &[7, 8, 9, 10, 11, 12, 13, 14, 15, 16])]
 #[case::target_balancers(1_600, &[])]
-fn installed_reaches_everyone(#[case] count: usize, #[case] dead: &[usize]) {
+fn installed_reaches_all_nodes(#[case] count: usize, #[case] dead: &[usize]) {
     let mut fleet = Fleet::new(count);
     fleet.dead = dead.to_vec();
     fleet.install(0, 5);
@@ -101,8 +101,8 @@
     assert!(rounds * ROUND_INTERVAL_MS <= 7_000, "{rounds} rounds");
 }
 
-/// A node reads an old copy from a stale configuration service after the fleet has moved on. Nobody,
-/// itself included, goes back.
+/// A node reads an older version from a stale replica of the configuration service after the fleet
+/// has installed a newer one. No node reverts to it, the reading node included.
 #[test]
 fn installed_older_version_never_wins() {
     let mut fleet = Fleet::new(10);
@@ -113,8 +113,8 @@
     assert!(fleet.nodes.iter().all(|node| node.version(AccountId(9)) == Some(Version(7))));
 }
 
-/// The peer that announced a version dies before it is fetched. The settings still arrive, since the
-/// configuration service is asked after a while.
+/// The peer that announced a version fails before the version is fetched from it. After the
+/// time-out the node fetches it from the configuration service.
 #[test]
 fn fetch_silent_peer_asks_service() {
     let mut node = Spread::new(Peer { id: NodeId(1), zone: "a".into() }, 1, Millis(0));
@@ -130,8 +130,8 @@
     assert_eq!(out, [SpreadAction::FetchFromService { account }]);
 }
 
-/// A balancer starts and reads 300 accounts. It tells nobody: its peers have them, and 300 rumours from
-/// each replaced instance would take the byte budget for seconds.
+/// A balancer that starts and reads 300 accounts does not push them to its peers. They have them
+/// already, and 300 notices from each replaced instance would use up the byte budget for seconds.
 #[test]
 fn installed_while_starting_is_not_sent() {
     let mut node = Spread::new(Peer { id: NodeId(1), zone: "a".into() }, 1, Millis(0));
@@ -146,8 +146,8 @@
     assert_eq!(node.queued.len(), 1);
 }
 
-/// An agent is paused and reported down, then wakes. Whoever hears a later heartbeat refutes the
-/// report, in whatever order the two notices arrive, so its upstream gets its packets again.
+/// A paused agent is reported down and then resumes. A report of a later heartbeat refutes the
+/// first report in whatever order the two arrive, so that its upstream gets its packets again.
 #[rstest]
 #[case::down(&[(5, false)], true)]
 #[case::refuted(&[(5, false), (6, true)], false)]
@@ -163,7 +163,7 @@
     assert_eq!(!node.down().is_empty(), down);
 }
 
-/// A zone fails at once. No node sends more than its round allows, whatever the number of notices.
+/// All agents of a zone fail at once. A node still sends no more notices than the limit per round.
 #[test]
 fn round_zone_loss_stays_bounded() {
     let mut fleet = Fleet::new(50);
@@ -184,8 +184,8 @@
     }
 }
 
-/// An agent of an idle service gets no packets that show a newer version. Two balancers tell it,
-/// whatever their number, and if there is but one, that one.
+/// An agent of an idle service gets no packets that reveal a newer version. Exactly two balancers
+/// notify it, however many there are; a single balancer does so alone.
 #[rstest]
 #[case::alone(1, 1)]
 #[case::few(3, 2)]
@@ -196,8 +196,8 @@
     assert_eq!(fleet.nodes.iter().filter(|node| node.is_notifier(agent)).count(), expected);
 }
 
-/// Settings stay current although nobody is elected: each zone has its readers, few enough for the
-/// read budget of the configuration service.
+/// Without leader election, each zone has the readers that keep its settings current, and no more
+/// than the read budget of the configuration service allows.
 #[rstest]
 #[case::one_zone(1, 1)]
 #[case::small(6, 2)]
