--- a/crates/telemetry/src/budget.rs
+++ b/crates/telemetry/src/budget.rs
@@ -1,27 +1,28 @@
-//! A bound on the log lines of each kind.
+//! Rate limit for log lines, applied to each result code separately.
 
-/// Lines of one kind that may come at once.
+/// Lines of one code that may be written at once.
 pub const BURST_LINES: u32 = 20;
-/// Lines of one kind a second after that.
+/// Sustained lines of one code per second.
 pub const LINES_PER_SECOND: u32 = 5;
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     code: u16,
-    /// Thousandths of a line.
+    /// Tokens in thousandths of a line.
     millitokens: u64,
     refilled_at_ms: u64,
     suppressed: u64,
 }
 
-/// Token buckets by result code, so that a flood of one kind does not hide the others.
+/// Token buckets by result code, so that a flood of one code does not suppress the others.
 #[derive(Clone, Debug, Default)]
 pub struct LineBudget {
     buckets: Vec<Bucket>,
 }
 
 impl LineBudget {
-    /// Whether a line may be written now; if so, how many of its kind were left out before.
+    /// If a line of `code` may be written now, returns how many lines of that code were suppressed
+    /// since the last one; otherwise returns `None`.
     ///
     /// ```
     /// use telemetry::budget::{BURST_LINES, LineBudget};
--- a/crates/telemetry/src/clock.rs
+++ b/crates/telemetry/src/clock.rs
@@ -1,19 +1,21 @@
-//! A hybrid logical clock: close to wall-clock time, yet never behind any message that was seen.
+//! A hybrid logical clock: close to the wall clock, but never behind the timestamp of a received
+//! message.
 //!
 //! A timestamp packs milliseconds since 1970 (48 bits) and a counter (16 bits), so that timestamps
-//! compare as plain numbers. The order of timestamps agrees with cause and effect across all
-//! processes that put them on their messages, also where wall clocks disagree.
+//! compare as plain numbers. Among processes that put timestamps on their messages, the order of
+//! timestamps agrees with causality even if the wall clocks differ.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
 const COUNTER_BITS: u32 = 16;
 
-/// Farthest that a foreign timestamp may pull our clock ahead of our own wall clock. One process
-/// with a wrong clock would otherwise drag the whole fleet's time line into the future for ever.
+/// Maximum by which a received timestamp may advance this clock beyond the own wall clock. Without
+/// the limit, one process with a wrong clock would shift the time line of the whole fleet into the
+/// future permanently.
 pub const DRIFT_MAX_MS: u64 = 60_000;
 
-/// A point in hybrid logical time; ordered by cause and effect.
+/// A point in hybrid logical time; the order agrees with causality.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(pub u64);
 
@@ -34,14 +36,14 @@
         Self(wall_ms << COUNTER_BITS)
     }
 
-    /// Milliseconds since 1970, as the process that made the timestamp believed.
+    /// Milliseconds since 1970 according to the process that created the timestamp.
     pub fn wall_ms(self) -> u64 {
         self.0 >> COUNTER_BITS
     }
 }
 
 impl Clock {
-    /// A timestamp later than all that this clock gave or saw before.
+    /// Returns a timestamp later than all that this clock has returned or accepted before.
     ///
     /// ```
     /// let clock = telemetry::clock::Clock::default();
@@ -51,7 +53,7 @@
         self.now_at(wall_ms())
     }
 
-    /// As [`Clock::now`] with the wall clock given.
+    /// Like [`Clock::now`], with the wall-clock time given.
     ///
     /// ```
     /// use telemetry::clock::{Clock, Timestamp};
@@ -66,7 +68,8 @@
         Timestamp(update.map_or(wall, next))
     }
 
-    /// Takes in the timestamp of a message, so that all later ones of this clock are larger.
+    /// Accepts the timestamp of a received message, so that all later ones of this clock are
+    /// larger. Ignores it if it is more than [`DRIFT_MAX_MS`] ahead of the wall clock.
     ///
     /// ```
     /// use telemetry::clock::{Clock, Timestamp};
@@ -80,13 +83,13 @@
         }
     }
 
-    /// As [`Clock::observe_at`] with this machine's wall clock.
+    /// Like [`Clock::observe_at`], with this machine's wall clock.
     pub fn observe(&self, seen: Timestamp) {
         self.observe_at(seen, wall_ms());
     }
 }
 
-/// Milliseconds since 1970 by this machine's wall clock.
+/// Milliseconds since 1970 according to this machine's wall clock.
 pub fn wall_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |elapsed| elapsed.as_millis() as u64)
--- a/crates/telemetry/src/flowline.rs
+++ b/crates/telemetry/src/flowline.rs
@@ -1,5 +1,5 @@
-//! The log line of a decision about a flow: one type for the processes that write it and the command
-//! line that reads it.
+//! The log line of a decision about a flow, shared by the processes that write it and the
+//! command-line tool that reads it.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,17 +13,17 @@
     pub event: String,
     /// Address and port of the caller.
     pub caller: String,
-    /// Address and port that the caller wrote to.
+    /// Address and port to which the caller sent the packet.
     pub endpoint: String,
-    /// The caller's id of the request, where the packet shows it.
+    /// The caller's request id, if the packet contains one.
     pub request: String,
-    /// The other instance of ours that is concerned: where the packet goes, or came from.
+    /// The other instance of this system that is concerned: where the packet goes or comes from.
     pub peer: String,
-    /// Revision of the view that decided.
+    /// Revision of the view on which the decision is based.
     pub revision: u64,
-    /// Age of that view, or how long something took.
+    /// Age of that view, or duration of the operation.
     pub elapsed_ms: u64,
-    /// Lines of this code that were left out before.
+    /// Lines of this code that were suppressed since the last one.
     pub suppressed: u64,
 }
 
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -5,14 +5,14 @@
 use logforth::filter::rustlog::RustLogFilterBuilder;
 use logforth::layout::JsonLayout;
 
-/// What is logged unless the environment variable `RUST_LOG` says otherwise. The HTTP server's own
-/// lines for each request would drown ours.
+/// Filter used unless the environment variable `RUST_LOG` sets another. The HTTP libraries log
+/// lines for each request, which would outnumber those of this system.
 const DEFAULT_FILTER: &str = "info,gotham=warn,ureq=warn,ureq_proto=warn";
 
-/// Sends the log of this process to standard error, each line with the name of the instance.
+/// Sends the log of this process to standard error, each line with the name of the instance. A
+/// second call changes nothing and returns false.
 ///
-/// Further fields are given as key and value of the line, such as `account` and `code`. A second
-/// call changes nothing and returns false.
+/// Other fields, such as `account` and `code`, are passed as key-value pairs of the log call.
 ///
 /// ```
 /// assert!(telemetry::log::start("bal-c1"));
@@ -23,7 +23,7 @@
     start_to(instance, append::Stderr::default().with_layout(JsonLayout::default()))
 }
 
-/// Sends the log of this process to an appender, as [`start`] does to standard error.
+/// Like [`start`], with another appender.
 pub(crate) fn start_to(instance: &str, appender: impl append::Append) -> bool {
     let mut fields = StaticDiagnostic::default();
     fields.insert("instance", instance);
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,7 +1,7 @@
-//! The registry of a process's metrics, as text for Prometheus.
+//! The metrics registry of a process, rendered as text for Prometheus.
 //!
-//! Names end in `_total`, `_seconds` or `_bytes`. Labels come from fixed sets (reasons, accounts),
-//! never from flows or callers.
+//! Names end in `_total`, `_seconds` or `_bytes`. Label values come from bounded sets (reasons,
+//! accounts), never from flows or callers.
 
 use std::fmt;
 use std::sync::{Mutex, PoisonError};
@@ -11,7 +11,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Type of the text that [`Metrics::render`] gives.
+/// Content type of the text that [`Metrics::render`] returns.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// All metrics of one process.
@@ -27,7 +27,8 @@
 }
 
 impl Metrics {
-    /// Registers and returns a counter. The name is given without `_total`, which the format adds.
+    /// Registers and returns a counter. `name` is without the suffix `_total`, which the encoder
+    /// adds.
     ///
     /// ```
     /// let metrics = telemetry::metrics::Metrics::default();
@@ -53,15 +54,15 @@
         gauge
     }
 
-    /// Gives access to the registry for metrics with labels.
+    /// Calls `register` with the registry, for metrics with labels.
     pub fn with_registry<T>(&self, register: impl FnOnce(&mut Registry) -> T) -> T {
         let mut registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         register(&mut registry)
     }
 
-    /// All metrics as text.
+    /// Renders all metrics as text.
     ///
-    /// Errors: none in practice, since writing to memory does not fail.
+    /// Errors: none in practice, since writing to a string does not fail.
     pub fn render(&self) -> Result<String, fmt::Error> {
         let mut out = String::new();
         self.with_registry(|registry| text::encode(&mut out, registry))?;
--- a/crates/telemetry/src/queued.rs
+++ b/crates/telemetry/src/queued.rs
@@ -1,7 +1,7 @@
-//! JSON lines on standard output that never hold up the process.
+//! Logging of JSON lines to standard output without blocking.
 //!
-//! Lines go through a bounded queue to a thread of their own. If whoever reads the output stops
-//! doing so, the queue fills up, and further lines are dropped and counted.
+//! A bounded queue passes the lines to a separate thread, which writes them. If the output is no
+//! longer read, the queue fills up, and further lines are dropped and counted.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,12 +13,12 @@
 use logforth::layout::JsonLayout;
 use logforth::{Diagnostic, Layout};
 
-/// Lines that wait at most; with 400 bytes each this is 100 KB.
+/// Maximum of queued lines. With 400 bytes each, they take 100 KB.
 pub const QUEUE_LINES_MAX: usize = 256;
-/// Lines written with one call.
+/// Size at which a batch of lines is written.
 const BATCH_BYTES: usize = 4 << 10;
 
-/// Appends lines to a queue.
+/// Appends log lines to a bounded queue.
 #[derive(Debug)]
 pub struct QueuedAppender {
     layout: JsonLayout,
@@ -27,7 +27,7 @@
 }
 
 impl QueuedAppender {
-    /// A queue before `out`, with a thread that writes.
+    /// Creates the queue and starts the thread that writes its lines to `out`.
     ///
     /// Errors: the thread could not be started.
     pub fn new(out: impl Write + Send + 'static) -> std::io::Result<Self> {
@@ -40,7 +40,7 @@
         Ok(Self { layout: JsonLayout::default(), sender: Mutex::new(sender), dropped })
     }
 
-    /// Queues a line; says whether there was room.
+    /// Queues a line, or drops and counts it if the queue is full. Returns whether it was queued.
     pub fn push(&self, line: Vec<u8>) -> bool {
         let sender = self.sender.lock().unwrap_or_else(PoisonError::into_inner);
         let queued = sender.try_send(line).is_ok();
@@ -71,7 +71,7 @@
 /// Sends the log of this process to standard output, each line with the name of the instance.
 /// A second call changes nothing and returns false.
 ///
-/// Errors: the thread that writes could not be started.
+/// Errors: the writer thread could not be started.
 pub fn start(instance: &str) -> std::io::Result<bool> {
     Ok(crate::log::start_to(instance, QueuedAppender::new(std::io::stdout())?))
 }
@@ -90,7 +90,7 @@
             );
             batch.extend_from_slice(note.as_bytes());
         }
-        // Nobody is left to be told if the output itself is gone.
+        // A failure cannot be reported anywhere, because the output itself has failed.
         let _ = out.write_all(&batch).and_then(|()| out.flush());
     }
 }
--- a/crates/telemetry/src/timeline.rs
+++ b/crates/telemetry/src/timeline.rs
@@ -1,4 +1,4 @@
-//! A bounded ring of the latest events of a process, each with a hybrid logical timestamp.
+//! A ring buffer of the latest events of a process, each with a hybrid logical timestamp.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,19 +7,20 @@
 
 use crate::clock::{Clock, Timestamp};
 
-/// Fields that one event can carry.
+/// Maximum number of fields of an event.
 const FIELDS_MAX: usize = 4;
 
-/// Value of a field. Copying one allocates nothing, so that events cost little where they occur.
+/// Value of a field. Cloning does not allocate, so that recording an event is cheap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Value {
     /// A number.
     Number(u64),
-    /// An id, written as hexadecimal text because JSON numbers lose large integers.
+    /// An id, serialized as hexadecimal text because many JSON parsers lose precision of large
+    /// integers.
     Id(u64),
-    /// A word known at build time.
+    /// Text known at compile time.
     Static(&'static str),
-    /// Any text.
+    /// Text known at run time.
     Text(Arc<str>),
 }
 
@@ -29,23 +30,23 @@
     entries: [Option<(&'static str, Value)>; FIELDS_MAX],
 }
 
-/// Something that happened.
+/// An event of the time line.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Event {
-    /// When, in hybrid logical time.
+    /// Hybrid logical time at which it was recorded.
     #[serde(serialize_with = "timestamp")]
     pub hlc: Timestamp,
-    /// Process.
+    /// Instance that recorded it.
     pub instance: Arc<str>,
     /// Client account that the event concerns; empty if none.
     pub account: Arc<str>,
-    /// What happened.
+    /// Kind of event.
     pub kind: &'static str,
-    /// Details.
+    /// Details of the event.
     pub fields: Fields,
 }
 
-/// The latest events of one process; the oldest give way to new ones.
+/// The latest events of one process. A new event evicts the oldest one when the buffer is full.
 #[derive(Debug)]
 pub struct Timeline {
     instance: Arc<str>,
@@ -55,7 +56,7 @@
 }
 
 impl Fields {
-    /// These fields and one more. The first four are kept.
+    /// Adds a field. Fields after the first four are discarded.
     ///
     /// ```
     /// use telemetry::timeline::{Fields, Value};
@@ -86,7 +87,7 @@
 }
 
 impl Timeline {
-    /// An empty time line of `instance` that keeps `capacity` events.
+    /// Creates an empty time line of `instance` that keeps `capacity` events.
     ///
     /// ```
     /// use telemetry::timeline::{Fields, Timeline};
@@ -99,12 +100,12 @@
         Self { instance, capacity, clock: Clock::default(), events }
     }
 
-    /// The clock that stamps the events; also to be put on messages.
+    /// The clock of the events, which must also timestamp the messages of the process.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// Adds an event that happens now.
+    /// Records an event at the current time.
     pub fn record(&self, account: impl Into<Arc<str>>, kind: &'static str, fields: Fields) {
         let account = account.into();
         let instance = self.instance.clone();
@@ -112,19 +113,19 @@
         if events.len() == self.capacity {
             events.pop_front();
         }
-        // Stamped under the lock: events would otherwise stand out of order in the ring.
+        // Timestamped under the lock, which keeps the events of the buffer in order.
         let hlc = self.clock.now();
         events.push_back(Event { hlc, instance, account, kind, fields });
     }
 
-    /// Events later than `after`, oldest first.
+    /// Returns the events later than `after`, oldest first.
     pub fn after(&self, after: Timestamp) -> Vec<Event> {
         let events = self.lock();
         let start = events.partition_point(|event| event.hlc <= after);
         events.range(start..).cloned().collect()
     }
 
-    /// A thread that panicked while it held the lock left whole events behind.
+    /// Ignores poisoning: a thread that panics under the lock leaves no partial event behind.
     fn lock(&self) -> MutexGuard<'_, VecDeque<Event>> {
         self.events.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/telemetry/tests/clock.rs
+++ b/crates/telemetry/tests/clock.rs
@@ -1,16 +1,16 @@
-//! Contract of the hybrid logical clock.
+//! Tests of the hybrid logical clock.
 
 use rstest::rstest;
 use telemetry::clock::{Clock, DRIFT_MAX_MS, Timestamp};
 
-/// One step: the wall clock, and the timestamp of a message seen at that moment, if any.
+/// Wall-clock time of a step, and the timestamp of the message received at that time, if any.
 type Step = (u64, Option<Timestamp>);
 
 const fn seen(wall_ms: u64) -> Option<Timestamp> {
     Some(Timestamp(wall_ms << 16))
 }
 
-/// After the steps, the clock is read at wall time 10.
+/// Reads the clock at wall-clock time 10 after the steps.
 #[rstest]
 #[case::follows_wall_clock(&[], Timestamp(10 << 16))]
 #[case::counts_within_a_millisecond(&[(10, None)], Timestamp((10 << 16) + 1))]
@@ -29,7 +29,7 @@
     assert_eq!(clock.now_at(10), expected);
 }
 
-/// The answer to a message is later than the message, whatever the two wall clocks say.
+/// A reply is later than the message that it answers, whatever the difference of the wall clocks.
 #[test]
 fn answer_is_later_than_question() {
     let (asker, answerer) = (Clock::default(), Clock::default());
--- a/crates/telemetry/tests/log_bounds.rs
+++ b/crates/telemetry/tests/log_bounds.rs
@@ -1,4 +1,4 @@
-//! What keeps the log from holding up or flooding a process.
+//! Tests that logging does not block a process and that the rate of its lines is limited.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, channel};
@@ -8,7 +8,7 @@
 use telemetry::flowline::FlowLine;
 use telemetry::queued::{QUEUE_LINES_MAX, QueuedAppender};
 
-/// Output that nobody reads: every write waits until it is let go.
+/// Output that is not read: every write blocks until the sender of the channel sends or is dropped.
 struct Blocked(Receiver<()>);
 
 impl Write for Blocked {
@@ -22,23 +22,24 @@
     }
 }
 
-/// Whoever reads standard output stops doing so. A process that waited for its log would stop
-/// forwarding packets; lines are dropped instead. This test would never end if a line blocked.
+/// A reader of standard output that stops reading must not block the process, which would stop
+/// forwarding packets. Lines are dropped instead. If a line blocked, this test would not end.
 #[test]
 fn blocked_output_blocks_nobody() {
     let (release, blocked) = channel();
     let queued = QueuedAppender::new(Blocked(blocked)).unwrap();
     let lines = 10 * QUEUE_LINES_MAX;
     let taken = (0..lines).filter(|_| queued.push(vec![b'x'; 5_000])).count();
-    assert!(taken >= QUEUE_LINES_MAX, "the queue itself has room");
-    assert!(taken <= QUEUE_LINES_MAX + 1, "and one line is being written");
+    assert!(taken >= QUEUE_LINES_MAX, "lines up to the capacity of the queue are accepted");
+    assert!(taken <= QUEUE_LINES_MAX + 1, "besides these, only the line being written is accepted");
     drop(release);
 }
 
-/// A flood of one kind, a thousand lines a second for ten seconds.
+/// A flood of a thousand lines of each code per second for ten seconds stays within the limit, and
+/// the suppressed lines are counted.
 #[rstest]
-#[case::one_kind(&[2203])]
-#[case::kinds_apart(&[2203, 2204, 2205])]
+#[case::one_code(&[2203])]
+#[case::separate_codes(&[2203, 2204, 2205])]
 fn flood_stays_within_the_bound(#[case] codes: &[u16]) {
     let mut budget = LineBudget::default();
     let mut written = vec![0; codes.len()];
@@ -55,12 +56,13 @@
     assert!(written.iter().all(|count| *count <= bound && *count >= bound - 1), "{written:?}");
     let all = u64::try_from(codes.len()).unwrap() * 10_000;
     let total = suppressed + written.iter().map(|count| u64::from(*count)).sum::<u64>();
-    assert!(total > all - 1_000 && total <= all, "what is left out is counted: {total}");
+    assert!(total > all - 1_000 && total <= all, "suppressed lines are counted: {total}");
 }
 
-/// What a process writes, the command line reads; fields that it does not know are ignored.
+/// The command-line tool reads what a process writes. Unknown fields are ignored and missing ones
+/// have default values.
 #[rstest]
-#[case::whole(
+#[case::all_fields(
     r#"{"code":2205,"event":"lost","caller":"100.64.0.7:40001","endpoint":"198.18.0.1:443",
         "request":"ad6c","peer":"10.1.0.4","revision":7,"elapsed_ms":12,"suppressed":3,"more":1}"#,
     FlowLine {
@@ -75,7 +77,7 @@
         suppressed: 3,
     }
 )]
-#[case::bare(r#"{"code":2201}"#, FlowLine { code: 2201, ..FlowLine::default() })]
+#[case::code_only(r#"{"code":2201}"#, FlowLine { code: 2201, ..FlowLine::default() })]
 fn flow_line_from_json(#[case] text: &str, #[case] expected: FlowLine) {
     assert_eq!(serde_json::from_str::<FlowLine>(text).unwrap(), expected);
 }
--- a/crates/telemetry/tests/timeline.rs
+++ b/crates/telemetry/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! Contract of the time line.
+//! Tests of the time line.
 
 use rstest::rstest;
 use telemetry::clock::Timestamp;
@@ -22,7 +22,7 @@
 #[rstest]
 #[case::empty(3, 0, &[])]
 #[case::within_bound(3, 2, &[0, 1])]
-#[case::oldest_give_way(3, 5, &[2, 3, 4])]
+#[case::oldest_are_evicted(3, 5, &[2, 3, 4])]
 fn after_zero_returns_kept(#[case] capacity: usize, #[case] events: u64, #[case] kept: &[u64]) {
     assert_eq!(numbers(&recorded(capacity, events), Timestamp(0)), kept);
 }
