--- a/crates/decision/src/agent/claimant.rs
+++ b/crates/decision/src/agent/claimant.rs
@@ -47,7 +47,7 @@
         }
         let asked = match witnesses {
             Witnesses::Former(asked) => asked,
-            Witnesses::Quorum => self.settings.cuts.witnesses(),
+            Witnesses::Quorum => self.settings.memberships.witnesses(),
         };
         let wait_ms = if quorum { limits::QUORUM_WAIT_MS } else { limits::WITNESS_WAIT_MS };
         let mut pending = PendingClaim {
@@ -116,7 +116,7 @@
                 let old = std::mem::take(&mut pending.votes);
                 let vote_of =
                     |id| old.iter().find(|(known, _)| *known == id).and_then(|(_, vote)| *vote);
-                let asked = self.settings.cuts.witnesses();
+                let asked = self.settings.memberships.witnesses();
                 pending.votes = asked.into_iter().map(|id| (id, vote_of(id))).collect();
                 self.vote_myself(now, &mut pending);
                 self.request(&pending, out);
@@ -250,7 +250,7 @@
     ) -> Option<Verdict> {
         let Attempt { opening, claim, hops, .. } = pending.attempt;
         let over = now >= pending.deadline;
-        let mut tally = self.settings.cuts.tally(&pending.given(), self.config.upstream);
+        let mut tally = self.settings.memberships.tally(&pending.given(), self.config.upstream);
         if mutated!(self, QuorumOfOne) {
             tally = Tally::Won;
         }
--- a/crates/decision/src/agent/health.rs
+++ b/crates/decision/src/agent/health.rs
@@ -167,7 +167,7 @@
             leaving: self.leaving,
         };
         self.heartbeats = self.heartbeats.wrapping_add(1);
-        let outdated = self.settings.cuts.outdated(now, self.heartbeats);
+        let outdated = self.settings.memberships.outdated(now, self.heartbeats);
         for (to, peer) in self.peers.iter().filter(|(_, peer)| peer.may_hold_flows(now)) {
             out.push(Action::Send { to, message: Message::Heartbeat(heartbeat) });
             let outdated = outdated.filter(|_| !peer.retired).map(Message::Outdated);
--- a/crates/decision/src/agent/install.rs
+++ b/crates/decision/src/agent/install.rs
@@ -5,7 +5,7 @@
 use super::flows::FlowLifetimes;
 use super::mutant::mutated;
 use super::peers::Peer;
-use super::quorum::Cuts;
+use super::quorum::Memberships;
 use super::{Action, Agent, Note, limits};
 use crate::keys::{ServiceKey, Version};
 use crate::time::Millis;
@@ -25,7 +25,7 @@
     pub(super) lifetimes: FlowLifetimes,
     pub(super) state: UpstreamState,
     pub(super) max_flows: u32,
-    pub(super) cuts: Cuts,
+    pub(super) memberships: Memberships,
 }
 
 impl Agent {
@@ -98,7 +98,7 @@
             state: spec.map_or(UpstreamState::Retired, |spec| spec.state),
             max_flows: spec.map_or(0, |spec| spec.max_flows),
             since: spec.map_or(Version(0), |spec| spec.since),
-            cuts: Cuts::of(&self.view, service, version, &self.settings.cuts),
+            memberships: Memberships::of(&self.view, service, version, &self.settings.memberships),
         }
     }
 }
@@ -115,7 +115,7 @@
             lifetimes: lifetimes(false),
             state: UpstreamState::Retired,
             max_flows: 0,
-            cuts: Cuts::default(),
+            memberships: Memberships::default(),
         }
     }
 }
--- a/crates/decision/src/agent/mod.rs
+++ b/crates/decision/src/agent/mod.rs
@@ -282,7 +282,7 @@
                 self.records_received(now, from, page, out);
             }
             Message::Heartbeat(heartbeat) => self.heartbeat_received(now, from, heartbeat, out),
-            Message::Outdated(outdated) => self.settings.cuts.hear(now, outdated),
+            Message::Outdated(outdated) => self.settings.memberships.learn_outdated(now, outdated),
             Message::HandedOver { incarnation, state } => {
                 self.handed_over_by(now, from, (incarnation, state), out);
             }
@@ -322,7 +322,7 @@
         let runs = |id: UpstreamId, version: Version| {
             id == me || peers.get(id).is_some_and(|peer| peer.view >= version)
         };
-        self.settings.cuts.settle(now, runs);
+        self.settings.memberships.drop_outdated(now, runs);
     }
 
     fn expire_flows(&mut self, now: Millis, out: &mut Vec<Action>) {
--- a/crates/decision/src/agent/quorum.rs
+++ b/crates/decision/src/agent/quorum.rs
@@ -24,7 +24,7 @@
 
 /// One membership of a service: the witnesses listed from one version until the next change.
 #[derive(Clone, Debug)]
-struct Cut {
+struct Membership {
     from: Version,
     /// First version with other members; `None` for the present membership.
     next: Option<Version>,
@@ -32,15 +32,15 @@
     /// Since when so many members run `next` or later that the others are no majority.
     outdated_since: Option<Millis>,
     /// When it needs no majority any more, as a peer knows.
-    told_until: Option<Millis>,
+    reported_until: Option<Millis>,
 }
 
 /// The memberships of a service that may still be in force somewhere.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Cuts {
-    cuts: Vec<Cut>,
+pub(super) struct Memberships {
+    memberships: Vec<Membership>,
     /// Memberships, by their first version and the first with others, that need no majority any more.
-    settled: Vec<(Version, Version)>,
+    dropped: Vec<(Version, Version)>,
 }
 
 /// How the votes stand.
@@ -56,10 +56,15 @@
     Lost(Option<Claim>),
 }
 
-impl Cuts {
+impl Memberships {
     /// The memberships that the settings of `service` remember, without those that `before` has
     /// settled.
-    pub(super) fn of(view: &View, service: &Service, current: Version, before: &Cuts) -> Self {
+    pub(super) fn of(
+        view: &View,
+        service: &Service,
+        current: Version,
+        before: &Memberships,
+    ) -> Self {
         let upstreams: Vec<_> = service.upstream_keys().map(|key| view.upstream(key)).collect();
         let members = |version: Version| {
             let listed = upstreams.iter().filter(|upstream| {
@@ -68,28 +73,35 @@
             });
             listed.map(|upstream| upstream.id).collect::<Vec<_>>()
         };
-        let mut cuts: Vec<Cut> = Vec::new();
+        let mut memberships: Vec<Membership> = Vec::new();
         for from in changes(&upstreams, current) {
             let members = members(from);
-            if cuts.last().is_some_and(|last| last.members == members) {
+            if memberships.last().is_some_and(|last| last.members == members) {
                 continue;
             }
-            if let Some(last) = cuts.last_mut() {
+            if let Some(last) = memberships.last_mut() {
                 last.next = Some(from);
             }
-            cuts.push(Cut { from, next: None, members, outdated_since: None, told_until: None });
+            memberships.push(Membership {
+                from,
+                next: None,
+                members,
+                outdated_since: None,
+                reported_until: None,
+            });
         }
-        let mut settled = before.settled.clone();
-        settled.retain(|(from, _)| cuts.iter().any(|cut| cut.from == *from));
-        cuts.retain(|cut| !cut.members.is_empty());
-        let is_settled = |cut: &Cut| settled.iter().any(|(from, _)| *from == cut.from);
-        cuts.retain(|cut| cut.next.is_none() || !is_settled(cut));
-        for cut in &mut cuts {
-            let known = before.cuts.iter().find(|known| known.is_same(cut));
-            cut.outdated_since = known.and_then(|known| known.outdated_since);
-            cut.told_until = known.and_then(|known| known.told_until);
+        let mut dropped = before.dropped.clone();
+        dropped.retain(|(from, _)| memberships.iter().any(|membership| membership.from == *from));
+        memberships.retain(|membership| !membership.members.is_empty());
+        let is_dropped =
+            |membership: &Membership| dropped.iter().any(|(from, _)| *from == membership.from);
+        memberships.retain(|membership| membership.next.is_none() || !is_dropped(membership));
+        for membership in &mut memberships {
+            let known = before.memberships.iter().find(|known| known.is_same(membership));
+            membership.outdated_since = known.and_then(|known| known.outdated_since);
+            membership.reported_until = known.and_then(|known| known.reported_until);
         }
-        Self { cuts, settled }
+        Self { memberships, dropped }
     }
 
     /// Drops memberships that can grant nothing any more. `runs` tells whether a member is known
@@ -99,29 +111,36 @@
     /// membership can ever answer. Symptom: every opening is in doubt. Dropping the membership is
     /// safe once most of its members answer claimants under it with `StaleView`, and what they
     /// granted before has been forgotten.
-    pub(super) fn settle(&mut self, now: Millis, runs: impl Fn(UpstreamId, Version) -> bool) {
-        for cut in &mut self.cuts {
-            let Some(next) = cut.next else { continue };
-            let old = cut.members.iter().filter(|member| !runs(**member, next)).count();
-            let outdated = 2 * old <= cut.members.len();
-            cut.outdated_since = outdated.then(|| cut.outdated_since.unwrap_or(now));
+    pub(super) fn drop_outdated(
+        &mut self,
+        now: Millis,
+        runs: impl Fn(UpstreamId, Version) -> bool,
+    ) {
+        for membership in &mut self.memberships {
+            let Some(next) = membership.next else { continue };
+            let old = membership.members.iter().filter(|member| !runs(**member, next)).count();
+            let outdated = 2 * old <= membership.members.len();
+            membership.outdated_since = outdated.then(|| membership.outdated_since.unwrap_or(now));
         }
-        let is_settled = |cut: &Cut| cut.outdated_until().is_some_and(|until| until <= now);
-        let settled = self.cuts.iter().filter(|cut| is_settled(cut));
-        self.settled.extend(settled.filter_map(|cut| Some((cut.from, cut.next?))));
-        self.settled.sort_unstable();
-        self.settled.dedup();
-        self.cuts.retain(|cut| !is_settled(cut));
+        let is_dropped =
+            |membership: &Membership| membership.outdated_until().is_some_and(|until| until <= now);
+        let dropped = self.memberships.iter().filter(|membership| is_dropped(membership));
+        self.dropped
+            .extend(dropped.filter_map(|membership| Some((membership.from, membership.next?))));
+        self.dropped.sort_unstable();
+        self.dropped.dedup();
+        self.memberships.retain(|membership| !is_dropped(membership));
     }
 
     /// The outdated membership whose turn it is, of those that the settings still list.
     pub(super) fn outdated(&self, now: Millis, turn: u64) -> Option<Outdated> {
-        let settled = self.settled.iter().map(|(from, next)| (*from, *next, now));
-        let others =
-            self.cuts.iter().filter_map(|cut| Some((cut.from, cut.next?, cut.outdated_until()?)));
-        let count = settled.len() as u64 + others.clone().count() as u64;
+        let dropped = self.dropped.iter().map(|(from, next)| (*from, *next, now));
+        let others = self.memberships.iter().filter_map(|membership| {
+            Some((membership.from, membership.next?, membership.outdated_until()?))
+        });
+        let count = dropped.len() as u64 + others.clone().count() as u64;
         let turn = turn.checked_rem(count)?;
-        let (from, next, until) = settled.chain(others).nth(turn as usize)?;
+        let (from, next, until) = dropped.chain(others).nth(turn as usize)?;
         Some(Outdated { from, next, forgotten_in_ms: until.since(now) as u32 })
     }
 
@@ -129,31 +148,36 @@
     ///
     /// That nobody can claim under a membership is true for all once it is for one, and a message that
     /// comes late only makes the wait longer.
-    pub(super) fn hear(&mut self, now: Millis, outdated: Outdated) {
+    pub(super) fn learn_outdated(&mut self, now: Millis, outdated: Outdated) {
         let until = now.after(outdated.forgotten_in_ms.into());
         let (from, next) = (outdated.from, Some(outdated.next));
-        let known = self.cuts.iter_mut().find(|cut| (cut.from, cut.next) == (from, next));
-        let Some(cut) = known else { return };
-        cut.told_until = Some(cut.told_until.map_or(until, |known| known.min(until)));
+        let known = self
+            .memberships
+            .iter_mut()
+            .find(|membership| (membership.from, membership.next) == (from, next));
+        let Some(membership) = known else { return };
+        membership.reported_until =
+            Some(membership.reported_until.map_or(until, |known| known.min(until)));
     }
 
     /// Whether, in each membership that `me` belongs to, so many other members are `done` that any
     /// majority with `me` in it has one of them.
     pub(super) fn is_recalled(&self, me: UpstreamId, done: impl Fn(UpstreamId) -> bool) -> bool {
-        let voted_in = self.cuts.iter().filter(|cut| cut.members.contains(&me));
-        voted_in.into_iter().all(|cut| {
-            let size = cut.members.len();
+        let voted_in =
+            self.memberships.iter().filter(|membership| membership.members.contains(&me));
+        voted_in.into_iter().all(|membership| {
+            let size = membership.members.len();
             let majority = size / 2 + 1;
-            let told = cut.members.iter().filter(|id| **id != me && done(**id)).count();
+            let answered = membership.members.iter().filter(|id| **id != me && done(**id)).count();
             // The other voters are `majority - 1` of `size - 1`.
-            told + majority > size
+            answered + majority > size
         })
     }
 
     /// Everybody who may be asked to vote.
     pub(super) fn witnesses(&self) -> Vec<UpstreamId> {
         let mut all: Vec<UpstreamId> =
-            self.cuts.iter().flat_map(|cut| &cut.members).copied().collect();
+            self.memberships.iter().flat_map(|membership| &membership.members).copied().collect();
         all.sort_unstable();
         all.dedup();
         all
@@ -161,7 +185,7 @@
 
     /// Counts the votes, sorted by witness, for a claim of `claimant`.
     pub(super) fn tally(&self, votes: &[(UpstreamId, Vote)], claimant: UpstreamId) -> Tally {
-        if self.cuts.is_empty() {
+        if self.memberships.is_empty() {
             return Tally::Lost(None);
         }
         let granted = |vote: Option<Vote>| vote == Some(Vote::Granted);
@@ -176,7 +200,7 @@
         if self.majority(votes, possible) {
             return Tally::Open;
         }
-        Tally::Lost(stronger(votes, claimant))
+        Tally::Lost(stronger_rival(votes, claimant))
     }
 
     fn majority(
@@ -184,21 +208,22 @@
         votes: &[(UpstreamId, Vote)],
         counts: impl Fn(Option<Vote>) -> bool,
     ) -> bool {
-        self.cuts.iter().all(|cut| {
-            let counted = cut.members.iter().filter(|member| counts(vote_of(votes, **member)));
-            2 * counted.count() > cut.members.len()
+        self.memberships.iter().all(|membership| {
+            let counted =
+                membership.members.iter().filter(|member| counts(vote_of(votes, **member)));
+            2 * counted.count() > membership.members.len()
         })
     }
 }
 
-impl Cut {
+impl Membership {
     /// When everything that was claimed under it is forgotten, if nobody can claim any more.
     fn outdated_until(&self) -> Option<Millis> {
         let own = self.outdated_since.map(|since| since.after(limits::CLAIM_TTL_MS));
-        own.into_iter().chain(self.told_until).min()
+        own.into_iter().chain(self.reported_until).min()
     }
 
-    fn is_same(&self, other: &Cut) -> bool {
+    fn is_same(&self, other: &Membership) -> bool {
         (self.from, self.next) == (other.from, other.next) && self.members == other.members
     }
 }
@@ -224,7 +249,7 @@
 
 /// The rival with more votes than the claimant; equal votes go to the larger id, so that of two
 /// rivals one yields.
-fn stronger(votes: &[(UpstreamId, Vote)], claimant: UpstreamId) -> Option<Claim> {
+fn stronger_rival(votes: &[(UpstreamId, Vote)], claimant: UpstreamId) -> Option<Claim> {
     let count = |vote: Vote| votes.iter().filter(|(_, known)| *known == vote).count();
     let own = (count(Vote::Granted), claimant);
     votes
--- a/crates/decision/src/agent/recall.rs
+++ b/crates/decision/src/agent/recall.rs
@@ -101,7 +101,7 @@
         if !once || early || self.recall.complete || !self.may_have_voted(now) {
             return;
         }
-        for witness in self.settings.cuts.witnesses() {
+        for witness in self.settings.memberships.witnesses() {
             if witness != self.config.upstream {
                 self.ask_records(now, witness, out);
             }
@@ -187,14 +187,14 @@
         let done = |id| self.recall.cursors.get(id).is_some_and(|cursor| cursor.done);
         let me = self.config.upstream;
         let any = self.recall.cursors.iter().any(|(_, cursor)| cursor.done);
-        let enough = self.settings.cuts.is_recalled(me, done);
+        let enough = self.settings.memberships.is_recalled(me, done);
         let born = self.is_newborn() && self.is_unknown_to_all();
         self.recall.complete = enough || born || (any && mutated!(self, RecallFromOne));
     }
 
     /// Whether every other member has answered, and none has forgotten anything or met this agent.
     fn is_unknown_to_all(&self) -> bool {
-        let witnesses = self.settings.cuts.witnesses();
+        let witnesses = self.settings.memberships.witnesses();
         let others = witnesses.iter().filter(|id| **id != self.config.upstream);
         others.into_iter().all(|id| {
             let cursor = self.recall.cursors.get(*id);
