--- a/crates/decision/src/agent/claimant.rs
+++ b/crates/decision/src/agent/claimant.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum Witnesses {
     /// These agents, if they answer in time.
-    Former(Vec<UpstreamId>),
+    FormerHomes(Vec<UpstreamId>),
     /// A majority of every membership.
     Quorum,
 }
@@ -38,15 +38,18 @@
         out: &mut Vec<Action>,
     ) -> Verdict {
         let Attempt { opening, claim, .. } = attempt;
-        let life = self.config.incarnation;
-        let room = self.pending.len() < limits::MAX_PENDING_CLAIMS;
+        let incarnation = self.config.incarnation;
+        let has_room = self.pending.len() < limits::MAX_PENDING_CLAIMS;
         let quorum = matches!(witnesses, Witnesses::Quorum);
-        let voted = quorum && self.has_voted_otherwise(now, opening, claim);
-        if !room || (!voted && !self.claims.put(now, opening, claim, life, Stage::Pending)) {
+        let voted_otherwise = quorum && self.has_conflicting_record(now, opening, claim);
+        if !has_room
+            || (!voted_otherwise
+                && !self.claims.put(now, opening, claim, incarnation, Stage::Pending))
+        {
             return Verdict::Drop(Reason::Overload);
         }
         let asked = match witnesses {
-            Witnesses::Former(asked) => asked,
+            Witnesses::FormerHomes(asked) => asked,
             Witnesses::Quorum => self.settings.memberships.witnesses(),
         };
         let wait_ms = if quorum { limits::QUORUM_WAIT_MS } else { limits::WITNESS_WAIT_MS };
@@ -58,9 +61,9 @@
             deadline: now.after(wait_ms),
             resend_at: now.after(limits::RESEND_MS),
         };
-        self.vote_myself(now, &mut pending);
+        self.cast_own_vote(now, &mut pending);
         self.request(&pending, out);
-        if let Some(verdict) = self.settle(now, &mut pending, out) {
+        if let Some(verdict) = self.try_resolve(now, &mut pending, out) {
             return verdict;
         }
         let hold = pending.hold;
@@ -70,7 +73,7 @@
 
     /// A witness has answered. An answer after the deadline is not counted: a claimant that was
     /// paused may hold a grant that its witness has forgotten.
-    pub(super) fn claim_answered(
+    pub(super) fn claim_reply_received(
         &mut self,
         now: Millis,
         from: UpstreamId,
@@ -83,13 +86,13 @@
         }
         let Some(mut pending) = self.pending.remove(reply.opening) else { return };
         if pending.attempt.claim == reply.claim && now < pending.deadline {
-            self.count(from, reply.answer, &mut pending);
+            self.count_vote(from, reply.answer, &mut pending);
         }
-        self.settle_or_keep(now, pending, out);
+        self.resolve_or_keep(now, pending, out);
     }
 
     /// Ends claims whose time is over and repeats the requests of the others.
-    pub(super) fn tend_claims(&mut self, now: Millis, out: &mut Vec<Action>) {
+    pub(super) fn process_pending_claims(&mut self, now: Millis, out: &mut Vec<Action>) {
         let due: Vec<Opening> = self
             .pending
             .iter()
@@ -100,15 +103,15 @@
             let Some(mut pending) = self.pending.remove(opening) else { continue };
             if now < pending.deadline {
                 pending.resend_at = now.after(limits::RESEND_MS);
-                self.vote_myself(now, &mut pending);
+                self.cast_own_vote(now, &mut pending);
                 self.request(&pending, out);
             }
-            self.settle_or_keep(now, pending, out);
+            self.resolve_or_keep(now, pending, out);
         }
     }
 
     /// Newer settings: their members are asked as well, and votes given before still stand.
-    pub(super) fn recount_pending(&mut self, now: Millis, out: &mut Vec<Action>) {
+    pub(super) fn recount_pending_claims(&mut self, now: Millis, out: &mut Vec<Action>) {
         let openings: Vec<Opening> = self.pending.iter().map(|(opening, _)| opening).collect();
         for opening in openings {
             let Some(mut pending) = self.pending.remove(opening) else { continue };
@@ -118,10 +121,10 @@
                     |id| old.iter().find(|(known, _)| *known == id).and_then(|(_, vote)| *vote);
                 let asked = self.settings.memberships.witnesses();
                 pending.votes = asked.into_iter().map(|id| (id, vote_of(id))).collect();
-                self.vote_myself(now, &mut pending);
+                self.cast_own_vote(now, &mut pending);
                 self.request(&pending, out);
             }
-            self.settle_or_keep(now, pending, out);
+            self.resolve_or_keep(now, pending, out);
         }
     }
 
@@ -135,11 +138,11 @@
     ) {
         let Some(pending) = self.pending.remove(opening) else { return };
         let attempt = Attempt { claim, refusal: Reason::Tombstone, ..pending.attempt };
-        let verdict = self.decide_early(now, attempt, out);
+        let verdict = self.apply_claim(now, attempt, out);
         out.push(Action::Resolve { hold: pending.hold, verdict });
     }
 
-    fn count(&mut self, from: UpstreamId, answer: ClaimAnswer, pending: &mut PendingClaim) {
+    fn count_vote(&mut self, from: UpstreamId, answer: ClaimAnswer, pending: &mut PendingClaim) {
         match answer {
             ClaimAnswer::Granted => pending.vote(from, Vote::Granted),
             ClaimAnswer::Taken(claim) => pending.vote(from, Vote::Other(claim)),
@@ -151,14 +154,14 @@
 
     /// This agent's own vote, if it is a witness. Its record of the claim has been made, unless it
     /// had voted for another one before: that vote stands.
-    fn vote_myself(&self, now: Millis, pending: &mut PendingClaim) {
+    fn cast_own_vote(&self, now: Millis, pending: &mut PendingClaim) {
         let Attempt { opening, claim, .. } = pending.attempt;
         if self.is_catching_up(now) {
             return;
         }
         let vote = match self.claims.get(now, opening) {
-            _ if self.has_lost_vote(now, opening) => Vote::Abstained,
-            Some(record) if self.has_voted_otherwise(now, opening, claim) => {
+            _ if self.cannot_recall_vote(now, opening) => Vote::Abstained,
+            Some(record) if self.has_conflicting_record(now, opening, claim) => {
                 Vote::Other(record.claim)
             }
             _ => Vote::Granted,
@@ -169,11 +172,11 @@
     /// Whether this agent, as a witness, has recorded another claim than the given own one. A claim
     /// of its own earlier life, recalled after a restart, is another one. An own claim that was
     /// given up may become a refusal.
-    fn has_voted_otherwise(&self, now: Millis, opening: Opening, claim: Claim) -> bool {
+    fn has_conflicting_record(&self, now: Millis, opening: Opening, claim: Claim) -> bool {
         let Some(record) = self.claims.get(now, opening) else { return false };
-        let same_life = record.incarnation == self.config.incarnation;
-        let same = record.claim == claim && (claim == Claim::Refuse || same_life);
-        let own = record.claim == Claim::Run(self.config.upstream) && same_life;
+        let same_incarnation = record.incarnation == self.config.incarnation;
+        let same = record.claim == claim && (claim == Claim::Refuse || same_incarnation);
+        let own = record.claim == Claim::Run(self.config.upstream) && same_incarnation;
         !(same || own && claim == Claim::Refuse)
     }
 
@@ -189,34 +192,34 @@
         }
     }
 
-    fn settle_or_keep(&mut self, now: Millis, mut pending: PendingClaim, out: &mut Vec<Action>) {
-        match self.settle(now, &mut pending, out) {
+    fn resolve_or_keep(&mut self, now: Millis, mut pending: PendingClaim, out: &mut Vec<Action>) {
+        match self.try_resolve(now, &mut pending, out) {
             Some(verdict) => out.push(Action::Resolve { hold: pending.hold, verdict }),
             None => self.pending.insert(pending.attempt.opening, pending),
         }
     }
 
-    fn settle(
+    fn try_resolve(
         &mut self,
         now: Millis,
         pending: &mut PendingClaim,
         out: &mut Vec<Action>,
     ) -> Option<Verdict> {
         if pending.quorum {
-            return self.settle_quorum(now, pending, out);
+            return self.try_resolve_by_quorum(now, pending, out);
         }
         let objection = pending.votes.iter().find_map(|(_, vote)| match vote {
             Some(Vote::Other(claim)) => Some(*claim),
             _ => None,
         });
         if let Some(claim) = objection {
-            let mine = claim == Claim::Run(self.config.upstream);
-            let claim = match mine {
-                true => self.claim_of_assigned(now, pending.attempt.hops),
+            let is_own = claim == Claim::Run(self.config.upstream);
+            let claim = match is_own {
+                true => self.choose_claim_for_assigned(now, pending.attempt.hops),
                 false => claim,
             };
             let attempt = Attempt { claim, refusal: Reason::Tombstone, ..pending.attempt };
-            return Some(self.decide_early(now, attempt, out));
+            return Some(self.apply_claim(now, attempt, out));
         }
         // A suspected agent is told, so that it knows once it is back, but not waited for.
         let isolated = self.is_isolated();
@@ -224,75 +227,75 @@
             |id: UpstreamId| self.peers.get(id).is_some_and(|peer| isolated || !peer.suspected);
         let waiting = now < pending.deadline && pending.silent().any(awaited);
         (!waiting).then(|| {
-            let attempt = self.chosen_anew_if_late(now, pending);
-            self.decide_early(now, attempt, out)
+            let attempt = self.reconsider_after_pause(now, pending);
+            self.apply_claim(now, attempt, out)
         })
     }
 
     /// The attempt, or another one if this agent was paused so long that its choice no longer holds.
     ///
     /// Its upstream may have begun to drain meanwhile.
-    fn chosen_anew_if_late(&mut self, now: Millis, pending: &PendingClaim) -> Attempt {
+    fn reconsider_after_pause(&mut self, now: Millis, pending: &PendingClaim) -> Attempt {
         let attempt = pending.attempt;
         let late = now.since(pending.deadline) >= limits::PAUSE_MS;
-        let mine = attempt.claim == Claim::Run(self.config.upstream);
-        if !late || !mine || !self.must_not_admit() {
+        let is_own = attempt.claim == Claim::Run(self.config.upstream);
+        if !late || !is_own || !self.must_not_admit() {
             return attempt;
         }
-        Attempt { claim: self.claim_of_assigned(now, attempt.hops), ..attempt }
+        Attempt { claim: self.choose_claim_for_assigned(now, attempt.hops), ..attempt }
     }
 
-    fn settle_quorum(
+    fn try_resolve_by_quorum(
         &mut self,
         now: Millis,
         pending: &mut PendingClaim,
         out: &mut Vec<Action>,
     ) -> Option<Verdict> {
         let Attempt { opening, claim, hops, .. } = pending.attempt;
-        let over = now >= pending.deadline;
+        let timed_out = now >= pending.deadline;
         let mut tally = self.settings.memberships.tally(&pending.given(), self.config.upstream);
         if mutated!(self, QuorumOfOne) {
             tally = Tally::Won;
         }
         match tally {
-            Tally::Open if !over => None,
-            Tally::Won if !over => Some(self.win(now, pending.attempt, out)),
-            Tally::Refused => Some(self.refuse_once(now, opening, Reason::Tombstone, out)),
+            Tally::Open if !timed_out => None,
+            Tally::Won if !timed_out => Some(self.claim_won(now, pending.attempt, out)),
+            Tally::Refused => Some(self.record_refusal(now, opening, Reason::Tombstone, out)),
             Tally::Lost(Some(Claim::Run(holder))) if claim != Claim::Refuse => {
-                self.claims.leave_undecided(opening);
-                Some(self.hand_to(now, hops, opening, holder, out))
+                self.claims.mark_undecided(opening);
+                Some(self.assign_to(now, hops, opening, holder, out))
             }
             _ if claim == Claim::Refuse => {
-                self.claims.leave_undecided(opening);
+                self.claims.mark_undecided(opening);
                 Some(Verdict::Drop(Reason::HolderSilent))
             }
-            _ => self.give_up(now, pending, out),
+            _ => self.claim_refusal(now, pending, out),
         }
     }
 
     /// The majority stands: from here on no other agent can run or refuse the opening.
-    fn win(&mut self, now: Millis, attempt: Attempt, out: &mut Vec<Action>) -> Verdict {
+    fn claim_won(&mut self, now: Millis, attempt: Attempt, out: &mut Vec<Action>) -> Verdict {
         if attempt.claim == Claim::Refuse {
-            return self.refuse_once(now, attempt.opening, attempt.refusal, out);
+            return self.record_refusal(now, attempt.opening, attempt.refusal, out);
         }
-        if !self.can_take() {
-            self.claims.leave_undecided(attempt.opening);
+        if !self.can_take_flow() {
+            self.claims.mark_undecided(attempt.opening);
             return Verdict::Drop(Reason::Overload);
         }
-        let life = self.config.incarnation;
-        self.claims.put(now, attempt.opening, attempt.claim, life, Stage::Decided);
+        let incarnation = self.config.incarnation;
+        self.claims.put(now, attempt.opening, attempt.claim, incarnation, Stage::Decided);
         self.admit(now, attempt.opening, out)
     }
 
-    fn refuse_once(
+    fn record_refusal(
         &mut self,
         now: Millis,
         opening: Opening,
         reason: Reason,
         out: &mut Vec<Action>,
     ) -> Verdict {
-        let life = self.config.incarnation;
-        self.claims.put(now, opening, Claim::Refuse, life, Stage::Decided);
+        let incarnation = self.config.incarnation;
+        self.claims.put(now, opening, Claim::Refuse, incarnation, Stage::Decided);
         out.push(Action::Note(Note::Refused { opening, reason }));
         Verdict::Refuse(reason)
     }
@@ -300,24 +303,24 @@
     /// Too few witnesses for running it. To say that it did not run takes a majority as well:
     /// this life promises never to run it and asks for that to be recorded. Without a majority
     /// the caller gets no answer, because either answer could be a lie.
-    fn give_up(
+    fn claim_refusal(
         &mut self,
         now: Millis,
         pending: &mut PendingClaim,
         out: &mut Vec<Action>,
     ) -> Option<Verdict> {
         let opening = pending.attempt.opening;
-        let life = self.config.incarnation;
+        let incarnation = self.config.incarnation;
         pending.attempt.claim = Claim::Refuse;
         pending.attempt.refusal = Reason::InDoubt;
         pending.deadline = now.after(limits::QUORUM_WAIT_MS);
         pending.resend_at = now.after(limits::RESEND_MS);
         pending.votes.iter_mut().for_each(|(_, vote)| *vote = None);
-        if !self.has_voted_otherwise(now, opening, Claim::Refuse) {
-            self.claims.put(now, opening, Claim::Refuse, life, Stage::Pending);
+        if !self.has_conflicting_record(now, opening, Claim::Refuse) {
+            self.claims.put(now, opening, Claim::Refuse, incarnation, Stage::Pending);
         }
-        self.vote_myself(now, pending);
+        self.cast_own_vote(now, pending);
         self.request(pending, out);
-        self.settle_quorum(now, pending, out)
+        self.try_resolve_by_quorum(now, pending, out)
     }
 }
--- a/crates/decision/src/agent/claims.rs
+++ b/crates/decision/src/agent/claims.rs
@@ -36,9 +36,9 @@
 pub(super) struct ClaimTable {
     records: OpeningMap<Record>,
     order: VecDeque<(Millis, Opening)>,
-    /// Entries that have left the front of `order`. The entry at index `i` has number `passed + i`,
+    /// Entries that have left the front of `order`. The entry at index `i` has number `popped + i`,
     /// by which pages are told: entries move only to the back, so a reader misses none.
-    passed: u64,
+    popped: u64,
 }
 
 impl ClaimTable {
@@ -54,14 +54,14 @@
         from: u64,
         limit: usize,
     ) -> (Vec<ClaimRecord>, Option<u64>) {
-        let start = from.saturating_sub(self.passed) as usize;
+        let start = from.saturating_sub(self.popped) as usize;
         let end = start.saturating_add(limit).min(self.order.len());
         let entries = self.order.iter().skip(start).take(limit);
         let records = entries.filter_map(|(_, opening)| {
             let Record { claim, incarnation, .. } = self.get(now, *opening)?;
             Some(ClaimRecord { opening: *opening, claim, incarnation })
         });
-        let next = (end < self.order.len()).then(|| self.passed + end as u64);
+        let next = (end < self.order.len()).then(|| self.popped + end as u64);
         (records.collect(), next)
     }
 
@@ -91,7 +91,7 @@
     }
 
     /// This agent's own claim, if it is one, waits no longer.
-    pub(super) fn leave_undecided(&mut self, opening: Opening) {
+    pub(super) fn mark_undecided(&mut self, opening: Opening) {
         let own = self.records.get_mut(&opening).filter(|record| record.stage == Stage::Pending);
         if let Some(record) = own {
             record.stage = Stage::Undecided;
@@ -108,7 +108,7 @@
                 return;
             }
             self.order.pop_front();
-            self.passed += 1;
+            self.popped += 1;
             match self.records.get(&opening) {
                 None => {}
                 Some(record) if record.expires_at <= now => {
--- a/crates/decision/src/agent/early.rs
+++ b/crates/decision/src/agent/early.rs
@@ -17,44 +17,44 @@
 use crate::time::Millis;
 
 impl Agent {
-    pub(super) fn open_early(
+    pub(super) fn open_optimistically(
         &mut self,
         now: Millis,
         packet: &Packet,
         opening: Opening,
         out: &mut Vec<Action>,
     ) -> Verdict {
-        if let Some(verdict) = self.opening_of_known(now, opening) {
+        if let Some(verdict) = self.opening_of_known_flow(now, opening) {
             return verdict;
         }
         if let Some(record) = self.claims.get(now, opening) {
             return match record.stage {
-                Stage::Pending => self.copy_of_pending(now, packet, opening, out),
-                _ if has_returned(packet) && record.claim != Claim::Run(self.config.upstream) => {
-                    self.take_returned(now, packet.hops, opening, record.claim, out)
+                Stage::Pending => self.duplicate_of_pending(now, packet, opening, out),
+                _ if is_returned(packet) && record.claim != Claim::Run(self.config.upstream) => {
+                    self.reassign_returned(now, packet.hops, opening, record.claim, out)
                 }
-                _ => self.follow_claim(now, packet, opening, record.claim, out),
+                _ => self.follow_recorded_claim(now, packet, opening, record.claim, out),
             };
         }
         let hops = packet.hops;
         if packet.passed == Passed::Assigned {
-            return self.take_assigned(now, hops, opening, out);
+            return self.accept_assigned(now, hops, opening, out);
         }
         if let Some(holder) = self.redirect_of_opening(now, opening) {
-            return self.start_early(now, hops, opening, Claim::Run(holder), out);
+            return self.start_optimistic_claim(now, hops, opening, Claim::Run(holder), out);
         }
         if let Some(home) = self.other_home(now, packet, out) {
             self.flows.remove(opening.flow);
             self.forget_closing(opening);
             return self.forward(packet.hops, home, Passed::Redirected);
         }
-        let claim = self.choose_early(now).map_or(Claim::Refuse, Claim::Run);
-        self.start_early(now, hops, opening, claim, out)
+        let claim = self.choose_initial_holder(now).map_or(Claim::Refuse, Claim::Run);
+        self.start_optimistic_claim(now, hops, opening, claim, out)
     }
 
     /// Chooses a holder. A home that has just restarted may have admitted the same opening in its
     /// earlier life; if no peer knows of that, it was for its own upstream, and so is the copy.
-    fn choose_early(&mut self, now: Millis) -> Option<UpstreamId> {
+    fn choose_initial_holder(&mut self, now: Millis) -> Option<UpstreamId> {
         if self.has_just_restarted(now) && self.accepts(now) {
             return Some(self.config.upstream);
         }
@@ -63,7 +63,7 @@
 
     /// A copy while the claim still waits. If another home has assigned the opening to this agent
     /// meanwhile, that is in force already and the held copy is the one to deliver.
-    fn copy_of_pending(
+    fn duplicate_of_pending(
         &mut self,
         now: Millis,
         packet: &Packet,
@@ -78,7 +78,7 @@
 
     /// The verdict if the opening belongs to a flow in the table: a copy of its own opening, or one
     /// on the ports of an open flow, which the upstream answers itself.
-    fn opening_of_known(&mut self, now: Millis, opening: Opening) -> Option<Verdict> {
+    fn opening_of_known_flow(&mut self, now: Millis, opening: Opening) -> Option<Verdict> {
         if self.must_not_admit() && self.has_never_run(now, opening) {
             let entry = self.flows.remove(opening.flow)?;
             self.announce_end(opening.flow, &entry);
@@ -98,7 +98,7 @@
     /// of this one since: a caller that had would have gone on by now.
     fn has_never_run(&self, now: Millis, opening: Opening) -> bool {
         let old = |flow: &Flow| now.since(flow.opened_at) >= limits::GOES_ON_WITHIN_MS;
-        self.was_not_understood(opening) && self.flows.get(opening.flow).is_some_and(old)
+        self.met_older_connection(opening) && self.flows.get(opening.flow).is_some_and(old)
     }
 
     /// The agent to which the home's work belongs, `None` if it is this one.
@@ -126,25 +126,25 @@
     pub(super) fn redirect_of_opening(&self, now: Millis, opening: Opening) -> Option<UpstreamId> {
         let redirect = self.redirects.get(now, opening.flow)?;
         let same = redirect.nonce == Some(opening.nonce);
-        let gone = !same && (redirect.closing || !self.is_up(redirect.holder));
-        (redirect.holder != self.config.upstream && !gone).then_some(redirect.holder)
+        let is_obsolete = !same && (redirect.closing || !self.is_up(redirect.holder));
+        (redirect.holder != self.config.upstream && !is_obsolete).then_some(redirect.holder)
     }
 
     /// The home has assigned the opening to this agent a moment ago. If the upstream has begun to
     /// drain since, it goes on to another one.
-    fn take_assigned(
+    fn accept_assigned(
         &mut self,
         now: Millis,
         hops: u8,
         opening: Opening,
         out: &mut Vec<Action>,
     ) -> Verdict {
-        let claim = self.claim_of_assigned(now, hops);
+        let claim = self.choose_claim_for_assigned(now, hops);
         if self.has_just_restarted(now) {
-            return self.start_early(now, hops, opening, claim, out);
+            return self.start_optimistic_claim(now, hops, opening, claim, out);
         }
         let refusal = Reason::AllFull;
-        self.decide_early(now, Attempt { opening, claim, refusal, hops }, out)
+        self.apply_claim(now, Attempt { opening, claim, refusal, hops }, out)
     }
 
     /// Whether copies of openings that its earlier life has passed on may still come.
@@ -157,7 +157,7 @@
     /// Failure: two agents, each believing the other to accept, follow their own records. Symptom:
     /// every copy of the opening runs around between them until its hops are used up, and the
     /// caller never gets an answer. Deciding anew ends it, since the new record replaces the old.
-    fn take_returned(
+    fn reassign_returned(
         &mut self,
         now: Millis,
         hops: u8,
@@ -165,15 +165,15 @@
         given: Claim,
         out: &mut Vec<Action>,
     ) -> Verdict {
-        let claim = match self.claim_of_assigned(now, hops) {
+        let claim = match self.choose_claim_for_assigned(now, hops) {
             again if again == given => Claim::Refuse,
             claim => claim,
         };
         let refusal = Reason::AllFull;
-        self.decide_early(now, Attempt { opening, claim, refusal, hops }, out)
+        self.apply_claim(now, Attempt { opening, claim, refusal, hops }, out)
     }
 
-    pub(super) fn claim_of_assigned(&mut self, now: Millis, hops: u8) -> Claim {
+    pub(super) fn choose_claim_for_assigned(&mut self, now: Millis, hops: u8) -> Claim {
         if !self.must_not_admit() && !self.is_full() {
             return Claim::Run(self.config.upstream);
         }
@@ -182,7 +182,7 @@
     }
 
     /// Acts on a claim that is in force.
-    fn follow_claim(
+    fn follow_recorded_claim(
         &mut self,
         now: Millis,
         packet: &Packet,
@@ -191,17 +191,17 @@
         out: &mut Vec<Action>,
     ) -> Verdict {
         if claim == Claim::Run(self.config.upstream) {
-            return self.take_assigned(now, packet.hops, opening, out);
+            return self.accept_assigned(now, packet.hops, opening, out);
         }
         if claim == Claim::Refuse && mutated!(self, TombstoneForgotten) {
             self.claims.remove(opening);
         }
         let refusal = Reason::Tombstone;
-        self.decide_early(now, Attempt { opening, claim, refusal, hops: packet.hops }, out)
+        self.apply_claim(now, Attempt { opening, claim, refusal, hops: packet.hops }, out)
     }
 
     /// Records a claim and asks former homes, or puts it in force at once if there are none.
-    fn start_early(
+    fn start_optimistic_claim(
         &mut self,
         now: Millis,
         hops: u8,
@@ -212,13 +212,13 @@
         let attempt = Attempt { opening, claim, refusal: Reason::AllFull, hops };
         let witnesses = self.former_homes(now, rank::bucket_of(opening.flow));
         if witnesses.is_empty() {
-            return self.decide_early(now, attempt, out);
+            return self.apply_claim(now, attempt, out);
         }
-        self.start_claim(now, attempt, Witnesses::Former(witnesses), out)
+        self.start_claim(now, attempt, Witnesses::FormerHomes(witnesses), out)
     }
 
     /// Puts a claim in force.
-    pub(super) fn decide_early(
+    pub(super) fn apply_claim(
         &mut self,
         now: Millis,
         attempt: Attempt,
@@ -227,13 +227,13 @@
         let Attempt { opening, claim, refusal, hops } = attempt;
         let incarnation = self.config.incarnation;
         let me = self.config.upstream;
-        let room = claim != Claim::Run(me) || self.can_take();
-        if !room || !self.claims.put(now, opening, claim, incarnation, Stage::Decided) {
+        let has_room = claim != Claim::Run(me) || self.can_take_flow();
+        if !has_room || !self.claims.put(now, opening, claim, incarnation, Stage::Decided) {
             return Verdict::Drop(Reason::Overload);
         }
         match claim {
             Claim::Run(holder) if holder == me => self.admit(now, opening, out),
-            Claim::Run(holder) => self.hand_to(now, hops, opening, holder, out),
+            Claim::Run(holder) => self.assign_to(now, hops, opening, holder, out),
             Claim::Refuse => {
                 out.push(Action::Note(Note::Refused { opening, reason: refusal }));
                 Verdict::Refuse(refusal)
@@ -254,7 +254,7 @@
     }
 
     /// Another agent takes the opening; its flow is expected there from now on.
-    pub(super) fn hand_to(
+    pub(super) fn assign_to(
         &mut self,
         now: Millis,
         hops: u8,
@@ -267,7 +267,7 @@
             return verdict;
         }
         self.flows.remove(opening.flow);
-        self.expect_at(now, opening, holder);
+        self.record_assignment(now, opening, holder);
         out.push(Action::Note(Note::Assigned { opening, to: holder }));
         if mutated!(self, RedirectsForgotten) {
             self.redirects.remove(opening.flow);
@@ -276,7 +276,7 @@
         verdict
     }
 
-    fn expect_at(&mut self, now: Millis, opening: Opening, holder: UpstreamId) {
+    fn record_assignment(&mut self, now: Millis, opening: Opening, holder: UpstreamId) {
         let known = self.redirects.get(now, opening.flow);
         let repeated = known.is_some_and(|known| {
             known.holder == holder && (known.nonce == Some(opening.nonce) || !known.closing)
@@ -284,14 +284,14 @@
         if repeated {
             return;
         }
-        let mut life = None;
+        let mut incarnation = None;
         if let Some(peer) = self.peers.get_mut(holder) {
             peer.assigned += 1;
-            life = peer.incarnation;
+            incarnation = peer.incarnation;
         }
         let redirect = Redirect {
             holder,
-            life: life.unwrap_or(Incarnation(0)),
+            life: incarnation.unwrap_or(Incarnation(0)),
             nonce: Some(opening.nonce),
             opened_at: now,
             evidence: Evidence::Assigned,
@@ -303,6 +303,6 @@
 }
 
 /// Whether a packet was assigned by an agent that had itself been given it.
-fn has_returned(packet: &Packet) -> bool {
+fn is_returned(packet: &Packet) -> bool {
     packet.passed == Passed::Assigned && packet.hops >= 2
 }
--- a/crates/decision/src/agent/handover.rs
+++ b/crates/decision/src/agent/handover.rs
@@ -24,7 +24,7 @@
 
 impl Agent {
     /// Whether one more flow can be taken.
-    pub(super) fn can_take(&self) -> bool {
+    pub(super) fn can_take_flow(&self) -> bool {
         self.flows.has_room() && self.handover.said_at.is_none()
     }
 
--- a/crates/decision/src/agent/install.rs
+++ b/crates/decision/src/agent/install.rs
@@ -44,7 +44,7 @@
         self.reopen_recall(now, out);
         out.push(Action::Note(Note::ViewInstalled(version)));
         self.retarget();
-        self.recount_pending(now, out);
+        self.recount_pending_claims(now, out);
         self.send_heartbeats(now, out);
     }
 
--- a/crates/decision/src/agent/mod.rs
+++ b/crates/decision/src/agent/mod.rs
@@ -184,7 +184,7 @@
     /// The systems that run over the tables, each bounded.
     fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.last_tick = now;
-        self.tend_claims(now, out);
+        self.process_pending_claims(now, out);
         self.tend_lookups(now, out);
         self.expire_flows(now, out);
         self.redirects.expire(now);
@@ -222,11 +222,11 @@
         match message {
             Message::ClaimRequest { opening, claim, view, incarnation } => {
                 let request = witness::Request { from, opening, claim, view, incarnation };
-                self.claim_requested(now, request, out);
+                self.claim_request_received(now, request, out);
             }
             Message::ClaimReply { opening, claim, answer, view, incarnation } => {
                 let reply = claimant::Reply { opening, claim, answer, view, incarnation };
-                self.claim_answered(now, from, reply, out);
+                self.claim_reply_received(now, from, reply, out);
             }
             Message::Announce { incarnation, sequence, notes } => {
                 self.announced(now, from, (incarnation, sequence), &notes, out);
--- a/crates/decision/src/agent/once.rs
+++ b/crates/decision/src/agent/once.rs
@@ -15,7 +15,7 @@
 use crate::time::Millis;
 
 impl Agent {
-    pub(super) fn open_once(
+    pub(super) fn open_at_most_once(
         &mut self,
         now: Millis,
         packet: &Packet,
@@ -30,17 +30,17 @@
         }
         let held = self.flows.get(opening.flow).copied();
         if held.is_some_and(|flow| flow.nonce == Some(opening.nonce)) {
-            return self.copy_of_run(now, opening, out);
+            return self.duplicate_of_run(now, opening, out);
         }
         let me = self.config.upstream;
         // A datagram on an open flow is new work, which a draining upstream does not get. Of a SYN
         // on the ports of an open connection, the upstream's TCP has to judge.
         let wanted = !self.settings.datagrams || !self.must_not_admit();
         if wanted && held.is_some_and(|flow| flow.is_certainly_open()) {
-            return self.claim_once(now, packet.hops, opening, Claim::Run(me), out);
+            return self.claim_by_quorum(now, packet.hops, opening, Claim::Run(me), out);
         }
         if packet.passed == Passed::Assigned {
-            let claim = self.claim_of_assigned(now, packet.hops);
+            let claim = self.choose_claim_for_assigned(now, packet.hops);
             return self.propose(now, packet.hops, opening, claim, out);
         }
         let holder = self.redirect_of_opening(now, opening);
@@ -67,9 +67,9 @@
     ) -> Verdict {
         match claim {
             Claim::Run(holder) if holder != self.config.upstream => {
-                self.hand_to(now, hops, opening, holder, out)
+                self.assign_to(now, hops, opening, holder, out)
             }
-            claim => self.claim_once(now, hops, opening, claim, out),
+            claim => self.claim_by_quorum(now, hops, opening, claim, out),
         }
     }
 
@@ -89,34 +89,39 @@
                 self.admit(now, opening, out)
             }
             (Stage::Decided, Claim::Refuse) => Verdict::Refuse(Reason::Tombstone),
-            (Stage::Decided, Claim::Run(_)) => self.copy_of_run(now, opening, out),
+            (Stage::Decided, Claim::Run(_)) => self.duplicate_of_run(now, opening, out),
             (Stage::Pending | Stage::Undecided, claim) => {
-                self.claim_once(now, packet.hops, opening, claim, out)
+                self.claim_by_quorum(now, packet.hops, opening, claim, out)
             }
             // Whoever has assigned it to this agent may know that the other one cannot take it.
             // The vote that this agent has given to that one stands.
             (Stage::Witnessed, Claim::Run(holder))
                 if holder == me || packet.passed == Passed::Assigned || !self.is_up(holder) =>
             {
-                let claim = self.claim_of_assigned(now, packet.hops);
+                let claim = self.choose_claim_for_assigned(now, packet.hops);
                 self.propose(now, packet.hops, opening, claim, out)
             }
             (Stage::Witnessed, Claim::Run(holder)) => {
-                self.hand_to(now, packet.hops, opening, holder, out)
+                self.assign_to(now, packet.hops, opening, holder, out)
             }
             (Stage::Witnessed, Claim::Refuse) => {
-                self.claim_once(now, packet.hops, opening, Claim::Refuse, out)
+                self.claim_by_quorum(now, packet.hops, opening, Claim::Refuse, out)
             }
         }
     }
 
     /// A copy of an opening that has run here. At the same upstream, TCP recognises a SYN while
     /// the connection exists, and the caller may need the answer to it once more.
-    fn copy_of_run(&mut self, now: Millis, opening: Opening, out: &mut Vec<Action>) -> Verdict {
+    fn duplicate_of_run(
+        &mut self,
+        now: Millis,
+        opening: Opening,
+        out: &mut Vec<Action>,
+    ) -> Verdict {
         if mutated!(self, DuplicateDelivered) {
             return Verdict::Deliver;
         }
-        if self.was_not_understood(opening) {
+        if self.met_older_connection(opening) {
             return self.admit(now, opening, out);
         }
         let open = self
@@ -133,7 +138,7 @@
 
     /// A SYN on the ports of an older connection that its upstream still has: the upstream answers
     /// for the older one, the caller resets that and sends the same SYN again. It has not run.
-    pub(super) fn was_not_understood(&self, opening: Opening) -> bool {
+    pub(super) fn met_older_connection(&self, opening: Opening) -> bool {
         let flow = self.flows.get(opening.flow);
         !self.settings.datagrams
             && flow.is_some_and(|flow| {
@@ -143,7 +148,7 @@
     }
 
     /// Claims the opening for this agent, or its refusal, from all witnesses.
-    pub(super) fn claim_once(
+    pub(super) fn claim_by_quorum(
         &mut self,
         now: Millis,
         hops: u8,
@@ -152,7 +157,7 @@
         out: &mut Vec<Action>,
     ) -> Verdict {
         let run = claim == Claim::Run(self.config.upstream);
-        if run && !self.can_take() {
+        if run && !self.can_take_flow() {
             return Verdict::Drop(Reason::Overload);
         }
         let attempt = Attempt { opening, claim, refusal: Reason::AllFull, hops };
--- a/crates/decision/src/agent/packet.rs
+++ b/crates/decision/src/agent/packet.rs
@@ -97,8 +97,8 @@
     ) -> Verdict {
         self.check_pause(now);
         match self.settings.when_in_doubt {
-            WhenInDoubt::Admit => self.open_early(now, packet, opening, out),
-            WhenInDoubt::Refuse => self.open_once(now, packet, opening, out),
+            WhenInDoubt::Admit => self.open_optimistically(now, packet, opening, out),
+            WhenInDoubt::Refuse => self.open_at_most_once(now, packet, opening, out),
         }
     }
 
--- a/crates/decision/src/agent/recall.rs
+++ b/crates/decision/src/agent/recall.rs
@@ -82,7 +82,7 @@
     }
 
     fn memory(&self, now: Millis) -> Memory {
-        match self.abstains(now) || !self.recall.disputed.is_empty() {
+        match self.must_abstain(now) || !self.recall.disputed.is_empty() {
             false => Memory::Complete,
             true if self.is_newborn() && self.recall.disputed.is_empty() => Memory::Newborn,
             true => Memory::Forgetful,
--- a/crates/decision/src/agent/witness.rs
+++ b/crates/decision/src/agent/witness.rs
@@ -20,14 +20,19 @@
 }
 
 impl Agent {
-    pub(super) fn claim_requested(&mut self, now: Millis, request: Request, out: &mut Vec<Action>) {
+    pub(super) fn claim_request_received(
+        &mut self,
+        now: Millis,
+        request: Request,
+        out: &mut Vec<Action>,
+    ) {
         self.saw_version(now, request.view, out);
         if self.must_catch_up(now, request.view) || self.is_catching_up(now) {
             return;
         }
         let answer = match self.settings.when_in_doubt {
-            WhenInDoubt::Admit => self.witness_early(now, request, out),
-            WhenInDoubt::Refuse => self.witness_once(now, request),
+            WhenInDoubt::Admit => self.witness_optimistic(now, request, out),
+            WhenInDoubt::Refuse => self.witness_at_most_once(now, request),
         };
         let message = Message::ClaimReply {
             opening: request.opening,
@@ -44,43 +49,45 @@
     /// Failure: a witness grants one claim, restarts and grants another. Symptom: an opening runs
     /// at two upstreams. Abstaining is enough because whatever it granted before it died is either
     /// recalled from the other witnesses or would have been forgotten by then.
-    pub(super) fn abstains(&self, now: Millis) -> bool {
-        let forgot = self.may_have_voted(now) && !self.recall.complete;
-        forgot && !mutated!(self, AbstainForgotten)
+    pub(super) fn must_abstain(&self, now: Millis) -> bool {
+        let incomplete = self.may_have_voted(now) && !self.recall.complete;
+        incomplete && !mutated!(self, AbstainForgotten)
     }
 
     /// Newer settings may name a membership whose records this witness has not recalled, so it cannot
     /// vote under them. It stays silent rather than abstain: an abstention is final, and a moment later
     /// the settings are in force here as well, when the claimant asks again.
     fn must_catch_up(&self, now: Millis, view: Version) -> bool {
-        let once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
-        once && self.may_have_voted(now) && view > self.settings.version
+        let at_most_once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
+        at_most_once && self.may_have_voted(now) && view > self.settings.version
     }
 
     /// Whether this agent does all its work, its votes included. A rollout that waits for this before
     /// it goes on to the next agent never takes away the majority of a service.
     pub fn is_ready(&self, now: Millis) -> bool {
-        self.settings.when_in_doubt == WhenInDoubt::Admit || !self.abstains(now)
+        self.settings.when_in_doubt == WhenInDoubt::Admit || !self.must_abstain(now)
     }
 
     /// Whether this agent cannot tell which claim for the opening had its vote.
-    pub(super) fn has_lost_vote(&self, now: Millis, opening: Opening) -> bool {
+    pub(super) fn cannot_recall_vote(&self, now: Millis, opening: Opening) -> bool {
         let disputed = self.may_have_voted(now) && self.recall.is_disputed(opening);
-        self.abstains(now) || disputed
+        self.must_abstain(now) || disputed
     }
 
-    fn witness_once(&mut self, now: Millis, request: Request) -> ClaimAnswer {
+    fn witness_at_most_once(&mut self, now: Millis, request: Request) -> ClaimAnswer {
         let own_claim = request.claim == Claim::Refuse || request.claim == Claim::Run(request.from);
         if !own_claim {
             return ClaimAnswer::Abstained;
         }
         // A record made while abstaining is this agent's own wish and counts as nobody's vote.
-        if self.has_lost_vote(now, request.opening) {
+        if self.cannot_recall_vote(now, request.opening) {
             return ClaimAnswer::Abstained;
         }
         match self.claims.get(now, request.opening) {
-            Some(record) if is_same(record, request) => self.record(now, request, record.stage),
-            Some(record) if is_given_up(record, request) => {
+            Some(record) if is_same_claim(record, request) => {
+                self.record(now, request, record.stage)
+            }
+            Some(record) if is_withdrawal(record, request) => {
                 self.record(now, request, Stage::Witnessed)
             }
             Some(record) if !mutated!(self, PromiseNotKept) => ClaimAnswer::Taken(record.claim),
@@ -90,7 +97,7 @@
     }
 
     /// A witness of a home answers from all that it knows about the opening.
-    fn witness_early(
+    fn witness_optimistic(
         &mut self,
         now: Millis,
         request: Request,
@@ -154,13 +161,13 @@
 
 /// A claim to run is the same only if it is of the same life: the holder of an earlier life may
 /// have run the opening, and the later one cannot know.
-fn is_same(record: Record, request: Request) -> bool {
-    let same_life = record.incarnation == request.incarnation;
-    record.claim == request.claim && (request.claim == Claim::Refuse || same_life)
+fn is_same_claim(record: Record, request: Request) -> bool {
+    let same_incarnation = record.incarnation == request.incarnation;
+    record.claim == request.claim && (request.claim == Claim::Refuse || same_incarnation)
 }
 
 /// The life that claimed the opening has promised not to run it.
-fn is_given_up(record: Record, request: Request) -> bool {
-    let same_life = record.incarnation == request.incarnation;
-    request.claim == Claim::Refuse && record.claim == Claim::Run(request.from) && same_life
+fn is_withdrawal(record: Record, request: Request) -> bool {
+    let same_incarnation = record.incarnation == request.incarnation;
+    request.claim == Claim::Refuse && record.claim == Claim::Run(request.from) && same_incarnation
 }
