--- a/crates/decision/src/agent/finding.rs
+++ b/crates/decision/src/agent/finding.rs
@@ -101,8 +101,10 @@
         // A redirect that names this agent is proof enough for one that has had an earlier life.
         let named = self.config.may_have_past && lookup.named().any(|id| id == me);
         let own = (me, self.unknown_flows().filter(|_| !named));
-        let doubtful: Vec<(UpstreamId, Option<Unknown>)> =
-            lookup.unsure().chain((named || self.is_unsure(now)).then_some(own)).collect();
+        let doubtful: Vec<(UpstreamId, Option<Unknown>)> = lookup
+            .unsure()
+            .chain((named || self.may_hold_unknown_flows(now)).then_some(own))
+            .collect();
         let only = match doubtful.as_slice() {
             [] => return Finding::Nobody,
             [(only, _)] => Some(*only),
--- a/crates/decision/src/agent/health.rs
+++ b/crates/decision/src/agent/health.rs
@@ -279,7 +279,7 @@
                 let beat = heartbeat.beat;
                 out.push(Action::Report(Member { upstream: id, beat, up: false }));
             }
-            self.found_silent();
+            self.count_suspected_peer();
         }
         out.push(Action::Note(Note::PeerSuspected { upstream: id, suspected }));
         self.doubt_former_homes(now, &homes);
--- a/crates/decision/src/agent/install.rs
+++ b/crates/decision/src/agent/install.rs
@@ -55,7 +55,7 @@
         self.list_peers(now);
         self.settings = self.summarize(key);
         if is_first {
-            self.recall.listed_new = self.settings.since == self.settings.version;
+            self.recall.newly_listed = self.settings.since == self.settings.version;
         }
         self.seen_version = self.seen_version.max(self.settings.version);
     }
--- a/crates/decision/src/agent/lookup.rs
+++ b/crates/decision/src/agent/lookup.rs
@@ -178,10 +178,10 @@
         }
         let me = self.config.upstream;
         match self.redirects.get(now, flow).filter(|redirect| redirect.holder != me) {
-            Some(redirect) if !self.is_unsure(now) || is_told(redirect, sequence) => {
+            Some(redirect) if !self.may_hold_unknown_flows(now) || is_told(redirect, sequence) => {
                 Knowledge::HeldBy(redirect.holder)
             }
-            _ if self.is_unsure(now) => Knowledge::Unsure,
+            _ if self.may_hold_unknown_flows(now) => Knowledge::Unsure,
             _ => Knowledge::NotMine,
         }
     }
--- a/crates/decision/src/agent/mod.rs
+++ b/crates/decision/src/agent/mod.rs
@@ -73,7 +73,7 @@
     peers: peers::PeerTable,
     doubts: home::Doubts,
     health: health::Health,
-    past: relearn::Past,
+    past: relearn::Recovery,
     recall: recall::Recall,
     /// By bucket: agents to which the flows are announced.
     targets: Vec<announce::Targets>,
@@ -113,8 +113,8 @@
         let heartbeats = config.upstream.0;
         let next_question = rand::Rng::next_u64(&mut random);
         let past = match config.may_have_past {
-            true => relearn::Past::Relearning,
-            false => relearn::Past::Known,
+            true => relearn::Recovery::Relearning,
+            false => relearn::Recovery::Complete,
         };
         let mut agent = Self {
             config,
@@ -196,9 +196,9 @@
         self.heartbeat_if_due(now, out);
         self.refresh_announcements(now);
         self.send_announcements(now, out);
-        self.hand_over(now, out);
+        self.send_handover(now, out);
         self.relearn(now, out);
-        self.recall(now, out);
+        self.request_recall(now, out);
     }
 
     fn leave(&mut self, now: Millis, out: &mut Vec<Action>) {
@@ -252,7 +252,7 @@
                 self.answered(now, from, lookup::Answer { flow, question, knowledge }, out);
             }
             Message::Relearn { incarnation, from: first } => {
-                self.relearn_asked(now, from, incarnation, first, out);
+                self.relearn_requested(now, from, incarnation, first, out);
             }
             Message::RelearnReply {
                 incarnation,
@@ -264,10 +264,10 @@
             } => {
                 let page =
                     relearn::Page { incarnation, from: first, openings, entrusted, next, complete };
-                self.page_received(now, from, page, out);
+                self.relearn_page_received(now, from, page, out);
             }
             Message::Recall { incarnation, from: first } => {
-                self.recall_asked(now, from, incarnation, first, out);
+                self.recall_requested(now, from, incarnation, first, out);
             }
             Message::RecallReply {
                 incarnation,
@@ -279,15 +279,15 @@
             } => {
                 let page =
                     recall::Page { incarnation, from: first, records, next, memory, met_before };
-                self.records_received(now, from, page, out);
+                self.recall_page_received(now, from, page, out);
             }
             Message::Heartbeat(heartbeat) => self.heartbeat_received(now, from, heartbeat, out),
             Message::Outdated(outdated) => self.settings.memberships.learn_outdated(now, outdated),
             Message::HandedOver { incarnation, state } => {
-                self.handed_over_by(now, from, (incarnation, state), out);
+                self.handover_received(now, from, (incarnation, state), out);
             }
             Message::Former { incarnation, former } => {
-                self.former_told(from, incarnation, former);
+                self.previous_incarnation_reported(from, incarnation, former);
             }
         }
     }
--- a/crates/decision/src/agent/packet.rs
+++ b/crates/decision/src/agent/packet.rs
@@ -177,7 +177,7 @@
 
     fn adopt_if_unsure(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) -> Verdict {
         let named = self.flows.get(packet.flow).is_some();
-        if !named && !self.is_unsure(now) {
+        if !named && !self.may_hold_unknown_flows(now) {
             return Verdict::Drop(Reason::HolderSilent);
         }
         self.adopt(now, packet.flow, out);
--- a/crates/decision/src/agent/recall.rs
+++ b/crates/decision/src/agent/recall.rs
@@ -39,7 +39,7 @@
     /// be told. Sorted.
     disputed: Vec<Opening>,
     /// Whether the first settings that this agent had in force were the first to list its upstream.
-    pub(super) listed_new: bool,
+    pub(super) newly_listed: bool,
     /// Whether enough witnesses have told everything, under the settings in force.
     pub(super) complete: bool,
     /// When newer settings took that away, with members that have not been asked yet.
@@ -78,7 +78,7 @@
 
     /// Whether, for all that this agent can see, there was no earlier life.
     fn is_newborn(&self) -> bool {
-        !self.config.may_have_past && self.recall.listed_new
+        !self.config.may_have_past && self.recall.newly_listed
     }
 
     fn memory(&self, now: Millis) -> Memory {
@@ -95,23 +95,23 @@
     /// around. Symptom: the claim wins after a witness has told that it knows nothing of it. A
     /// claimant counts no grant after [`limits::QUORUM_WAIT_MS`], so after a longer wait every claim
     /// that can still win is recorded by its majority.
-    pub(super) fn recall(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
-        let early = now.since(self.started_at) < limits::RECALL_WAIT_MS;
-        if !once || early || self.recall.complete || !self.may_have_voted(now) {
+    pub(super) fn request_recall(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let at_most_once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
+        let too_early = now.since(self.started_at) < limits::RECALL_WAIT_MS;
+        if !at_most_once || too_early || self.recall.complete || !self.may_have_voted(now) {
             return;
         }
         for witness in self.settings.memberships.witnesses() {
             if witness != self.config.upstream {
-                self.ask_records(now, witness, out);
+                self.request_records(now, witness, out);
             }
         }
         // The only member of its service has nobody to ask.
-        self.check_recall();
+        self.update_recall_complete();
     }
 
     /// Answers a restarted witness with one page.
-    pub(super) fn recall_asked(
+    pub(super) fn recall_requested(
         &mut self,
         now: Millis,
         from: UpstreamId,
@@ -130,7 +130,7 @@
         out.push(Action::Send { to: from, message });
     }
 
-    pub(super) fn records_received(
+    pub(super) fn recall_page_received(
         &mut self,
         now: Millis,
         from: UpstreamId,
@@ -149,7 +149,7 @@
         if page.memory != Memory::Complete {
             // Asked again from the start after the retry time: it may know more by then.
             cursor.from = 0;
-            self.check_recall();
+            self.update_recall_complete();
             return;
         }
         cursor.asked_at = None;
@@ -157,19 +157,19 @@
             Some(next) => cursor.from = next,
             None => cursor.done = true,
         }
-        page.records.iter().for_each(|record| self.take_record(now, *record));
-        self.check_recall();
-        self.recall(now, out);
+        page.records.iter().for_each(|record| self.merge_record(now, *record));
+        self.update_recall_complete();
+        self.request_recall(now, out);
     }
 
     /// Newer settings may name memberships of which too few have told their records: the others are
     /// asked at once.
     pub(super) fn reopen_recall(&mut self, now: Millis, out: &mut Vec<Action>) {
         let before = self.recall.complete;
-        self.check_recall();
+        self.update_recall_complete();
         if before && !self.recall.complete {
             self.recall.reopened_at = Some(now);
-            self.recall(now, out);
+            self.request_recall(now, out);
         }
     }
 
@@ -183,13 +183,13 @@
         reopened_at.is_some_and(|at| now.since(at) < limits::CATCH_UP_MS)
     }
 
-    fn check_recall(&mut self) {
+    fn update_recall_complete(&mut self) {
         let done = |id| self.recall.cursors.get(id).is_some_and(|cursor| cursor.done);
         let me = self.config.upstream;
         let any = self.recall.cursors.iter().any(|(_, cursor)| cursor.done);
         let enough = self.settings.memberships.is_recalled(me, done);
-        let born = self.is_newborn() && self.is_unknown_to_all();
-        self.recall.complete = enough || born || (any && mutated!(self, RecallFromOne));
+        let is_new = self.is_newborn() && self.is_unknown_to_all();
+        self.recall.complete = enough || is_new || (any && mutated!(self, RecallFromOne));
     }
 
     /// Whether every other member has answered, and none has forgotten anything or met this agent.
@@ -202,7 +202,7 @@
         })
     }
 
-    fn take_record(&mut self, now: Millis, record: ClaimRecord) {
+    fn merge_record(&mut self, now: Millis, record: ClaimRecord) {
         let ClaimRecord { opening, claim, incarnation } = record;
         match self.claims.get(now, opening) {
             Some(known) if (known.claim, known.incarnation) == (claim, incarnation) => {}
@@ -216,13 +216,14 @@
         }
     }
 
-    fn ask_records(&mut self, now: Millis, to: UpstreamId, out: &mut Vec<Action>) {
+    fn request_records(&mut self, now: Millis, to: UpstreamId, out: &mut Vec<Action>) {
         if self.recall.cursors.get(to).is_none() {
             self.recall.cursors.insert(to, Cursor::default());
         }
         let Some(cursor) = self.recall.cursors.get_mut(to) else { return };
-        let waits = cursor.asked_at.is_some_and(|at| now.since(at) < limits::RELEARN_RETRY_MS);
-        if cursor.done || waits {
+        let awaits_reply =
+            cursor.asked_at.is_some_and(|at| now.since(at) < limits::RELEARN_RETRY_MS);
+        if cursor.done || awaits_reply {
             return;
         }
         cursor.asked_at = Some(now);
--- a/crates/decision/src/agent/relearn.rs
+++ b/crates/decision/src/agent/relearn.rs
@@ -28,7 +28,7 @@
     }
 
     /// Whether the peer was told all by the life `last`, or has resumed after it and was told by others.
-    pub(super) fn has_all_of(&self, last: Incarnation, state: HandedOver) -> bool {
+    pub(super) fn covers_handover(&self, last: Incarnation, state: HandedOver) -> bool {
         let former = self.former.unwrap_or_default();
         match former.life == Some(last) {
             true => former.handed_over == Some(state),
@@ -39,15 +39,15 @@
 
 /// What a restarted agent knows about its earlier life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Past {
+pub(super) enum Recovery {
     /// There is none, or all of it is known.
-    Known,
+    Complete,
     /// It has handed everything over, and all of it was told again.
     Resumed,
     /// Peers are still being asked.
     Relearning,
     /// All that was announced is known; what was not may show up until then.
-    Doubtful { until: Millis },
+    AwaitingUnannounced { until: Millis },
 }
 
 /// A page, as received.
@@ -63,35 +63,37 @@
 
 impl Agent {
     /// Whether this agent may hold flows that it does not know.
-    pub(super) fn is_unsure(&self, now: Millis) -> bool {
+    pub(super) fn may_hold_unknown_flows(&self, now: Millis) -> bool {
         match self.past {
-            Past::Known | Past::Resumed => false,
-            Past::Relearning => now.since(self.started_at) < limits::UNSURE_MAX_MS,
-            Past::Doubtful { until } => now < until || self.must_have_more(now),
+            Recovery::Complete | Recovery::Resumed => false,
+            Recovery::Relearning => now.since(self.started_at) < limits::UNSURE_MAX_MS,
+            Recovery::AwaitingUnannounced { until } => {
+                now < until || self.upstream_reports_more(now)
+            }
         }
     }
 
     /// Whether the upstream reports more flows than this agent knows. The doubt lasts until they are found,
     /// since with another agent in doubt no packet of theirs can be tried here.
-    fn must_have_more(&self, now: Millis) -> bool {
-        let young = now.since(self.started_at) < limits::UNSURE_MAX_MS;
-        young && self.unknown_flows() == Some(Unknown::Some)
+    fn upstream_reports_more(&self, now: Millis) -> bool {
+        let recently_started = now.since(self.started_at) < limits::UNSURE_MAX_MS;
+        recently_started && self.unknown_flows() == Some(Unknown::Some)
     }
 
     /// Asks peers for their next page, and ends relearning once all have told everything.
     pub(super) fn relearn(&mut self, now: Millis, out: &mut Vec<Action>) {
         match self.past {
-            Past::Known | Past::Resumed => return,
-            Past::Relearning => {}
-            Past::Doubtful { .. } if !self.is_unsure(now) => {
-                self.past = Past::Known;
+            Recovery::Complete | Recovery::Resumed => return,
+            Recovery::Relearning => {}
+            Recovery::AwaitingUnannounced { .. } if !self.may_hold_unknown_flows(now) => {
+                self.past = Recovery::Complete;
                 return;
             }
-            Past::Doubtful { .. } => return,
+            Recovery::AwaitingUnannounced { .. } => return,
         }
         let ids: Vec<UpstreamId> = self.peers.iter().map(|(id, _)| id).collect();
         for id in ids {
-            self.ask_page(now, id, out);
+            self.request_page(now, id, out);
         }
         self.check_relearned(now);
     }
@@ -102,7 +104,7 @@
     /// Failure: a holder's agent is down, and those that it has told of a flow restart one after the
     /// other. Symptom: nobody can tell it, once it is back, that its upstream has the flow, which hangs.
     /// Telling each restarted agent is enough while one of the three is up at any time.
-    pub(super) fn relearn_asked(
+    pub(super) fn relearn_requested(
         &mut self,
         now: Millis,
         from: UpstreamId,
@@ -113,18 +115,22 @@
         if !self.meet_life(now, from, incarnation) {
             return;
         }
-        let gone = |id: UpstreamId| self.peers.get(id).is_some_and(Peer::cannot_tell);
+        let holder_cannot_answer =
+            |id: UpstreamId| self.peers.get(id).is_some_and(Peer::cannot_tell);
         let wanted = |redirect: &Redirect| {
             // An answer to a lookup names no opening. Whoever asked is not told when the flow ends.
-            let told = redirect.nonce.is_some();
-            (redirect.holder == from || gone(redirect.holder)) && told && !self.never_ran(redirect)
+            let knows_opening = redirect.nonce.is_some();
+            (redirect.holder == from || holder_cannot_answer(redirect.holder))
+                && knows_opening
+                && !self.never_ran(redirect)
         };
         let (page, next) = self.redirects.page(now, wanted, first);
         let (own, entrusted): (Vec<_>, Vec<_>) =
             page.into_iter().partition(|entry| entry.holder == from);
         let openings = own.into_iter().map(|entry| entry.opening).collect();
         let complete = self.was_complete_before(from);
-        let message = Message::Former { incarnation, former: self.former_of(from) };
+        let message =
+            Message::Former { incarnation, former: self.previous_incarnation_state(from) };
         out.push(Action::Send { to: from, message });
         let message =
             Message::RelearnReply { incarnation, from: first, openings, entrusted, next, complete };
@@ -138,14 +144,15 @@
     fn never_ran(&self, redirect: &Redirect) -> bool {
         let Some(peer) = self.peers.get(redirect.holder) else { return false };
         let due_at = redirect.opened_at.after(limits::ANNOUNCED_WITHIN_MS);
-        let lived_on = |(life, at): (Incarnation, Millis)| life == redirect.life && at > due_at;
+        let outlived_deadline =
+            |(incarnation, at): (Incarnation, Millis)| incarnation == redirect.life && at > due_at;
         let announced = peer.announced_at.is_some_and(|at| at > due_at);
-        let outlived = peer.past_beat.is_some_and(lived_on);
+        let survived = peer.past_beat.is_some_and(outlived_deadline);
         let handed_over = peer.has_handed_over(redirect.life);
-        redirect.evidence == Evidence::Assigned && (announced || outlived || handed_over)
+        redirect.evidence == Evidence::Assigned && (announced || survived || handed_over)
     }
 
-    pub(super) fn page_received(
+    pub(super) fn relearn_page_received(
         &mut self,
         now: Millis,
         from: UpstreamId,
@@ -155,7 +162,7 @@
         if page.incarnation != self.config.incarnation {
             return;
         }
-        if self.past != Past::Resumed || self.is_told_all(from) {
+        if self.past != Recovery::Resumed || self.has_full_knowledge(from) {
             self.insert_relearned(now, &page.openings, out);
         }
         self.insert_entrusted(now, &page.entrusted);
@@ -178,9 +185,9 @@
     /// Not where every flow is a datagram and a request of its own, which is over once it is
     /// answered; that they ran is recorded in the claims.
     fn insert_relearned(&mut self, now: Millis, openings: &[Opening], out: &mut Vec<Action>) {
-        let once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
-        let single = self.settings.only_datagrams && once;
-        if self.past == Past::Known || single {
+        let at_most_once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
+        let single = self.settings.only_datagrams && at_most_once;
+        if self.past == Recovery::Complete || single {
             return;
         }
         for opening in openings {
@@ -206,11 +213,12 @@
         }
     }
 
-    pub(super) fn ask_page(&mut self, now: Millis, to: UpstreamId, out: &mut Vec<Action>) {
+    pub(super) fn request_page(&mut self, now: Millis, to: UpstreamId, out: &mut Vec<Action>) {
         let incarnation = self.config.incarnation;
         let Some(peer) = self.peers.get_mut(to) else { return };
-        let waits = peer.cursor.asked_at.is_some_and(|at| now.since(at) < limits::RELEARN_RETRY_MS);
-        if peer.cursor.done || waits || !peer.may_hold_flows(now) {
+        let awaits_reply =
+            peer.cursor.asked_at.is_some_and(|at| now.since(at) < limits::RELEARN_RETRY_MS);
+        if peer.cursor.done || awaits_reply || !peer.may_hold_flows(now) {
             return;
         }
         peer.cursor.asked_at = Some(now);
@@ -231,7 +239,7 @@
         let all_done = asked.iter().all(|peer| peer.cursor.done);
         let alone = asked.is_empty();
         if alone || (all_done && incomplete <= 1) {
-            self.past = Past::Doubtful { until: now.after(limits::DOUBT_MS) };
+            self.past = Recovery::AwaitingUnannounced { until: now.after(limits::DOUBT_MS) };
         }
         self.check_resumed();
     }
--- a/crates/decision/src/agent/status.rs
+++ b/crates/decision/src/agent/status.rs
@@ -114,7 +114,7 @@
             unannounced: self.peers.iter().map(|(_, peer)| peer.outbox.len()).sum(),
             suspected_peers: self.peers.iter().filter(|(_, peer)| peer.suspected).count(),
             version: self.settings.version,
-            unsure: self.is_unsure(now),
+            unsure: self.may_hold_unknown_flows(now),
         }
     }
 
