--- a/crates/decision/src/agent/announce.rs
+++ b/crates/decision/src/agent/announce.rs
@@ -125,10 +125,10 @@
             return;
         }
         let Some(peer) = self.peers.get_mut(from) else { return };
-        let is_new = sequence > peer.applied;
-        peer.applied = peer.applied.max(sequence);
+        let is_new = sequence > peer.applied_sequence;
+        peer.applied_sequence = peer.applied_sequence.max(sequence);
         if is_new {
-            peer.announced_at = Some(now);
+            peer.last_announcement_at = Some(now);
             notes.iter().for_each(|note| self.take_note(now, (from, incarnation), *note));
         }
         let message = Message::AnnounceAck { incarnation: self.config.incarnation, sequence };
@@ -167,11 +167,11 @@
             _ => {}
         }
         let is_restart = peer.incarnation.is_some();
-        peer.past_beat = peer.incarnation.zip(peer.beat_at.take());
-        peer.former = peer.incarnation;
+        peer.previous_heartbeat = peer.incarnation.zip(peer.last_heartbeat_at.take());
+        peer.previous_incarnation = peer.incarnation;
         peer.incarnation = Some(life);
-        peer.incarnation_at = now;
-        peer.applied = 0;
+        peer.incarnation_seen_at = now;
+        peer.applied_sequence = 0;
         peer.view = Version(0);
         if is_restart {
             peer.met_before = true;
--- a/crates/decision/src/agent/assign.rs
+++ b/crates/decision/src/agent/assign.rs
@@ -80,7 +80,7 @@
     pub(super) fn candidates(&mut self, now: Millis) -> Vec<Candidate> {
         let Some(key) = self.service else { return Vec::new() };
         let own_zone = self.own_spec().map(|spec| spec.zone.clone());
-        let own_accepts = self.accepts(now);
+        let own_accepts = self.accepts_openings(now);
         let view = self.view.clone();
         let upstreams = view.service(key).upstream_keys().map(|key| view.upstream(key));
         let listed = upstreams.filter(|upstream| upstream.spec.state == UpstreamState::Active);
--- a/crates/decision/src/agent/early.rs
+++ b/crates/decision/src/agent/early.rs
@@ -55,7 +55,7 @@
     /// Chooses a holder. A home that has just restarted may have admitted the same opening in its
     /// earlier life; if no peer knows of that, it was for its own upstream, and so is the copy.
     fn choose_initial_holder(&mut self, now: Millis) -> Option<UpstreamId> {
-        if self.has_just_restarted(now) && self.accepts(now) {
+        if self.has_just_restarted(now) && self.accepts_openings(now) {
             return Some(self.config.upstream);
         }
         self.choose(now, false)
--- a/crates/decision/src/agent/finding.rs
+++ b/crates/decision/src/agent/finding.rs
@@ -2,7 +2,7 @@
 
 use super::Agent;
 use super::flows::{Flow, FlowState};
-use super::health::Unknown;
+use super::health::UnknownFlows;
 use super::lookup::Lookup;
 use super::mutant::mutated;
 use crate::keys::{FlowId, UpstreamId};
@@ -101,7 +101,7 @@
         // A redirect that names this agent is proof enough for one that has had an earlier life.
         let named = self.config.may_have_past && lookup.named().any(|id| id == me);
         let own = (me, self.unknown_flows().filter(|_| !named));
-        let doubtful: Vec<(UpstreamId, Option<Unknown>)> = lookup
+        let doubtful: Vec<(UpstreamId, Option<UnknownFlows>)> = lookup
             .unsure()
             .chain((named || self.may_hold_unknown_flows(now)).then_some(own))
             .collect();
@@ -119,11 +119,11 @@
 }
 
 /// Of several that may hold a flow, the one whose upstream alone has a flow that its agent does not know.
-fn only_likely(doubtful: &[(UpstreamId, Option<Unknown>)]) -> Option<UpstreamId> {
-    let others = doubtful.iter().filter(|(_, unknown)| *unknown != Some(Unknown::Nothing));
+fn only_likely(doubtful: &[(UpstreamId, Option<UnknownFlows>)]) -> Option<UpstreamId> {
+    let others = doubtful.iter().filter(|(_, unknown)| *unknown != Some(UnknownFlows::Absent));
     let others: Vec<_> = others.collect();
     match others.as_slice() {
-        [(only, Some(Unknown::Some))] => Some(*only),
+        [(only, Some(UnknownFlows::Present))] => Some(*only),
         _ => None,
     }
 }
@@ -136,11 +136,11 @@
     }
 
     /// Agents that may hold the flow without knowing, and what their upstreams say of such flows.
-    fn unsure(&self) -> impl Iterator<Item = (UpstreamId, Option<Unknown>)> + '_ {
+    fn unsure(&self) -> impl Iterator<Item = (UpstreamId, Option<UnknownFlows>)> + '_ {
         self.answers.iter().filter_map(|(id, answer)| match answer {
             Some(Knowledge::Unsure) => Some((*id, None)),
-            Some(Knowledge::Likely) => Some((*id, Some(Unknown::Some))),
-            Some(Knowledge::Unlikely) => Some((*id, Some(Unknown::Nothing))),
+            Some(Knowledge::Likely) => Some((*id, Some(UnknownFlows::Present))),
+            Some(Knowledge::Unlikely) => Some((*id, Some(UnknownFlows::Absent))),
             _ => None,
         })
     }
--- a/crates/decision/src/agent/handover.rs
+++ b/crates/decision/src/agent/handover.rs
@@ -104,10 +104,11 @@
     /// What this agent knows of the life of `from` before the present one.
     pub(super) fn previous_incarnation_state(&self, from: UpstreamId) -> Former {
         let Some(peer) = self.peers.get(from) else { return Former::default() };
-        let handed_over =
-            peer.handed_over.filter(|(incarnation, _)| Some(*incarnation) == peer.former);
+        let handed_over = peer
+            .handed_over
+            .filter(|(incarnation, _)| Some(*incarnation) == peer.previous_incarnation);
         Former {
-            life: peer.former,
+            life: peer.previous_incarnation,
             handed_over: handed_over.map(|(_, state)| state),
             resumed: self.past == Recovery::Resumed,
         }
--- a/crates/decision/src/agent/health.rs
+++ b/crates/decision/src/agent/health.rs
@@ -1,7 +1,7 @@
 //! Whether the own upstream takes openings, and the heartbeats that tell it to the peers.
 
 use super::mutant::mutated;
-use super::peers::{heartbeat_ms, suspect_ms};
+use super::peers::{heartbeat_period_ms, suspect_after_ms};
 use super::{Action, Agent, Note, UpstreamReport, limits};
 use crate::keys::UpstreamId;
 use crate::message::{Heartbeat, Message};
@@ -11,11 +11,11 @@
 
 /// Whether the upstream has flows that its agent does not know, by its own report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unknown {
+pub(super) enum UnknownFlows {
     /// It has more than the agent knows, hearsay included.
-    Some,
+    Present,
     /// It has no more than the agent knows for certain.
-    Nothing,
+    Absent,
 }
 
 /// What is believed about the own upstream.
@@ -25,20 +25,20 @@
     /// When the upstream process started, as first reported.
     upstream_started_at: Option<Millis>,
     /// What the last heartbeat said.
-    told_accepting: Option<bool>,
+    advertised_accepting: Option<bool>,
     /// Uncertain flows that the last report did not confirm.
     unconfirmed: usize,
     /// Those that neither of the last two reports confirmed: they don't count as load.
-    phantoms: usize,
+    discounted: usize,
     /// What the last report said of flows that this agent does not know.
-    reported: Option<Unknown>,
+    last_unknown: Option<UnknownFlows>,
     /// What the last two reports have said alike.
-    unknown: Option<Unknown>,
+    confirmed_unknown: Option<UnknownFlows>,
 }
 
 impl Agent {
     /// Takes in what the upstream says. A report can only take openings away, never pull them.
-    pub(super) fn upstream_reported(
+    pub(super) fn upstream_report_received(
         &mut self,
         now: Millis,
         report: UpstreamReport,
@@ -52,9 +52,9 @@
             }
         }
         self.health.report = Some(report);
-        self.confirm_uncertain(report);
-        self.count_unknown(report);
-        self.tell_if_changed(now, out);
+        self.reconcile_uncertain_flows(report);
+        self.update_unknown_flows(report);
+        self.notify_if_accepting_changed(now, out);
     }
 
     /// Compares the flows that the upstream may never have had with what it has open.
@@ -62,47 +62,47 @@
     /// What two reports in a row leave no room for is not counted as load; that it may be held is still
     /// answered. A report that says too little gives the upstream at most as many flows more as are
     /// uncertain.
-    fn confirm_uncertain(&mut self, report: UpstreamReport) {
+    fn reconcile_uncertain_flows(&mut self, report: UpstreamReport) {
         let uncertain = self.flows.uncertain();
         let confirmed = (report.open_flows as usize).saturating_sub(self.flows.certain());
         let unconfirmed = uncertain.saturating_sub(confirmed);
-        self.health.phantoms = unconfirmed.min(self.health.unconfirmed);
+        self.health.discounted = unconfirmed.min(self.health.unconfirmed);
         self.health.unconfirmed = unconfirmed;
     }
 
     /// A report may be older than a flow, so two in a row must say the same.
-    fn count_unknown(&mut self, report: UpstreamReport) {
+    fn update_unknown_flows(&mut self, report: UpstreamReport) {
         let reported = report.open_flows as usize;
         let unknown = match reported {
-            more if more > self.flows.open() => Some(Unknown::Some),
-            fewer if fewer <= self.flows.certain() => Some(Unknown::Nothing),
+            more if more > self.flows.open() => Some(UnknownFlows::Present),
+            fewer if fewer <= self.flows.certain() => Some(UnknownFlows::Absent),
             _ => None,
         };
-        self.health.unknown = unknown.filter(|_| self.health.reported == unknown);
-        self.health.reported = unknown;
+        self.health.confirmed_unknown = unknown.filter(|_| self.health.last_unknown == unknown);
+        self.health.last_unknown = unknown;
     }
 
     /// What the upstream's last reports say of flows that this agent does not know.
-    pub(super) fn unknown_flows(&self) -> Option<Unknown> {
-        self.health.unknown
+    pub(super) fn unknown_flows(&self) -> Option<UnknownFlows> {
+        self.health.confirmed_unknown
     }
 
     /// Open flows as they count for load and limits.
     pub(super) fn counted_flows(&self) -> usize {
-        self.flows.open() - self.health.phantoms.min(self.flows.uncertain())
+        self.flows.open() - self.health.discounted.min(self.flows.uncertain())
     }
 
     /// Whether the own upstream takes openings.
-    pub(super) fn accepts(&mut self, now: Millis) -> bool {
+    pub(super) fn accepts_openings(&mut self, now: Millis) -> bool {
         if self.must_not_admit() || self.is_full() {
             return false;
         }
-        let sick = self.is_sick(now);
-        let Some(report) = self.health.report else { return !sick };
+        let stalled = self.is_stalled(now);
+        let Some(report) = self.health.report else { return !stalled };
         let progressing = now.since(self.flows.last_progress()) < limits::SICK_MS
             && self.flows.last_progress() > self.started_at;
         let unhealthy = !report.healthy && !progressing;
-        !(report.shedding || unhealthy || sick)
+        !(report.shedding || unhealthy || stalled)
     }
 
     /// Whether the upstream or this agent is on its way out.
@@ -120,7 +120,7 @@
 
     /// An upstream that reports to be well but completes no handshake gets no more of them, until
     /// the old ones have expired.
-    fn is_sick(&mut self, now: Millis) -> bool {
+    fn is_stalled(&mut self, now: Millis) -> bool {
         if self.settings.datagrams || self.flows.unanswered() < limits::SICK_UNANSWERED {
             return false;
         }
@@ -138,9 +138,9 @@
     }
 
     /// Tells the peers at once when the upstream stops or starts to take openings.
-    pub(super) fn tell_if_changed(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let accepting = self.accepts(now);
-        if self.health.told_accepting != Some(accepting) {
+    pub(super) fn notify_if_accepting_changed(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let accepting = self.accepts_openings(now);
+        if self.health.advertised_accepting != Some(accepting) {
             self.send_heartbeats(now, out);
         }
     }
@@ -152,9 +152,9 @@
     }
 
     pub(super) fn send_heartbeats(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let accepting = self.accepts(now);
-        self.health.told_accepting = Some(accepting);
-        self.heartbeat_at = now.after(heartbeat_ms(self.peers.len()));
+        let accepting = self.accepts_openings(now);
+        self.health.advertised_accepting = Some(accepting);
+        self.heartbeat_at = now.after(heartbeat_period_ms(self.peers.len()));
         let heartbeat = Heartbeat {
             incarnation: self.config.incarnation,
             born: (!self.config.may_have_past).then_some(self.config.incarnation),
@@ -173,12 +173,12 @@
             let outdated = outdated.filter(|_| !peer.retired).map(Message::Outdated);
             out.extend(outdated.map(|message| Action::Send { to, message }));
         }
-        self.report_myself(heartbeat.beat, out);
+        self.report_self_up(heartbeat.beat, out);
     }
 
     /// An agent that hears from few of its peers may be reported down by them although the
     /// balancers still reach it. Its own word, at a later beat, keeps its packets coming.
-    fn report_myself(&self, beat: u64, out: &mut Vec<Action>) {
+    fn report_self_up(&self, beat: u64, out: &mut Vec<Action>) {
         if self.is_isolated() && !self.leaving {
             let upstream = self.config.upstream;
             out.push(Action::Report(Member { upstream, beat, up: true }));
@@ -209,8 +209,9 @@
             peer.born = Some(born);
             self.redirects.forget_before(from, born);
         }
-        let same_life = peer.heartbeat.filter(|old| old.incarnation == heartbeat.incarnation);
-        heartbeat.leaving |= same_life.is_some_and(|old| old.leaving);
+        let same_incarnation =
+            peer.heartbeat.filter(|old| old.incarnation == heartbeat.incarnation);
+        heartbeat.leaving |= same_incarnation.is_some_and(|old| old.leaving);
         if peer.reported_down {
             peer.reported_down = false;
             let beat = heartbeat.beat;
@@ -218,57 +219,62 @@
         }
         peer.view = peer.view.max(heartbeat.view);
         peer.heartbeat = Some(heartbeat);
-        peer.beat_at = Some(now);
+        peer.last_heartbeat_at = Some(now);
         peer.assigned = 0;
         self.doubt_former_homes(now, &homes);
         self.retarget();
     }
 
     /// Any message shows that its sender lives.
-    pub(super) fn heard_from(&mut self, now: Millis, from: UpstreamId, out: &mut Vec<Action>) {
+    pub(super) fn mark_peer_alive(&mut self, now: Millis, from: UpstreamId, out: &mut Vec<Action>) {
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.last_heard = Some(now);
+            peer.last_received_at = Some(now);
             if peer.suspected {
-                self.suspect(now, from, false, out);
+                self.set_suspected(now, from, false, out);
             }
         }
     }
 
-    pub(super) fn suspect_silent(&mut self, now: Millis, out: &mut Vec<Action>) {
+    pub(super) fn suspect_unresponsive(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.peers.retain(|peer| peer.listed || peer.may_hold_flows(now));
-        let bound_ms = suspect_ms(self.peers.len());
-        let is_silent = |silent_ms: u64| silent_ms > bound_ms;
-        let silent: Vec<UpstreamId> = self
+        let bound_ms = suspect_after_ms(self.peers.len());
+        let is_unresponsive = |ms_since_received: u64| ms_since_received > bound_ms;
+        let unresponsive: Vec<UpstreamId> = self
             .peers
             .iter()
-            .filter(|(_, peer)| !peer.suspected && is_silent(peer.silent_ms(now)))
+            .filter(|(_, peer)| !peer.suspected && is_unresponsive(peer.ms_since_received(now)))
             .map(|(id, _)| id)
             .collect();
-        for id in silent {
-            self.suspect(now, id, true, out);
+        for id in unresponsive {
+            self.set_suspected(now, id, true, out);
         }
     }
 
     /// The platform's list lags, so its word counts only against a peer that is silent as well.
-    pub(super) fn hinted(
+    pub(super) fn liveness_hint_received(
         &mut self,
         now: Millis,
         upstream: UpstreamId,
         alive: bool,
         out: &mut Vec<Action>,
     ) {
-        let period_ms = heartbeat_ms(self.peers.len());
-        let silent = self
-            .peers
-            .get(upstream)
-            .is_some_and(|peer| !peer.suspected && peer.silent_ms(now) > period_ms + period_ms / 2);
-        if !alive && silent {
-            self.suspect(now, upstream, true, out);
+        let period_ms = heartbeat_period_ms(self.peers.len());
+        let unresponsive = self.peers.get(upstream).is_some_and(|peer| {
+            !peer.suspected && peer.ms_since_received(now) > period_ms + period_ms / 2
+        });
+        if !alive && unresponsive {
+            self.set_suspected(now, upstream, true, out);
         }
     }
 
     /// A suspicion only changes who is home; whoever was home is asked for a while.
-    fn suspect(&mut self, now: Millis, id: UpstreamId, suspected: bool, out: &mut Vec<Action>) {
+    fn set_suspected(
+        &mut self,
+        now: Millis,
+        id: UpstreamId,
+        suspected: bool,
+        out: &mut Vec<Action>,
+    ) {
         let homes = self.homes();
         let Some(peer) = self.peers.get_mut(id) else { return };
         peer.suspected = suspected;
--- a/crates/decision/src/agent/home.rs
+++ b/crates/decision/src/agent/home.rs
@@ -122,7 +122,7 @@
             self.doubts.add(now, id);
             if !peer.suspected {
                 peer.listed_at = now;
-                peer.last_heard = peer.last_heard.map(|_| now);
+                peer.last_received_at = peer.last_received_at.map(|_| now);
             }
         }
     }
--- a/crates/decision/src/agent/install.rs
+++ b/crates/decision/src/agent/install.rs
@@ -30,7 +30,7 @@
 
 impl Agent {
     /// Takes newer settings; older ones never replace newer ones, whatever their source says.
-    pub(super) fn install(&mut self, now: Millis, view: Arc<View>, out: &mut Vec<Action>) {
+    pub(super) fn install_view(&mut self, now: Millis, view: Arc<View>, out: &mut Vec<Action>) {
         let Some(key) = view.find_service(self.config.service) else { return };
         let version = version_of(&view, key);
         let known = self.service.is_some();
@@ -52,7 +52,7 @@
         let is_first = self.service.is_none();
         self.view = view;
         self.service = Some(key);
-        self.list_peers(now);
+        self.update_listed_peers(now);
         self.settings = self.summarize(key);
         if is_first {
             self.recall.newly_listed = self.settings.since == self.settings.version;
@@ -60,7 +60,7 @@
         self.seen_version = self.seen_version.max(self.settings.version);
     }
 
-    fn list_peers(&mut self, now: Millis) {
+    fn update_listed_peers(&mut self, now: Millis) {
         for (_, peer) in self.peers.iter_mut() {
             peer.listed = false;
         }
--- a/crates/decision/src/agent/lookup.rs
+++ b/crates/decision/src/agent/lookup.rs
@@ -5,7 +5,7 @@
 
 use super::finding::Finding;
 use super::flows::{Flow, are_of_one};
-use super::health::Unknown;
+use super::health::UnknownFlows;
 use super::redirects::{Evidence, Redirect};
 use super::sorted::Sorted;
 use super::{Action, Agent, HoldKey, Packet, PacketKind, Passed, Reason, Verdict, limits};
@@ -189,8 +189,8 @@
     /// The same, with what the own upstream says of flows that this agent does not know.
     pub(super) fn knowledge_told(&self, now: Millis, flow: FlowId, sequence: u32) -> Knowledge {
         match (self.knowledge(now, flow, sequence), self.unknown_flows()) {
-            (Knowledge::Unsure, Some(Unknown::Some)) => Knowledge::Likely,
-            (Knowledge::Unsure, Some(Unknown::Nothing)) => Knowledge::Unlikely,
+            (Knowledge::Unsure, Some(UnknownFlows::Present)) => Knowledge::Likely,
+            (Knowledge::Unsure, Some(UnknownFlows::Absent)) => Knowledge::Unlikely,
             (knowledge, _) => knowledge,
         }
     }
--- a/crates/decision/src/agent/mod.rs
+++ b/crates/decision/src/agent/mod.rs
@@ -173,9 +173,11 @@
         self.check_pause(now);
         match event {
             Event::Message { from, message } => self.message(now, from, message, out),
-            Event::View(view) => self.install(now, view, out),
-            Event::Upstream(report) => self.upstream_reported(now, report, out),
-            Event::Peer { upstream, alive } => self.hinted(now, upstream, alive, out),
+            Event::View(view) => self.install_view(now, view, out),
+            Event::Upstream(report) => self.upstream_report_received(now, report, out),
+            Event::Peer { upstream, alive } => {
+                self.liveness_hint_received(now, upstream, alive, out)
+            }
             Event::Leave => self.leave(now, out),
             Event::Tick => self.tick(now, out),
         }
@@ -191,8 +193,8 @@
         self.claims.expire(now);
         self.doubts.expire(now);
         self.settle_cuts(now);
-        self.suspect_silent(now, out);
-        self.tell_if_changed(now, out);
+        self.suspect_unresponsive(now, out);
+        self.notify_if_accepting_changed(now, out);
         self.heartbeat_if_due(now, out);
         self.refresh_announcements(now);
         self.send_announcements(now, out);
@@ -218,7 +220,7 @@
         if from == self.config.upstream || !self.know_peer(now, from) {
             return;
         }
-        self.heard_from(now, from, out);
+        self.mark_peer_alive(now, from, out);
         match message {
             Message::ClaimRequest { opening, claim, view, incarnation } => {
                 let request = witness::Request { from, opening, claim, view, incarnation };
--- a/crates/decision/src/agent/relearn.rs
+++ b/crates/decision/src/agent/relearn.rs
@@ -1,6 +1,6 @@
 //! After a restart: asking the peers which flows the earlier life held.
 
-use super::health::Unknown;
+use super::health::UnknownFlows;
 use super::peers::Peer;
 use super::redirects::{Evidence, Redirect};
 use super::{Action, Agent, Note, limits};
@@ -77,7 +77,7 @@
     /// since with another agent in doubt no packet of theirs can be tried here.
     fn upstream_reports_more(&self, now: Millis) -> bool {
         let recently_started = now.since(self.started_at) < limits::UNSURE_MAX_MS;
-        recently_started && self.unknown_flows() == Some(Unknown::Some)
+        recently_started && self.unknown_flows() == Some(UnknownFlows::Present)
     }
 
     /// Asks peers for their next page, and ends relearning once all have told everything.
@@ -116,7 +116,7 @@
             return;
         }
         let holder_cannot_answer =
-            |id: UpstreamId| self.peers.get(id).is_some_and(Peer::cannot_tell);
+            |id: UpstreamId| self.peers.get(id).is_some_and(Peer::cannot_answer);
         let wanted = |redirect: &Redirect| {
             // An answer to a lookup names no opening. Whoever asked is not told when the flow ends.
             let knows_opening = redirect.nonce.is_some();
@@ -146,8 +146,8 @@
         let due_at = redirect.opened_at.after(limits::ANNOUNCED_WITHIN_MS);
         let outlived_deadline =
             |(incarnation, at): (Incarnation, Millis)| incarnation == redirect.life && at > due_at;
-        let announced = peer.announced_at.is_some_and(|at| at > due_at);
-        let survived = peer.past_beat.is_some_and(outlived_deadline);
+        let announced = peer.last_announcement_at.is_some_and(|at| at > due_at);
+        let survived = peer.previous_heartbeat.is_some_and(outlived_deadline);
         let handed_over = peer.has_handed_over(redirect.life);
         redirect.evidence == Evidence::Assigned && (announced || survived || handed_over)
     }
@@ -246,7 +246,7 @@
 
     /// Whether this agent had been told the flows of `peer` before that one restarted.
     fn was_complete_before(&self, peer: UpstreamId) -> bool {
-        let met_at = self.peers.get(peer).map(|peer| peer.incarnation_at);
+        let met_at = self.peers.get(peer).map(|peer| peer.incarnation_seen_at);
         met_at.is_some_and(|met_at| met_at.since(self.started_at) >= limits::RESYNC_MS)
     }
 }
--- a/crates/decision/src/agent/status.rs
+++ b/crates/decision/src/agent/status.rs
@@ -93,7 +93,7 @@
 
     /// Whether new openings go to this agent's upstream for now.
     pub fn is_accepting(&mut self, now: Millis) -> bool {
-        self.accepts(now)
+        self.accepts_openings(now)
     }
 
     /// Whether every announcement has been acknowledged: a leaving agent may then end.
