--- a/crates/decision/src/agent/claimant.rs
+++ b/crates/decision/src/agent/claimant.rs
@@ -1,4 +1,4 @@
-//! Claims of this agent: asking witnesses, counting what they say, acting on the outcome.
+//! This agent's own claims: requests to witnesses, the count of their votes, and the outcome.
 
 use super::claims::Stage;
 use super::mutant::mutated;
@@ -9,10 +9,10 @@
 use crate::message::{Claim, ClaimAnswer, Message, Opening};
 use crate::time::Millis;
 
-/// Who has to record a claim.
+/// Which agents have to record a claim.
 #[derive(Clone, Debug)]
 pub(super) enum Witnesses {
-    /// These agents, if they answer in time.
+    /// These agents, as far as they answer before the deadline.
     FormerHomes(Vec<UpstreamId>),
     /// A majority of every membership.
     Quorum,
@@ -29,7 +29,8 @@
 }
 
 impl Agent {
-    /// Records the claim here, asks the witnesses, and holds the packet until they have answered.
+    /// Records the claim locally, sends it to the witnesses, and holds the packet until the claim
+    /// is resolved.
     pub(super) fn start_claim(
         &mut self,
         now: Millis,
@@ -71,8 +72,10 @@
         Verdict::Hold(hold)
     }
 
-    /// A witness has answered. An answer after the deadline is not counted: a claimant that was
-    /// paused may hold a grant that its witness has forgotten.
+    /// Counts a witness's reply.
+    ///
+    /// A reply after the deadline does not count: if this process was paused, the witness may have
+    /// forgotten since that it granted the claim.
     pub(super) fn claim_reply_received(
         &mut self,
         now: Millis,
@@ -91,7 +94,7 @@
         self.resolve_or_keep(now, pending, out);
     }
 
-    /// Ends claims whose time is over and repeats the requests of the others.
+    /// Resolves claims whose deadline has passed and repeats the requests of the others.
     pub(super) fn process_pending_claims(&mut self, now: Millis, out: &mut Vec<Action>) {
         let due: Vec<Opening> = self
             .pending
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Newer settings: their members are asked as well, and votes given before still stand.
+    /// Asks the members that newer settings list as well. Votes already received still count.
     pub(super) fn recount_pending_claims(&mut self, now: Millis, out: &mut Vec<Action>) {
         let openings: Vec<Opening> = self.pending.iter().map(|(opening, _)| opening).collect();
         for opening in openings {
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Resolves a waiting claim with one that another claimant has put in force.
+    /// Resolves a pending claim in favor of another claimant's claim, which has taken effect.
     pub(super) fn yield_to(
         &mut self,
         now: Millis,
@@ -147,13 +150,15 @@
             ClaimAnswer::Granted => pending.vote(from, Vote::Granted),
             ClaimAnswer::Taken(claim) => pending.vote(from, Vote::Other(claim)),
             ClaimAnswer::Abstained => pending.vote(from, Vote::Abstained),
-            // Not a vote: it is asked again once the newer settings are in force here.
+            // Not a vote: the witness is asked again once this agent has the newer settings.
             ClaimAnswer::StaleView => false,
         };
     }
 
-    /// This agent's own vote, if it is a witness. Its record of the claim has been made, unless it
-    /// had voted for another one before: that vote stands.
+    /// Counts this agent's own vote, if it is a witness.
+    ///
+    /// It has already recorded the pending claim, unless it voted for another one before: that
+    /// earlier vote is binding.
     fn cast_own_vote(&self, now: Millis, pending: &mut PendingClaim) {
         let Attempt { opening, claim, .. } = pending.attempt;
         if self.is_catching_up(now) {
@@ -169,9 +174,11 @@
         pending.vote(self.config.upstream, vote);
     }
 
-    /// Whether this agent, as a witness, has recorded another claim than the given own one. A claim
-    /// of its own earlier life, recalled after a restart, is another one. An own claim that was
-    /// given up may become a refusal.
+    /// Whether this agent, as a witness, has recorded a claim that conflicts with the given one of
+    /// its own.
+    ///
+    /// A claim of its previous incarnation, recalled after a restart, conflicts. A claim of its
+    /// present incarnation to run the opening may still be withdrawn in favor of a refusal.
     fn has_conflicting_record(&self, now: Millis, opening: Opening, claim: Claim) -> bool {
         let Some(record) = self.claims.get(now, opening) else { return false };
         let same_incarnation = record.incarnation == self.config.incarnation;
@@ -221,7 +228,8 @@
             let attempt = Attempt { claim, refusal: Reason::Tombstone, ..pending.attempt };
             return Some(self.apply_claim(now, attempt, out));
         }
-        // A suspected agent is told, so that it knows once it is back, but not waited for.
+        // A suspected agent gets the request too, so that it knows the claim if it comes back, but
+        // its reply is not awaited.
         let isolated = self.is_isolated();
         let awaited =
             |id: UpstreamId| self.peers.get(id).is_some_and(|peer| isolated || !peer.suspected);
@@ -232,9 +240,8 @@
         })
     }
 
-    /// The attempt, or another one if this agent was paused so long that its choice no longer holds.
-    ///
-    /// Its upstream may have begun to drain meanwhile.
+    /// The attempt, or a new one if this agent was paused so long past the deadline that its
+    /// upstream may have begun to drain meanwhile.
     fn reconsider_after_pause(&mut self, now: Millis, pending: &PendingClaim) -> Attempt {
         let attempt = pending.attempt;
         let late = now.since(pending.deadline) >= limits::PAUSE_MS;
@@ -273,7 +280,8 @@
         }
     }
 
-    /// The majority stands: from here on no other agent can run or refuse the opening.
+    /// Acts on a claim that a majority has granted: no other agent can run or refuse the opening
+    /// now.
     fn claim_won(&mut self, now: Millis, attempt: Attempt, out: &mut Vec<Action>) -> Verdict {
         if attempt.claim == Claim::Refuse {
             return self.record_refusal(now, attempt.opening, attempt.refusal, out);
@@ -300,9 +308,12 @@
         Verdict::Refuse(reason)
     }
 
-    /// Too few witnesses for running it. To say that it did not run takes a majority as well:
-    /// this life promises never to run it and asks for that to be recorded. Without a majority
-    /// the caller gets no answer, because either answer could be a lie.
+    /// Turns a claim to run the opening, which has found no majority, into a claim to refuse it.
+    ///
+    /// A refusal tells the caller that the opening has not run and never will, so it takes a
+    /// majority as well. This incarnation commits to never running the opening and asks the
+    /// witnesses to record that. Without a majority the caller gets no answer, because either
+    /// answer could be false.
     fn claim_refusal(
         &mut self,
         now: Millis,
--- a/crates/decision/src/agent/claims.rs
+++ b/crates/decision/src/agent/claims.rs
@@ -1,4 +1,5 @@
-//! The claims table: what this agent, as arbiter, witness or holder, has recorded for openings.
+//! The claims table: what this agent has recorded for openings as their home, as a witness or as
+//! their holder.
 
 use std::collections::VecDeque;
 
@@ -8,16 +9,17 @@
 use crate::message::{Claim, ClaimRecord, Opening};
 use crate::time::Millis;
 
-/// How far a claim has come, as seen from this agent.
+/// State of a claim, as this agent knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
     /// Recorded for another claimant.
     Witnessed,
     /// This agent's own claim, waiting for witnesses.
     Pending,
-    /// This agent's own claim has found no majority; it has neither run nor been refused here.
+    /// This agent's own claim, which found no majority: the opening has been neither run nor
+    /// refused here.
     Undecided,
-    /// In force: run, assigned or refused.
+    /// In effect: the opening was run, assigned or refused.
     Decided,
 }
 
@@ -25,29 +27,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Record {
     pub(super) claim: Claim,
-    /// Life of the claimant. Where a quorum decides, only the holder claims `Run`, for this life.
+    /// Incarnation of the claimant. Where a quorum decides, only the holder itself claims `Run`,
+    /// and only for this incarnation.
     pub(super) incarnation: Incarnation,
     pub(super) stage: Stage,
     pub(super) expires_at: Millis,
 }
 
-/// All claims, each forgotten [`limits::CLAIM_TTL_MS`] after it was last recorded.
+/// All claims. Each expires [`limits::CLAIM_TTL_MS`] after it was last recorded.
 #[derive(Debug, Default)]
 pub(super) struct ClaimTable {
     records: OpeningMap<Record>,
     order: VecDeque<(Millis, Opening)>,
-    /// Entries that have left the front of `order`. The entry at index `i` has number `popped + i`,
-    /// by which pages are told: entries move only to the back, so a reader misses none.
+    /// Number of entries removed from the front of `order`. The entry at index `i` has the number
+    /// `popped + i`, which serves as the cursor of a paged read: entries only ever move to the
+    /// back, so a reader misses none.
     popped: u64,
 }
 
 impl ClaimTable {
-    /// A record that has expired no longer counts, even if no tick has removed it yet.
+    /// The record of an opening, unless it has expired; a tick may not have removed it yet.
     pub(super) fn get(&self, now: Millis, opening: Opening) -> Option<Record> {
         self.records.get(&opening).copied().filter(|record| record.expires_at > now)
     }
 
-    /// Up to `limit` records from entry `from` on, and the entry after them if there is one.
+    /// Up to `limit` records from entry number `from` on, and the number of the next entry, if any.
     pub(super) fn page(
         &self,
         now: Millis,
@@ -69,7 +73,8 @@
         self.records.len()
     }
 
-    /// Records a claim; false if the table is full, in which case nothing may rely on it.
+    /// Records a claim. False if the table is full: the claim is then not recorded, and nothing may
+    /// rely on it.
     pub(super) fn put(
         &mut self,
         now: Millis,
@@ -90,7 +95,7 @@
         true
     }
 
-    /// This agent's own claim, if it is one, waits no longer.
+    /// Marks a pending claim of this agent as undecided; leaves any other record alone.
     pub(super) fn mark_undecided(&mut self, opening: Opening) {
         let own = self.records.get_mut(&opening).filter(|record| record.stage == Stage::Pending);
         if let Some(record) = own {
--- a/crates/decision/src/agent/early.rs
+++ b/crates/decision/src/agent/early.rs
@@ -1,8 +1,8 @@
-//! Openings of services that admit when in doubt: a SYN, of which the caller completes one
-//! handshake only.
+//! Openings of services that admit when in doubt: SYNs. Running a copy at a second upstream does
+//! little harm, since the caller completes only one handshake.
 //!
-//! The home arbitrates. It asks former homes first, if there are any, and does not wait for the
-//! silent ones longer than [`limits::WITNESS_WAIT_MS`].
+//! The home decides who holds the flow. If the bucket had other homes until recently, it asks them
+//! first, but waits at most [`limits::WITNESS_WAIT_MS`] for those that do not reply.
 
 use super::claimant::Witnesses;
 use super::claims::Stage;
@@ -52,8 +52,11 @@
         self.start_optimistic_claim(now, hops, opening, claim, out)
     }
 
-    /// Chooses a holder. A home that has just restarted may have admitted the same opening in its
-    /// earlier life; if no peer knows of that, it was for its own upstream, and so is the copy.
+    /// Chooses a holder for an opening that this agent has no record of.
+    ///
+    /// A home that has just restarted may have admitted the same opening in its previous
+    /// incarnation. If no peer knows of that, it did so for its own upstream, so a copy goes there
+    /// as well.
     fn choose_initial_holder(&mut self, now: Millis) -> Option<UpstreamId> {
         if self.has_just_restarted(now) && self.accepts_openings(now) {
             return Some(self.config.upstream);
@@ -61,8 +64,11 @@
         self.choose(now, false)
     }
 
-    /// A copy while the claim still waits. If another home has assigned the opening to this agent
-    /// meanwhile, that is in force already and the held copy is the one to deliver.
+    /// Handles a copy of an opening whose claim is pending: the first packet is held, the copy is
+    /// dropped.
+    ///
+    /// If the copy was assigned to this agent by another home, that assignment has taken effect, so
+    /// the held packet is resolved by it.
     fn duplicate_of_pending(
         &mut self,
         now: Millis,
@@ -76,8 +82,8 @@
         Verdict::Drop(Reason::Duplicate)
     }
 
-    /// The verdict if the opening belongs to a flow in the table: a copy of its own opening, or one
-    /// on the ports of an open flow, which the upstream answers itself.
+    /// The verdict if the opening matches a flow in the table: it is a copy of that flow's opening,
+    /// or reuses the ports of an open flow, in which case the upstream's TCP answers it.
     fn opening_of_known_flow(&mut self, now: Millis, opening: Opening) -> Option<Verdict> {
         if self.must_not_admit() && self.has_never_run(now, opening) {
             let entry = self.flows.remove(opening.flow)?;
@@ -90,21 +96,21 @@
             self.flows.touch_opening(now, opening);
             return Some(Verdict::Deliver);
         }
-        // After a reset the same SYN opens the flow anew; after a FIN it can only be a late copy.
+        // After a reset the same SYN opens the flow again; after a FIN it can only be a late copy.
         (same && flow.state == FlowState::Finishing).then_some(Verdict::Drop(Reason::Duplicate))
     }
 
-    /// Whether the upstream has answered for an older connection on the ports, and its caller has heard nothing
-    /// of this one since: a caller that had would have gone on by now.
+    /// Whether the upstream answered the opening for an older connection on the same ports, and has
+    /// not accepted it since: the caller would have continued the handshake by now.
     fn has_never_run(&self, now: Millis, opening: Opening) -> bool {
         let old = |flow: &Flow| now.since(flow.opened_at) >= limits::GOES_ON_WITHIN_MS;
         self.met_older_connection(opening) && self.flows.get(opening.flow).is_some_and(old)
     }
 
-    /// The agent to which the home's work belongs, `None` if it is this one.
+    /// The home to which the packet must be forwarded, `None` if this agent acts as home.
     ///
-    /// A sender with newer settings knows better who is home. This agent then acts as home at
-    /// once, and asks those who rank before it in its own settings.
+    /// A sender with newer settings knows the home better than this agent does. This agent then
+    /// acts as home at once, and asks the agents that rank before it in its own settings.
     pub(super) fn other_home(
         &mut self,
         now: Millis,
@@ -121,8 +127,10 @@
         (home != self.config.upstream).then_some(home)
     }
 
-    /// The holder that a redirect names for an opening. An opening on the ports of a closing flow
-    /// is free; on those of an open one it goes to its holder, whose upstream decides.
+    /// The holder that a redirect names for an opening.
+    ///
+    /// An opening that reuses the ports of a closing flow may go to any upstream. One that reuses
+    /// those of an open flow goes to that flow's holder, whose upstream decides.
     pub(super) fn redirect_of_opening(&self, now: Millis, opening: Opening) -> Option<UpstreamId> {
         let redirect = self.redirects.get(now, opening.flow)?;
         let same = redirect.nonce == Some(opening.nonce);
@@ -130,8 +138,8 @@
         (redirect.holder != self.config.upstream && !is_obsolete).then_some(redirect.holder)
     }
 
-    /// The home has assigned the opening to this agent a moment ago. If the upstream has begun to
-    /// drain since, it goes on to another one.
+    /// Takes an opening that the home has assigned to this agent, or passes it on to another agent
+    /// if the own upstream has begun to drain since.
     fn accept_assigned(
         &mut self,
         now: Millis,
@@ -147,16 +155,17 @@
         self.apply_claim(now, Attempt { opening, claim, refusal, hops }, out)
     }
 
-    /// Whether copies of openings that its earlier life has passed on may still come.
+    /// Whether copies of openings that the previous incarnation handled may still arrive.
     fn has_just_restarted(&self, now: Millis) -> bool {
         self.config.may_have_past && now.since(self.started_at) < limits::FORMER_HOME_MS
     }
 
-    /// An opening that this agent has given to another has come back: who got it could not take it.
+    /// Decides again on an opening that was assigned to another agent and was returned by it,
+    /// because that one could not take it.
     ///
-    /// Failure: two agents, each believing the other to accept, follow their own records. Symptom:
-    /// every copy of the opening runs around between them until its hops are used up, and the
-    /// caller never gets an answer. Deciding anew ends it, since the new record replaces the old.
+    /// If two agents that each believe the other to accept openings kept following their own
+    /// records, every copy would loop between them until its hops are used up, and the caller would
+    /// never get an answer. The new decision replaces the old record, which ends the loop.
     fn reassign_returned(
         &mut self,
         now: Millis,
@@ -173,6 +182,8 @@
         self.apply_claim(now, Attempt { opening, claim, refusal, hops }, out)
     }
 
+    /// The claim for an opening that was assigned to this agent: its own upstream if that may take
+    /// it, else another one.
     pub(super) fn choose_claim_for_assigned(&mut self, now: Millis, hops: u8) -> Claim {
         if !self.must_not_admit() && !self.is_full() {
             return Claim::Run(self.config.upstream);
@@ -181,7 +192,7 @@
         other.map_or(Claim::Refuse, Claim::Run)
     }
 
-    /// Acts on a claim that is in force.
+    /// Acts on a claim that is already recorded.
     fn follow_recorded_claim(
         &mut self,
         now: Millis,
@@ -200,7 +211,7 @@
         self.apply_claim(now, Attempt { opening, claim, refusal, hops: packet.hops }, out)
     }
 
-    /// Records a claim and asks former homes, or puts it in force at once if there are none.
+    /// Records a claim and asks the former homes, or applies it at once if there are none.
     fn start_optimistic_claim(
         &mut self,
         now: Millis,
@@ -217,7 +228,7 @@
         self.start_claim(now, attempt, Witnesses::FormerHomes(witnesses), out)
     }
 
-    /// Puts a claim in force.
+    /// Records a claim as decided and carries it out.
     pub(super) fn apply_claim(
         &mut self,
         now: Millis,
@@ -241,7 +252,7 @@
         }
     }
 
-    /// The own upstream takes the opening.
+    /// Delivers the opening to the own upstream.
     pub(super) fn admit(
         &mut self,
         now: Millis,
@@ -253,7 +264,7 @@
         Verdict::Deliver
     }
 
-    /// Another agent takes the opening; its flow is expected there from now on.
+    /// Passes the opening to another agent, and records that agent as the flow's holder.
     pub(super) fn assign_to(
         &mut self,
         now: Millis,
@@ -302,7 +313,7 @@
     }
 }
 
-/// Whether a packet was assigned by an agent that had itself been given it.
+/// Whether a packet was assigned by an agent that had received it from another agent.
 fn is_returned(packet: &Packet) -> bool {
     packet.passed == Passed::Assigned && packet.hops >= 2
 }
--- a/crates/decision/src/agent/once.rs
+++ b/crates/decision/src/agent/once.rs
@@ -1,9 +1,10 @@
-//! Openings of services that refuse when in doubt: each runs at most once, and what was refused
-//! has not run and never will.
+//! Openings of services that refuse when in doubt: each runs at most once, and an opening that was
+//! refused has not run and never will.
 //!
-//! The home only proposes a holder. The holder claims the opening for itself and its present life
-//! and delivers it once a majority of every membership has recorded that, whoever is home and
-//! whatever anybody suspects. See `docs/decisions/at-most-once.md`.
+//! The home only proposes a holder. The holder claims the opening for itself and its present
+//! incarnation, and delivers it once a majority of every membership has recorded the claim. This
+//! does not depend on which agent is home or on which agents are suspected. See
+//! `docs/decisions/at-most-once.md`.
 
 use super::claimant::Witnesses;
 use super::claims::{Record, Stage};
@@ -33,8 +34,8 @@
             return self.duplicate_of_run(now, opening, out);
         }
         let me = self.config.upstream;
-        // A datagram on an open flow is new work, which a draining upstream does not get. Of a SYN
-        // on the ports of an open connection, the upstream's TCP has to judge.
+        // A datagram on an open flow is new work, which a draining upstream does not get. A SYN on
+        // the ports of an open connection is left to the upstream's TCP.
         let wanted = !self.settings.datagrams || !self.must_not_admit();
         if wanted && held.is_some_and(|flow| flow.is_certainly_open()) {
             return self.claim_by_quorum(now, packet.hops, opening, Claim::Run(me), out);
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Something is recorded here for the opening.
+    /// Handles an opening for which a claim is recorded here.
     fn follow_record(
         &mut self,
         now: Millis,
@@ -93,8 +94,8 @@
             (Stage::Pending | Stage::Undecided, claim) => {
                 self.claim_by_quorum(now, packet.hops, opening, claim, out)
             }
-            // Whoever has assigned it to this agent may know that the other one cannot take it.
-            // The vote that this agent has given to that one stands.
+            // An agent that assigned the opening to this one may know that the recorded holder
+            // cannot take it. This agent's vote for that holder remains binding.
             (Stage::Witnessed, Claim::Run(holder))
                 if holder == me || packet.passed == Passed::Assigned || !self.is_up(holder) =>
             {
@@ -110,8 +111,10 @@
         }
     }
 
-    /// A copy of an opening that has run here. At the same upstream, TCP recognises a SYN while
-    /// the connection exists, and the caller may need the answer to it once more.
+    /// Handles a copy of an opening that has run here.
+    ///
+    /// A copy of a SYN is delivered for a while: the upstream's TCP recognizes it while the
+    /// connection exists, and the caller may need the reply again.
     fn duplicate_of_run(
         &mut self,
         now: Millis,
@@ -136,8 +139,9 @@
         Verdict::Deliver
     }
 
-    /// A SYN on the ports of an older connection that its upstream still has: the upstream answers
-    /// for the older one, the caller resets that and sends the same SYN again. It has not run.
+    /// Whether the SYN met an older connection on the same ports that its upstream still has. The
+    /// upstream replies for the older connection, the caller resets that one and sends the same SYN
+    /// again, so the opening has not run.
     pub(super) fn met_older_connection(&self, opening: Opening) -> bool {
         let flow = self.flows.get(opening.flow);
         !self.settings.datagrams
@@ -147,7 +151,8 @@
             })
     }
 
-    /// Claims the opening for this agent, or its refusal, from all witnesses.
+    /// Asks all witnesses to record the claim: that this agent runs the opening, or that it is
+    /// refused.
     pub(super) fn claim_by_quorum(
         &mut self,
         now: Millis,
--- a/crates/decision/src/agent/witness.rs
+++ b/crates/decision/src/agent/witness.rs
@@ -1,4 +1,4 @@
-//! Claims of other agents, which this one records as a witness.
+//! Claims of other agents, which this agent records as a witness.
 
 use super::claims::{Record, Stage};
 use super::flows::Flow;
@@ -44,31 +44,35 @@
         out.push(Action::Send { to: request.from, message });
     }
 
-    /// Whether this agent may have promised something that it no longer knows.
+    /// Whether this agent must abstain, because it may have voted on claims that it no longer
+    /// knows.
     ///
-    /// Failure: a witness grants one claim, restarts and grants another. Symptom: an opening runs
-    /// at two upstreams. Abstaining is enough because whatever it granted before it died is either
-    /// recalled from the other witnesses or would have been forgotten by then.
+    /// If a witness granted one claim, restarted and granted another, an opening could run at two
+    /// upstreams. Abstaining prevents this: by the time the agent votes again, each claim that it
+    /// granted before the restart has been recalled from the other witnesses or has expired.
     pub(super) fn must_abstain(&self, now: Millis) -> bool {
         let incomplete = self.may_have_voted(now) && !self.recall.complete;
         incomplete && !mutated!(self, AbstainForgotten)
     }
 
-    /// Newer settings may name a membership whose records this witness has not recalled, so it cannot
-    /// vote under them. It stays silent rather than abstain: an abstention is final, and a moment later
-    /// the settings are in force here as well, when the claimant asks again.
+    /// Whether the claimant has newer settings that this witness must install before it votes.
+    ///
+    /// They may contain a membership whose records this witness has not recalled. It does not reply
+    /// rather than abstain, since an abstention is final. The claimant asks again a moment later,
+    /// when the settings are in effect here as well.
     fn must_catch_up(&self, now: Millis, view: Version) -> bool {
         let at_most_once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
         at_most_once && self.may_have_voted(now) && view > self.settings.version
     }
 
-    /// Whether this agent does all its work, its votes included. A rollout that waits for this before
-    /// it goes on to the next agent never takes away the majority of a service.
+    /// Whether this agent is fully functional, which includes that it can vote. A rollout that
+    /// waits for this before it goes on to the next agent never takes away the majority of a
+    /// service.
     pub fn is_ready(&self, now: Millis) -> bool {
         self.settings.when_in_doubt == WhenInDoubt::Admit || !self.must_abstain(now)
     }
 
-    /// Whether this agent cannot tell which claim for the opening had its vote.
+    /// Whether this agent does not know which claim for the opening had its vote.
     pub(super) fn cannot_recall_vote(&self, now: Millis, opening: Opening) -> bool {
         let disputed = self.may_have_voted(now) && self.recall.is_disputed(opening);
         self.must_abstain(now) || disputed
@@ -79,7 +83,7 @@
         if !own_claim {
             return ClaimAnswer::Abstained;
         }
-        // A record made while abstaining is this agent's own wish and counts as nobody's vote.
+        // A record made while abstaining is only this agent's own claim and counts as no vote.
         if self.cannot_recall_vote(now, request.opening) {
             return ClaimAnswer::Abstained;
         }
@@ -96,7 +100,7 @@
         }
     }
 
-    /// A witness of a home answers from all that it knows about the opening.
+    /// Answers the home of an opening from everything that this agent knows about the opening.
     fn witness_optimistic(
         &mut self,
         now: Millis,
@@ -106,7 +110,7 @@
         let opening = request.opening;
         let record = self.claims.get(now, opening);
         if let Some(record) = record.filter(|record| record.claim != request.claim) {
-            // Two homes that ask each other: the smaller claim wins at both.
+            // If two homes ask each other, the smaller claim wins at both.
             let yields = record.stage == Stage::Pending && request.claim < record.claim;
             if !yields && !mutated!(self, PromiseNotKept) {
                 return ClaimAnswer::Taken(record.claim);
@@ -123,7 +127,7 @@
     }
 
     /// The agent to which the opening belongs: the holder of its flow, or of an open flow on the
-    /// same ports, whose upstream has to judge whether that one is over.
+    /// same ports, whose upstream decides whether that flow has ended.
     fn holder_of(&self, now: Millis, opening: Opening) -> Option<UpstreamId> {
         let nonce = Some(opening.nonce);
         let belongs = |flow: &Flow| flow.is_certainly_open() || flow.nonce == nonce;
@@ -133,11 +137,11 @@
         self.redirect_of_opening(now, opening)
     }
 
-    /// The caller opens a flow elsewhere on the ports of one that is closing.
+    /// Removes a closing flow, or a redirect to it, when the caller opens a new flow elsewhere on
+    /// the same ports.
     ///
-    /// Failure: packets of the new flow follow what is known of the closing one, here or at the agent
-    /// that a redirect names. Symptom: the old upstream resets the new flow. Forgetting is enough, since
-    /// a packet of an unknown flow is asked about.
+    /// Otherwise packets of the new flow would go to the old upstream, which would reset them.
+    /// Removal suffices, since a packet of an unknown flow leads to a lookup.
     pub(super) fn forget_closing(&mut self, opening: Opening) {
         let old = |flow: &Flow| !flow.is_certainly_open() && flow.nonce != Some(opening.nonce);
         if self.flows.get(opening.flow).is_some_and(old) {
@@ -159,14 +163,15 @@
     }
 }
 
-/// A claim to run is the same only if it is of the same life: the holder of an earlier life may
-/// have run the opening, and the later one cannot know.
+/// Whether the request repeats the recorded claim. A claim to run must also be of the same
+/// incarnation: a previous one may have run the opening, and the present one cannot know.
 fn is_same_claim(record: Record, request: Request) -> bool {
     let same_incarnation = record.incarnation == request.incarnation;
     record.claim == request.claim && (request.claim == Claim::Refuse || same_incarnation)
 }
 
-/// The life that claimed the opening has promised not to run it.
+/// Whether the request withdraws the recorded claim: the incarnation that claimed to run the
+/// opening now commits to never running it.
 fn is_withdrawal(record: Record, request: Request) -> bool {
     let same_incarnation = record.incarnation == request.incarnation;
     request.claim == Claim::Refuse && record.claim == Claim::Run(request.from) && same_incarnation
