--- a/crates/decision/src/agent/handover.rs
+++ b/crates/decision/src/agent/handover.rs
@@ -1,9 +1,10 @@
-//! A planned end hands everything over, so that the next life beside the upstream is in no doubt.
+//! Handover at a planned shutdown, after which the agent's next incarnation knows all flows of the
+//! upstream.
 //!
-//! A leaving agent says that it has told everything once every peer that is up has acknowledged all
-//! announcements; from then on it takes no flow. Of agents that are silent by then it knows flows that they
-//! cannot tell themselves: its peers ask for these. The next life hears from its peers that the former
-//! one has handed over.
+//! A leaving agent sends `HandedOver` once every peer that is up has acknowledged all
+//! announcements; from then on it takes no flow. It may also know flows of agents that are
+//! unresponsive at that time and cannot report them themselves, so its peers ask it for these. The
+//! next incarnation learns from its peers that the previous one has handed over.
 
 use super::flows::{Flow, FlowState};
 use super::peers::Peer;
@@ -13,12 +14,12 @@
 use crate::message::{Former, HandedOver, Message};
 use crate::time::Millis;
 
-/// How far a leaving agent has handed over.
+/// State of a leaving agent's handover.
 #[derive(Debug, Default)]
 pub(super) struct Handover {
-    /// When it last said so; from the first time on it takes no flow.
+    /// When `HandedOver` was last sent; from the first time on the agent takes no flow.
     last_sent_at: Option<Millis>,
-    /// How often a peer was found silent.
+    /// How often a peer became suspected.
     suspected_count: u32,
 }
 
@@ -32,9 +33,9 @@
         self.handover.suspected_count = self.handover.suspected_count.wrapping_add(1);
     }
 
-    /// Says that everything is told once it is, and again until the process ends.
+    /// Sends `HandedOver` once all flows are announced, and repeats it until the process ends.
     ///
-    /// An agent that may hold flows unknown to itself can't say so.
+    /// An agent that may hold flows that it does not know cannot send it.
     pub(super) fn send_handover(&mut self, now: Millis, out: &mut Vec<Action>) {
         let recently_sent =
             self.handover.last_sent_at.is_some_and(|at| now.since(at) < limits::ANNOUNCE_MS);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Agents that are up and are told the flows of some bucket, sorted.
+    /// Agents that are up and receive announcements for some bucket, sorted.
     fn handover_targets(&self) -> Vec<UpstreamId> {
         let targets = self.targets.iter().flatten().flatten();
         let up = |id: &&UpstreamId| self.peers.get(**id).is_some_and(|peer| !peer.suspected);
@@ -66,7 +67,8 @@
         receivers
     }
 
-    /// Whether nothing is under way, and all flows are announced. One without an opening can't be.
+    /// Whether no claim or lookup is pending and all open flows are announced and acknowledged. A
+    /// flow without a known opening cannot be announced.
     fn is_fully_announced(&self) -> bool {
         let nothing_pending = self.pending.len() == 0 && self.lookups.len() == 0;
         let unannounced = |flow: &Flow| flow.state == FlowState::Open && !flow.is_announced();
@@ -80,7 +82,8 @@
         self.peers.iter().all(|(_, peer)| peer.suspected || peer.outbox.len() == 0)
     }
 
-    /// A peer has handed over. Flows of agents that it finds silent are asked for.
+    /// Records that a peer has handed over. If it suspects more agents than it did at its last
+    /// message, asks it for the flows that it knows of theirs.
     pub(super) fn handover_received(
         &mut self,
         now: Millis,
@@ -101,7 +104,7 @@
         }
     }
 
-    /// What this agent knows of the life of `from` before the present one.
+    /// What this agent knows of the previous incarnation of `from`.
     pub(super) fn previous_incarnation_state(&self, from: UpstreamId) -> Former {
         let Some(peer) = self.peers.get(from) else { return Former::default() };
         let handed_over = peer
@@ -128,10 +131,11 @@
         self.check_resumed();
     }
 
-    /// Ends the doubt if the former life has handed over and its flows are all told.
+    /// Marks the flow table as complete if the previous incarnation has handed over and peers have
+    /// reported all of its flows.
     ///
-    /// Every flow was acknowledged by two of those that are told, or by the only one. If all but one of
-    /// them have told it again, none is missing.
+    /// Every flow was acknowledged by two of the peers that receive announcements, or by the only
+    /// one. If all of them but one have reported what they know, no flow is missing.
     pub(super) fn check_resumed(&mut self) {
         if matches!(self.past, Recovery::Complete | Recovery::Resumed) {
             return;
@@ -145,14 +149,16 @@
         }
     }
 
-    /// Whether a peer can tell all that it should know of the former life, if that one has handed over.
+    /// Whether the previous incarnation has handed over, and this peer knows all that it should of
+    /// that incarnation's flows.
     pub(super) fn has_full_knowledge(&self, id: UpstreamId) -> bool {
         let cursor = self.peers.get(id).map(|peer| &peer.cursor);
         let last = self.last_handover();
         cursor.zip(last).is_some_and(|(cursor, (last, state))| cursor.covers_handover(last, state))
     }
 
-    /// The former life and the newest that it has said at its end, as far as the peers know.
+    /// The previous incarnation and the newest handover state that it sent, as far as the peers
+    /// know.
     fn last_handover(&self) -> Option<(Incarnation, HandedOver)> {
         let reports = || self.peers.iter().filter_map(|(_, peer)| peer.cursor.former);
         let last = reports().filter_map(|former| former.life).max()?;
--- a/crates/decision/src/agent/quorum.rs
+++ b/crates/decision/src/agent/quorum.rs
@@ -1,9 +1,9 @@
-//! Votes on a claim, and whether they are a majority of every membership that may be in force.
+//! Votes on a claim, and whether they are a majority of every membership that may be in effect.
 //!
-//! Two claimants may run different settings, and so count different members. Each therefore needs
-//! a majority in every membership that its settings remember: for any two claimants there is one
-//! that both have counted, and two majorities of it share a witness, which votes once. The
-//! argument is written down in `docs/decisions/at-most-once.md`.
+//! Two claimants may have different settings in effect, and so count different members. Each
+//! therefore needs a majority in every membership that its settings remember. Any two claimants
+//! have such a membership in common, and two majorities of it share a witness, which votes only
+//! once. `docs/decisions/at-most-once.md` gives the full argument.
 
 use super::limits;
 use crate::keys::{UpstreamId, Version};
@@ -11,14 +11,14 @@
 use crate::time::Millis;
 use crate::view::{Service, Upstream, View};
 
-/// What one witness has said about a claim.
+/// One witness's vote on a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Vote {
     /// It has recorded the claim.
     Granted,
-    /// It has recorded another one.
+    /// It has recorded another claim for the opening.
     Other(Claim),
-    /// It cannot say.
+    /// It cannot tell what it has recorded, and so does not vote.
     Abstained,
 }
 
@@ -29,36 +29,37 @@
     /// First version with other members; `None` for the present membership.
     next: Option<Version>,
     members: Vec<UpstreamId>,
-    /// Since when so many members run `next` or later that the others are no majority.
+    /// Since when so many members have `next` or a later version that the others are no majority.
     outdated_since: Option<Millis>,
-    /// When it needs no majority any more, as a peer knows.
+    /// When a majority of it will no longer be needed, as reported by a peer.
     reported_until: Option<Millis>,
 }
 
-/// The memberships of a service that may still be in force somewhere.
+/// The memberships of a service that may still be in effect somewhere.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Memberships {
     memberships: Vec<Membership>,
-    /// Memberships, by their first version and the first with others, that need no majority any more.
+    /// Memberships of which no majority is needed any more: the first version of each, and the
+    /// first version of the membership after it.
     dropped: Vec<(Version, Version)>,
 }
 
-/// How the votes stand.
+/// State of the count of votes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Tally {
-    /// The claim has a majority in every cut.
+    /// The claim has a majority in every membership.
     Won,
-    /// A refusal by another claimant has a majority in every cut.
+    /// A refusal by another claimant has a majority in every membership.
     Refused,
     /// The claim can still win.
     Open,
-    /// The claim cannot win any more; if given, most other votes are for this claim.
+    /// The claim cannot win any more. Contains the rival claim to yield to, if there is one.
     Lost(Option<Claim>),
 }
 
 impl Memberships {
     /// The memberships that the settings of `service` remember, without those that `before` has
-    /// settled.
+    /// dropped.
     pub(super) fn of(
         view: &View,
         service: &Service,
@@ -104,13 +105,13 @@
         Self { memberships, dropped }
     }
 
-    /// Drops memberships that can grant nothing any more. `runs` tells whether a member is known
-    /// to run a version or a later one.
+    /// Drops memberships that can grant nothing any more. `runs` tells whether a member is known to
+    /// have the given version or a later one in effect.
     ///
-    /// Failure: upstreams that were replaced long ago are dead, and no majority of their
-    /// membership can ever answer. Symptom: every opening is in doubt. Dropping the membership is
-    /// safe once most of its members answer claimants under it with `StaleView`, and what they
-    /// granted before has been forgotten.
+    /// Upstreams that were replaced long ago are gone, so no majority of their membership can ever
+    /// answer, and no claim could be resolved while that membership counts. Dropping it is safe
+    /// once at least half of its members answer claimants under it with `StaleView`, and the claims
+    /// that they granted before have expired.
     pub(super) fn drop_outdated(
         &mut self,
         now: Millis,
@@ -132,7 +133,8 @@
         self.memberships.retain(|membership| !is_dropped(membership));
     }
 
-    /// The outdated membership whose turn it is, of those that the settings still list.
+    /// The outdated membership to report to peers next, in rotation over those that the settings
+    /// still list.
     pub(super) fn outdated(&self, now: Millis, turn: u64) -> Option<Outdated> {
         let dropped = self.dropped.iter().map(|(from, next)| (*from, *next, now));
         let others = self.memberships.iter().filter_map(|membership| {
@@ -144,10 +146,10 @@
         Some(Outdated { from, next, forgotten_in_ms: until.since(now) as u32 })
     }
 
-    /// Takes in what a peer knows of an outdated membership.
+    /// Processes a peer's report that a membership is outdated.
     ///
-    /// That nobody can claim under a membership is true for all once it is for one, and a message that
-    /// comes late only makes the wait longer.
+    /// If one agent knows that nobody can claim under a membership any more, this holds for all,
+    /// and a report that arrives late only makes the wait longer.
     pub(super) fn learn_outdated(&mut self, now: Millis, outdated: Outdated) {
         let until = now.after(outdated.forgotten_in_ms.into());
         let (from, next) = (outdated.from, Some(outdated.next));
@@ -160,8 +162,8 @@
             Some(membership.reported_until.map_or(until, |known| known.min(until)));
     }
 
-    /// Whether, in each membership that `me` belongs to, so many other members are `done` that any
-    /// majority with `me` in it has one of them.
+    /// Whether, in each membership that `me` belongs to, so many other members are `done` that
+    /// every majority with `me` in it contains one of them.
     pub(super) fn is_recalled(&self, me: UpstreamId, done: impl Fn(UpstreamId) -> bool) -> bool {
         let voted_in =
             self.memberships.iter().filter(|membership| membership.members.contains(&me));
@@ -174,7 +176,7 @@
         })
     }
 
-    /// Everybody who may be asked to vote.
+    /// All agents that may be asked to vote, sorted.
     pub(super) fn witnesses(&self) -> Vec<UpstreamId> {
         let mut all: Vec<UpstreamId> =
             self.memberships.iter().flat_map(|membership| &membership.members).copied().collect();
@@ -183,7 +185,7 @@
         all
     }
 
-    /// Counts the votes, sorted by witness, for a claim of `claimant`.
+    /// Counts `votes` on a claim of `claimant`. They are sorted by witness.
     pub(super) fn tally(&self, votes: &[(UpstreamId, Vote)], claimant: UpstreamId) -> Tally {
         if self.memberships.is_empty() {
             return Tally::Lost(None);
@@ -217,7 +219,7 @@
 }
 
 impl Membership {
-    /// When everything that was claimed under it is forgotten, if nobody can claim any more.
+    /// When all claims that were made under it will have expired, if nobody can make new ones.
     fn outdated_until(&self) -> Option<Millis> {
         let own = self.outdated_since.map(|since| since.after(limits::CLAIM_TTL_MS));
         own.into_iter().chain(self.reported_until).min()
@@ -247,8 +249,8 @@
     Some(votes[index].1)
 }
 
-/// The rival with more votes than the claimant; equal votes go to the larger id, so that of two
-/// rivals one yields.
+/// The rival claim that the claimant yields to: the one with the most votes, if it has more than
+/// the claimant's. The larger id breaks a tie, so that exactly one of two rivals yields.
 fn stronger_rival(votes: &[(UpstreamId, Vote)], claimant: UpstreamId) -> Option<Claim> {
     let count = |vote: Vote| votes.iter().filter(|(_, known)| *known == vote).count();
     let own = (count(Vote::Granted), claimant);
--- a/crates/decision/src/agent/recall.rs
+++ b/crates/decision/src/agent/recall.rs
@@ -1,15 +1,16 @@
-//! After a start: learning from the other witnesses what this one may have promised.
+//! Recovery of a witness's records from the other witnesses after a start.
 //!
-//! A witness that starts abstains, since an earlier life, of whatever upstream under its name, may
-//! have granted a claim. To do so for the whole life of a claim stops a service whose agents are
-//! restarted one after the other.
-//! Of any claim that won with this agent's vote, a majority of a membership has the record. Once so
-//! many other members have told all their records that every majority must have one among them,
-//! nothing that matters is unknown here, and this agent may vote again.
+//! A witness that starts abstains, since a previous incarnation, beside whatever upstream had its
+//! name, may have granted a claim. If it abstained until every such claim has expired, a service
+//! whose agents are restarted one after the other would stop.
 //!
-//! When a service begins, no witness knows anything. One whose upstream and listing have just begun is
-//! *newborn*; it votes once every other member has answered, and none of them has forgotten
-//! anything or has met an earlier life of it.
+//! Any claim that won with this agent's vote is recorded by a majority of a membership. Once so
+//! many other members have sent all their records that every majority contains one of them, this
+//! agent knows every claim that matters and may vote again.
+//!
+//! When a service begins, no witness has any records. A witness is *newborn* if its upstream is new
+//! and was listed only just now. It votes once every other member has answered, and none of them
+//! has lost records or has seen a previous incarnation of it.
 
 use super::mutant::mutated;
 use super::sorted::Sorted;
@@ -19,34 +20,36 @@
 use crate::time::Millis;
 use crate::view::WhenInDoubt;
 
-/// How far one witness has told its records.
+/// Progress of reading one witness's records.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cursor {
     from: u64,
     asked_at: Option<Millis>,
     done: bool,
-    /// Whether it is newborn by its own account.
+    /// Whether it has reported itself as newborn.
     newborn: bool,
-    /// Whether it has met an earlier life of this agent.
+    /// Whether it has seen a previous incarnation of this agent.
     met_before: bool,
 }
 
-/// What a restarted witness has learned of its earlier promises.
+/// What a restarted witness has learned about votes of its previous incarnations.
 #[derive(Debug, Default)]
 pub(super) struct Recall {
     cursors: Sorted<UpstreamId, Cursor>,
-    /// Openings for which different claims are recorded; which of them had this agent's vote cannot
-    /// be told. Sorted.
+    /// Openings for which witnesses have recorded different claims, so that it is unknown which of
+    /// them had this agent's vote. Sorted.
     disputed: Vec<Opening>,
-    /// Whether the first settings that this agent had in force were the first to list its upstream.
+    /// Whether the first settings that this agent installed were also the first to list its
+    /// upstream.
     pub(super) newly_listed: bool,
-    /// Whether enough witnesses have told everything, under the settings in force.
+    /// Whether enough witnesses have sent all their records, under the settings in effect.
     pub(super) complete: bool,
-    /// When newer settings took that away, with members that have not been asked yet.
+    /// When newer settings made the recall incomplete again, by members that had not been asked
+    /// yet.
     reopened_at: Option<Millis>,
 }
 
-/// A page, as received.
+/// A page of records, as received.
 #[derive(Clone, Debug)]
 pub(super) struct Page {
     pub(super) incarnation: Incarnation,
@@ -70,13 +73,13 @@
 }
 
 impl Agent {
-    /// Whether an earlier life of this agent may have voted on openings that still have copies. That
-    /// the upstream is new does not rule it out: another one may have had its name.
+    /// Whether a previous incarnation of this agent may have voted on openings of which copies
+    /// still exist. A new upstream does not rule it out: another one may have had the same name.
     pub(super) fn may_have_voted(&self, now: Millis) -> bool {
         now.since(self.started_at) < limits::CLAIM_TTL_MS
     }
 
-    /// Whether, for all that this agent can see, there was no earlier life.
+    /// Whether, as far as this agent can tell, it has no previous incarnation.
     fn is_newborn(&self) -> bool {
         !self.config.may_have_past && self.recall.newly_listed
     }
@@ -91,10 +94,10 @@
 
     /// Asks the other witnesses for their next pages.
     ///
-    /// It waits first. Failure: a claimant counts a grant of the earlier life while this life asks
-    /// around. Symptom: the claim wins after a witness has told that it knows nothing of it. A
-    /// claimant counts no grant after [`limits::QUORUM_WAIT_MS`], so after a longer wait every claim
-    /// that can still win is recorded by its majority.
+    /// It first waits for [`limits::RECALL_WAIT_MS`]. Otherwise a claimant could still count a
+    /// grant of the previous incarnation, and its claim could win after a witness has sent its
+    /// records without that claim. A claimant counts no grant after [`limits::QUORUM_WAIT_MS`], so
+    /// after the longer wait every claim that can still win is recorded by its majority.
     pub(super) fn request_recall(&mut self, now: Millis, out: &mut Vec<Action>) {
         let at_most_once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
         let too_early = now.since(self.started_at) < limits::RECALL_WAIT_MS;
@@ -106,7 +109,7 @@
                 self.request_records(now, witness, out);
             }
         }
-        // The only member of its service has nobody to ask.
+        // Needed if this agent is the only member: it gets no pages.
         self.update_recall_complete();
     }
 
@@ -147,7 +150,7 @@
         cursor.met_before |= page.met_before;
         cursor.newborn = page.memory == Memory::Newborn;
         if page.memory != Memory::Complete {
-            // Asked again from the start after the retry time: it may know more by then.
+            // It is asked again from the start after the retry period, when it may know more.
             cursor.from = 0;
             self.update_recall_complete();
             return;
@@ -162,8 +165,8 @@
         self.request_recall(now, out);
     }
 
-    /// Newer settings may name memberships of which too few have told their records: the others are
-    /// asked at once.
+    /// Checks the recall against newer settings. They may contain memberships of which too few
+    /// members have sent their records; the others are then asked at once.
     pub(super) fn reopen_recall(&mut self, now: Millis, out: &mut Vec<Action>) {
         let before = self.recall.complete;
         self.update_recall_complete();
@@ -173,11 +176,13 @@
         }
     }
 
-    /// Whether this agent could vote a moment ago, and will again once the newly listed have answered.
+    /// Whether this agent could vote a moment ago, and will again once newly listed members have
+    /// answered.
     ///
-    /// Failure: settings list one more member while all agents are young. Symptom: every witness
-    /// abstains, which is final, and an opening of that moment is given up, a datagram for good. Saying
-    /// nothing is enough, since claimants ask again.
+    /// When settings list one more member while all agents have just started, every witness would
+    /// abstain. An abstention is final, so an opening of that moment would be given up, and a
+    /// datagram would be lost for good. Instead the witness does not reply at all, and the claimant
+    /// asks again.
     pub(super) fn is_catching_up(&self, now: Millis) -> bool {
         let reopened_at = self.recall.reopened_at.filter(|_| !self.recall.complete);
         reopened_at.is_some_and(|at| now.since(at) < limits::CATCH_UP_MS)
@@ -192,7 +197,8 @@
         self.recall.complete = enough || is_new || (any && mutated!(self, RecallFromOne));
     }
 
-    /// Whether every other member has answered, and none has forgotten anything or met this agent.
+    /// Whether every other member has answered, and none has lost records or seen a previous
+    /// incarnation of this agent.
     fn is_unknown_to_all(&self) -> bool {
         let witnesses = self.settings.memberships.witnesses();
         let others = witnesses.iter().filter(|id| **id != self.config.upstream);
--- a/crates/decision/src/agent/relearn.rs
+++ b/crates/decision/src/agent/relearn.rs
@@ -1,4 +1,5 @@
-//! After a restart: asking the peers which flows the earlier life held.
+//! Recovery of the flow table after a restart: the peers are asked which flows the previous
+//! incarnation held.
 
 use super::health::UnknownFlows;
 use super::peers::Peer;
@@ -9,25 +10,26 @@
 use crate::time::Millis;
 use crate::view::WhenInDoubt;
 
-/// How far one peer has told what it knows.
+/// Progress of reading what one peer knows.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Cursor {
     from: FlowId,
     asked_at: Option<Millis>,
     pub(super) done: bool,
-    /// Whether the peer had been told everything before this agent restarted.
+    /// Whether the peer knew all flows announced to it before this agent restarted.
     complete: bool,
-    /// What the peer has said of this agent's former life.
+    /// What the peer has reported about this agent's previous incarnation.
     pub(super) former: Option<Former>,
 }
 
 impl Cursor {
-    /// Begins anew with the first page.
+    /// Starts again with the first page.
     pub(super) fn restart(&mut self) {
         *self = Self { former: self.former, ..Self::default() };
     }
 
-    /// Whether the peer was told all by the life `last`, or has resumed after it and was told by others.
+    /// Whether the peer received all announcements of the incarnation `last`, or has itself resumed
+    /// after a restart and got them from others.
     pub(super) fn covers_handover(&self, last: Incarnation, state: HandedOver) -> bool {
         let former = self.former.unwrap_or_default();
         match former.life == Some(last) {
@@ -37,20 +39,20 @@
     }
 }
 
-/// What a restarted agent knows about its earlier life.
+/// How far a restarted agent has recovered the flows of its previous incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Recovery {
-    /// There is none, or all of it is known.
+    /// There is no previous incarnation, or all of its flows are known.
     Complete,
-    /// It has handed everything over, and all of it was told again.
+    /// It had handed over, and the peers have reported all of its flows.
     Resumed,
-    /// Peers are still being asked.
+    /// The peers are still being asked.
     Relearning,
-    /// All that was announced is known; what was not may show up until then.
+    /// All announced flows are known. Flows that were not announced yet may show up until then.
     AwaitingUnannounced { until: Millis },
 }
 
-/// A page, as received.
+/// A page of flows, as received.
 #[derive(Clone, Debug)]
 pub(super) struct Page {
     pub(super) incarnation: Incarnation,
@@ -73,14 +75,16 @@
         }
     }
 
-    /// Whether the upstream reports more flows than this agent knows. The doubt lasts until they are found,
-    /// since with another agent in doubt no packet of theirs can be tried here.
+    /// Whether the upstream reports more flows than this agent knows.
+    ///
+    /// The agent then stays in the incomplete state until they are found: while another agent is
+    /// incomplete too, no packet of these flows can be tried here.
     fn upstream_reports_more(&self, now: Millis) -> bool {
         let recently_started = now.since(self.started_at) < limits::UNSURE_MAX_MS;
         recently_started && self.unknown_flows() == Some(UnknownFlows::Present)
     }
 
-    /// Asks peers for their next page, and ends relearning once all have told everything.
+    /// Asks the peers for their next pages, and ends relearning once all have sent everything.
     pub(super) fn relearn(&mut self, now: Millis, out: &mut Vec<Action>) {
         match self.past {
             Recovery::Complete | Recovery::Resumed => return,
@@ -98,12 +102,14 @@
         self.check_relearned(now);
     }
 
-    /// Answers a restarted peer with one page of its flows, and of those whose holder is silent or has handed
-    /// over.
+    /// Answers a restarted peer with one page of its own flows, and of flows whose holder is
+    /// unresponsive or has handed over.
     ///
-    /// Failure: a holder's agent is down, and those that it has told of a flow restart one after the
-    /// other. Symptom: nobody can tell it, once it is back, that its upstream has the flow, which hangs.
-    /// Telling each restarted agent is enough while one of the three is up at any time.
+    /// If only the restarted peer's own flows were sent, knowledge of other flows could get lost: a
+    /// holder's agent is down, and the agents to which it announced a flow restart one after the
+    /// other. Once it is back, nobody could tell it that its upstream has the flow, which would
+    /// hang. Sending these flows to each restarted agent prevents this as long as one of the three
+    /// agents is up at any time.
     pub(super) fn relearn_requested(
         &mut self,
         now: Millis,
@@ -118,7 +124,8 @@
         let holder_cannot_answer =
             |id: UpstreamId| self.peers.get(id).is_some_and(Peer::cannot_answer);
         let wanted = |redirect: &Redirect| {
-            // An answer to a lookup names no opening. Whoever asked is not told when the flow ends.
+            // A redirect learned by a lookup has no opening, and the holder does not announce the
+            // end of the flow to this agent.
             let knows_opening = redirect.nonce.is_some();
             (redirect.holder == from || holder_cannot_answer(redirect.holder))
                 && knows_opening
@@ -137,10 +144,11 @@
         out.push(Action::Send { to: from, message });
     }
 
-    /// Whether the holder has announced other flows since this one was assigned to it, but not this one, or
-    /// has lived on long enough to announce it to those whom it tells.
+    /// Whether an assigned opening never ran at its holder: the holder has announced other flows
+    /// since the assignment but not this one, was up long enough after it to announce this one, or
+    /// has handed over.
     ///
-    /// A holder announces all that it has taken within a moment.
+    /// A holder announces every flow within [`limits::ANNOUNCED_WITHIN_MS`].
     fn never_ran(&self, redirect: &Redirect) -> bool {
         let Some(peer) = self.peers.get(redirect.holder) else { return false };
         let due_at = redirect.opened_at.after(limits::ANNOUNCED_WITHIN_MS);
@@ -180,10 +188,10 @@
         self.relearn(now, out);
     }
 
-    /// Takes in what a peer says that this agent's earlier life held.
+    /// Adds flows that the previous incarnation held, as reported by a peer.
     ///
-    /// Not where every flow is a datagram and a request of its own, which is over once it is
-    /// answered; that they ran is recorded in the claims.
+    /// Skipped where every flow is a single datagram that runs at most once. Such a request is over
+    /// once it is answered, and the claims record that it ran.
     fn insert_relearned(&mut self, now: Millis, openings: &[Opening], out: &mut Vec<Action>) {
         let at_most_once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
         let single = self.settings.only_datagrams && at_most_once;
@@ -192,7 +200,7 @@
         }
         for opening in openings {
             let known = self.flows.get(opening.flow).is_some();
-            // An opening that was admitted since the restart is newer than any page.
+            // A flow admitted since the restart is newer than the page.
             let me = self.config.upstream;
             let redirect = self.redirects.get(now, opening.flow);
             let elsewhere = redirect.is_some_and(|redirect| redirect.holder != me);
@@ -226,8 +234,11 @@
         out.push(Action::Send { to, message });
     }
 
-    /// Every flow was announced to two agents. If all but one had been told everything before the
-    /// restart, at least one of the two was, and has now told it.
+    /// Ends relearning once all peers have sent everything that they know, unless more than one of
+    /// them had incomplete knowledge.
+    ///
+    /// Every flow was announced to two agents. If all peers but one knew everything announced to
+    /// them before the restart, at least one of the two did, and has now reported the flow.
     fn check_relearned(&mut self, now: Millis) {
         let asked: Vec<&Peer> = self
             .peers
@@ -244,7 +255,7 @@
         self.check_resumed();
     }
 
-    /// Whether this agent had been told the flows of `peer` before that one restarted.
+    /// Whether `peer` had announced its flows to this agent before it restarted.
     fn was_complete_before(&self, peer: UpstreamId) -> bool {
         let met_at = self.peers.get(peer).map(|peer| peer.incarnation_seen_at);
         met_at.is_some_and(|met_at| met_at.since(self.started_at) >= limits::RESYNC_MS)
