--- a/crates/decision/src/agent/health.rs
+++ b/crates/decision/src/agent/health.rs
@@ -1,4 +1,4 @@
-//! Whether the own upstream takes openings, and the heartbeats that tell it to the peers.
+//! Whether the own upstream takes openings, and the heartbeats that report this to the peers.
 
 use super::mutant::mutated;
 use super::peers::{heartbeat_period_ms, suspect_after_ms};
@@ -9,35 +9,38 @@
 use crate::time::Millis;
 use crate::view::UpstreamState;
 
-/// Whether the upstream has flows that its agent does not know, by its own report.
+/// Whether the upstream has flows that its agent does not know, according to the upstream's
+/// reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum UnknownFlows {
-    /// It has more than the agent knows, hearsay included.
+    /// It reports more flows than the agent knows, unconfirmed ones included.
     Present,
-    /// It has no more than the agent knows for certain.
+    /// It reports no more flows than the agent knows for certain.
     Absent,
 }
 
-/// What is believed about the own upstream.
+/// Health of the own upstream, as this agent sees it.
 #[derive(Debug, Default)]
 pub(super) struct Health {
     report: Option<UpstreamReport>,
-    /// When the upstream process started, as first reported.
+    /// When the upstream process started, from its first report after the start.
     upstream_started_at: Option<Millis>,
-    /// What the last heartbeat said.
+    /// Whether the last heartbeat said that the upstream takes openings.
     advertised_accepting: Option<bool>,
-    /// Uncertain flows that the last report did not confirm.
+    /// Number of uncertain flows that the last report leaves no room for.
     unconfirmed: usize,
-    /// Those that neither of the last two reports confirmed: they don't count as load.
+    /// Number of uncertain flows that neither of the last two reports leaves room for. These do not
+    /// count as load.
     discounted: usize,
-    /// What the last report said of flows that this agent does not know.
+    /// Whether the last report shows flows that this agent does not know.
     last_unknown: Option<UnknownFlows>,
-    /// What the last two reports have said alike.
+    /// The same, if the last two reports agree.
     confirmed_unknown: Option<UnknownFlows>,
 }
 
 impl Agent {
-    /// Takes in what the upstream says. A report can only take openings away, never pull them.
+    /// Processes a report of the upstream. A report can only keep openings away from it, never
+    /// attract more.
     pub(super) fn upstream_report_received(
         &mut self,
         now: Millis,
@@ -46,7 +49,7 @@
     ) {
         let before = self.health.report.and_then(|report| report.age_ms);
         if let Some(age_ms) = report.age_ms {
-            // A frozen report repeats its age; only a smaller one tells of a restart.
+            // A report that is stuck repeats the same age; only a smaller age means a restart.
             if before.is_none_or(|before| age_ms < before) {
                 self.health.upstream_started_at = Some(Millis(now.0.saturating_sub(age_ms)));
             }
@@ -57,11 +60,12 @@
         self.notify_if_accepting_changed(now, out);
     }
 
-    /// Compares the flows that the upstream may never have had with what it has open.
+    /// Compares the uncertain flows, which the upstream may never have had, with the number of
+    /// flows that it reports as open.
     ///
-    /// What two reports in a row leave no room for is not counted as load; that it may be held is still
-    /// answered. A report that says too little gives the upstream at most as many flows more as are
-    /// uncertain.
+    /// Uncertain flows that two reports in a row leave no room for do not count as load; peers that
+    /// ask about them are still told that they may be held here. A report that is too low lets the
+    /// upstream exceed its limit by at most the number of uncertain flows.
     fn reconcile_uncertain_flows(&mut self, report: UpstreamReport) {
         let uncertain = self.flows.uncertain();
         let confirmed = (report.open_flows as usize).saturating_sub(self.flows.certain());
@@ -70,7 +74,8 @@
         self.health.unconfirmed = unconfirmed;
     }
 
-    /// A report may be older than a flow, so two in a row must say the same.
+    /// Derives from the report whether there are unknown flows. Two reports in a row must agree,
+    /// since one may be older than a flow.
     fn update_unknown_flows(&mut self, report: UpstreamReport) {
         let reported = report.open_flows as usize;
         let unknown = match reported {
@@ -82,17 +87,17 @@
         self.health.last_unknown = unknown;
     }
 
-    /// What the upstream's last reports say of flows that this agent does not know.
+    /// Whether the upstream has flows that this agent does not know, if its last two reports agree.
     pub(super) fn unknown_flows(&self) -> Option<UnknownFlows> {
         self.health.confirmed_unknown
     }
 
-    /// Open flows as they count for load and limits.
+    /// Number of open flows that count for load and limits.
     pub(super) fn counted_flows(&self) -> usize {
         self.flows.open() - self.health.discounted.min(self.flows.uncertain())
     }
 
-    /// Whether the own upstream takes openings.
+    /// Whether the own upstream takes openings now.
     pub(super) fn accepts_openings(&mut self, now: Millis) -> bool {
         if self.must_not_admit() || self.is_full() {
             return false;
@@ -105,7 +110,7 @@
         !(report.shedding || unhealthy || stalled)
     }
 
-    /// Whether the upstream or this agent is on its way out.
+    /// Whether the upstream is draining or retired, or this agent is leaving.
     pub(super) fn must_not_admit(&self) -> bool {
         if mutated!(self, DrainIgnored) {
             return false;
@@ -118,8 +123,8 @@
         self.counted_flows() >= self.settings.max_flows as usize || !self.flows.has_room()
     }
 
-    /// An upstream that reports to be well but completes no handshake gets no more of them, until
-    /// the old ones have expired.
+    /// Whether the upstream completes no handshakes, whatever it reports. It gets no more openings
+    /// until the unanswered ones have expired.
     fn is_stalled(&mut self, now: Millis) -> bool {
         if self.settings.datagrams || self.flows.unanswered() < limits::SICK_UNANSWERED {
             return false;
@@ -129,7 +134,8 @@
         stuck && now.since(self.flows.last_progress()) > limits::SICK_MS
     }
 
-    /// Share of the weight that the own upstream takes for now.
+    /// Percentage of its weight that the own upstream takes now: it grows after the upstream's
+    /// start.
     pub(super) fn ramp_percent(&self, now: Millis) -> u64 {
         let Some(started_at) = self.health.upstream_started_at else { return 100 };
         let span = 100 - limits::RAMP_START_PERCENT;
@@ -137,7 +143,7 @@
         limits::RAMP_START_PERCENT + grown
     }
 
-    /// Tells the peers at once when the upstream stops or starts to take openings.
+    /// Sends heartbeats at once when the upstream stops or starts to take openings.
     pub(super) fn notify_if_accepting_changed(&mut self, now: Millis, out: &mut Vec<Action>) {
         let accepting = self.accepts_openings(now);
         if self.health.advertised_accepting != Some(accepting) {
@@ -176,8 +182,11 @@
         self.report_self_up(heartbeat.beat, out);
     }
 
-    /// An agent that hears from few of its peers may be reported down by them although the
-    /// balancers still reach it. Its own word, at a later beat, keeps its packets coming.
+    /// Reports this agent itself as up while it is isolated.
+    ///
+    /// An agent that receives messages from few of its peers may be reported down by them although
+    /// the balancers still reach it. Its own report has a later beat than theirs and so keeps it in
+    /// rotation.
     fn report_self_up(&self, beat: u64, out: &mut Vec<Action>) {
         if self.is_isolated() && !self.leaving {
             let upstream = self.config.upstream;
@@ -189,7 +198,8 @@
         self.config.incarnation.0 + now.since(self.started_at)
     }
 
-    /// A peer's load and state. Late ones of an earlier life are ignored; leaving is for life.
+    /// Records a peer's load and state. Late heartbeats of a previous incarnation are ignored. Once
+    /// an incarnation has reported that it leaves, later heartbeats cannot take that back.
     pub(super) fn heartbeat_received(
         &mut self,
         now: Millis,
@@ -225,7 +235,7 @@
         self.retarget();
     }
 
-    /// Any message shows that its sender lives.
+    /// Records that a message of a peer has arrived, which ends a suspicion.
     pub(super) fn mark_peer_alive(&mut self, now: Millis, from: UpstreamId, out: &mut Vec<Action>) {
         if let Some(peer) = self.peers.get_mut(from) {
             peer.last_received_at = Some(now);
@@ -250,7 +260,8 @@
         }
     }
 
-    /// The platform's list lags, so its word counts only against a peer that is silent as well.
+    /// Processes a liveness hint from the platform. The platform's list lags, so a hint that a peer
+    /// is down counts only if the peer is unresponsive as well.
     pub(super) fn liveness_hint_received(
         &mut self,
         now: Millis,
@@ -267,7 +278,8 @@
         }
     }
 
-    /// A suspicion only changes who is home; whoever was home is asked for a while.
+    /// Sets or clears the suspicion of a peer. This only changes which agents are home of buckets;
+    /// former homes are still asked for a while.
     fn set_suspected(
         &mut self,
         now: Millis,
@@ -279,7 +291,7 @@
         let Some(peer) = self.peers.get_mut(id) else { return };
         peer.suspected = suspected;
         if suspected {
-            // A peer that has never been heard from is not known to have been up.
+            // A peer that has never sent a heartbeat is not known to have been up.
             if let Some(heartbeat) = peer.heartbeat {
                 peer.reported_down = true;
                 let beat = heartbeat.beat;
--- a/crates/decision/src/agent/install.rs
+++ b/crates/decision/src/agent/install.rs
@@ -1,4 +1,4 @@
-//! New settings come into force.
+//! Installation of new settings.
 
 use std::sync::Arc;
 
@@ -11,16 +11,17 @@
 use crate::time::Millis;
 use crate::view::{Transport, UpstreamState, View, WhenInDoubt};
 
-/// What the settings in force say about this agent's service, worked out once.
+/// What the settings in effect say about this agent's service, derived once per installed view.
 #[derive(Debug)]
 pub(super) struct ServiceSettings {
     pub(super) version: Version,
     /// First version that lists the own upstream.
     pub(super) since: Version,
     pub(super) when_in_doubt: WhenInDoubt,
-    /// Whether a copy of an opening at the same upstream is a second run. TCP tells copies apart.
+    /// Whether some endpoint takes datagrams, where a copy of an opening at the same upstream is a
+    /// second run. TCP recognizes copies itself.
     pub(super) datagrams: bool,
-    /// Whether the service has no other flows than datagrams.
+    /// Whether all endpoints of the service take datagrams.
     pub(super) only_datagrams: bool,
     pub(super) lifetimes: FlowLifetimes,
     pub(super) state: UpstreamState,
@@ -29,7 +30,8 @@
 }
 
 impl Agent {
-    /// Takes newer settings; older ones never replace newer ones, whatever their source says.
+    /// Installs a view if it is newer for this service. Older settings never replace newer ones,
+    /// whatever their source.
     pub(super) fn install_view(&mut self, now: Millis, view: Arc<View>, out: &mut Vec<Action>) {
         let Some(key) = view.find_service(self.config.service) else { return };
         let version = version_of(&view, key);
@@ -104,7 +106,7 @@
 }
 
 impl ServiceSettings {
-    /// Before any settings list the service.
+    /// Placeholder until some settings list the service.
     pub(super) fn none() -> Self {
         Self {
             version: Version(0),
--- a/crates/decision/src/agent/mutant.rs
+++ b/crates/decision/src/agent/mutant.rs
@@ -1,28 +1,30 @@
-//! Test-only switches: each breaks one safeguard, so that the fuzzing can show that it notices.
+//! Test-only switches that each disable one safeguard, so that the fuzzing can prove that it
+//! detects the fault.
 //!
-//! The feature `mutants` is off in every shipped binary; without it the switches cost nothing.
+//! The feature `mutants` is off in every shipped binary; without it the switches compile to
+//! nothing.
 
-/// A safeguard that is taken out.
+/// A fault that results from disabling one safeguard.
 #[cfg(feature = "mutants")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mutant {
     /// A witness grants two different claims for one opening.
     PromiseNotKept,
-    /// The record of a refusal is forgotten, so that a late copy may run.
+    /// The record of a refusal is discarded, so that a late copy may run.
     TombstoneForgotten,
-    /// A restarted witness grants at once.
+    /// A restarted witness grants claims at once instead of abstaining.
     AbstainForgotten,
-    /// A restarted witness votes again after one other witness has told its records.
+    /// A restarted witness votes again as soon as one other witness has sent its records.
     RecallFromOne,
     /// Older settings replace newer ones.
     OlderSettingsAccepted,
-    /// Packets of other services are handled like its own.
+    /// Packets of other services are handled like those of the agent's own service.
     ServiceNotChecked,
-    /// The home forgets which agent holds a flow.
+    /// The home does not remember which agent holds a flow.
     RedirectsForgotten,
     /// Flows are not announced again to a restarted agent or a new home.
     RedirectsNotReannounced,
-    /// An unknown flow is reset while a peer is silent.
+    /// An unknown flow is reset although a peer has not replied.
     ResetInDoubt,
     /// A copy of an opening that has run is delivered again.
     DuplicateDelivered,
@@ -30,11 +32,11 @@
     QuorumOfOne,
     /// A draining or leaving agent takes openings.
     DrainIgnored,
-    /// Packets of unknown flows are delivered without asking.
+    /// Packets of unknown flows are delivered without asking the peers.
     AdoptAlways,
 }
 
-/// Whether the named mutant is on in an agent; constant false without the feature.
+/// Whether the named mutant is active in an agent; always false without the feature.
 macro_rules! mutated {
     ($agent:expr, $name:ident) => {{
         #[cfg(feature = "mutants")]
--- a/crates/decision/src/agent/peers.rs
+++ b/crates/decision/src/agent/peers.rs
@@ -1,4 +1,4 @@
-//! The peers table: the other agents of the service, as far as they have been heard from.
+//! The peers table: what is known about the other agents of the service.
 
 use super::limits;
 use super::outbox::Outbox;
@@ -11,39 +11,40 @@
 /// One peer.
 #[derive(Debug, Default)]
 pub(super) struct Peer {
-    /// Whether the settings in force list it.
+    /// Whether the settings in effect list it.
     pub(super) listed: bool,
-    /// Whether the settings in force list it as retired.
+    /// Whether the settings in effect list it as retired.
     pub(super) retired: bool,
     pub(super) last_received_at: Option<Millis>,
-    /// When it became listed, or this agent started.
+    /// When this agent first knew of the peer, or last resumed after a pause of its own. Silence
+    /// before that does not count.
     pub(super) listed_at: Millis,
-    /// Its life, once it has named it.
+    /// Its present incarnation, once it has sent one.
     pub(super) incarnation: Option<Incarnation>,
-    /// First life beside its present upstream process, as far as it has said.
+    /// First incarnation beside its present upstream process, as far as it has reported one.
     pub(super) born: Option<Incarnation>,
-    /// Its last life before the present one that has been met.
+    /// Its last incarnation before the present one that this agent has seen.
     pub(super) previous_incarnation: Option<Incarnation>,
-    /// Its last life that has handed over.
+    /// Its last incarnation that has handed over, with the state that it sent.
     pub(super) handed_over: Option<(Incarnation, HandedOver)>,
-    /// Whether an earlier life of it has been met.
+    /// Whether this agent has seen an earlier incarnation of it.
     pub(super) met_before: bool,
-    /// When this life of the peer was first heard from.
+    /// When the first message of its present incarnation arrived.
     pub(super) incarnation_seen_at: Millis,
     pub(super) view: Version,
     pub(super) heartbeat: Option<Heartbeat>,
-    /// When the last heartbeat of its present life came.
+    /// When the last heartbeat of its present incarnation arrived.
     pub(super) last_heartbeat_at: Option<Millis>,
-    /// Its last life but the present one, and when that one's last heartbeat came.
+    /// Its previous incarnation, and when the last heartbeat of that one arrived.
     pub(super) previous_heartbeat: Option<(Incarnation, Millis)>,
     pub(super) suspected: bool,
-    /// Whether the balancers were told that it is down; the next heartbeat takes that back.
+    /// Whether it was reported down to the balancers; its next heartbeat revokes the report.
     pub(super) reported_down: bool,
     /// Openings assigned to it since its last heartbeat.
     pub(super) assigned: u32,
-    /// Highest batch of announcements taken in from its present life.
+    /// Highest sequence number of an announcement applied from its present incarnation.
     pub(super) applied_sequence: u64,
-    /// When the newest batch of any of its lives was taken in.
+    /// When an announcement of any of its incarnations was last applied.
     pub(super) last_announcement_at: Option<Millis>,
     pub(super) outbox: Outbox,
     pub(super) cursor: Cursor,
@@ -53,12 +54,12 @@
 pub(super) type PeerTable = Sorted<UpstreamId, Peer>;
 
 impl Peer {
-    /// Whether this life of it has handed over.
+    /// Whether the given incarnation of the peer has handed over.
     pub(super) fn has_handed_over(&self, incarnation: Incarnation) -> bool {
         self.handed_over.is_some_and(|(handed_over, _)| handed_over == incarnation)
     }
 
-    /// Whether it is silent or about to end, so that others answer for its flows.
+    /// Whether it is unresponsive or about to end, so that others have to report its flows.
     pub(super) fn cannot_answer(&self) -> bool {
         self.suspected
             || self.incarnation.is_some_and(|incarnation| self.has_handed_over(incarnation))
@@ -68,18 +69,18 @@
         self.heartbeat.is_some_and(|heartbeat| heartbeat.leaving)
     }
 
-    /// Whether it can be the home of a bucket for now.
+    /// Whether it can currently be the home of a bucket.
     pub(super) fn is_up(&self) -> bool {
         !self.suspected && !self.is_leaving()
     }
 
-    /// Silence since it was last heard from or first listed.
+    /// Time since its last message, or since it was listed if it has never sent one.
     pub(super) fn ms_since_received(&self, now: Millis) -> u64 {
         now.since(self.last_received_at.unwrap_or(self.listed_at))
     }
 
-    /// Whether it must be heard out about an unknown flow. A listed agent may always hold one, a
-    /// retired one as long as it may be alive.
+    /// Whether it may hold flows, so that it must be asked about an unknown one. A listed agent
+    /// always may, a retired one as long as it may be alive.
     pub(super) fn may_hold_flows(&self, now: Millis) -> bool {
         if self.listed && !self.retired {
             return true;
@@ -89,12 +90,13 @@
     }
 }
 
-/// Period of heartbeats in a service of `peers` other agents.
+/// Period of heartbeats in a service with `peers` other agents.
 pub(super) fn heartbeat_period_ms(peers: usize) -> u64 {
     limits::MIN_HEARTBEAT_MS.max(limits::HEARTBEAT_MS_PER_PEER * peers as u64)
 }
 
-/// Silence after which a peer is suspected: three heartbeats and half a period for the network.
+/// Time without a message after which a peer is suspected: three heartbeat periods, and half a
+/// period for network delay.
 pub(super) fn suspect_after_ms(peers: usize) -> u64 {
     let period_ms = heartbeat_period_ms(peers);
     limits::MISSED_HEARTBEATS * period_ms + period_ms / 2
