--- a/crates/decision/src/agent/install.rs
+++ b/crates/decision/src/agent/install.rs
@@ -43,7 +43,7 @@
         let homes = self.homes();
         self.adopt_view(now, view, key);
         self.doubt_former_homes(now, &homes);
-        self.reopen_recall(now, out);
+        self.recheck_recall(now, out);
         out.push(Action::Note(Note::ViewInstalled(version)));
         self.retarget();
         self.recount_pending_claims(now, out);
--- a/crates/decision/src/agent/quorum.rs
+++ b/crates/decision/src/agent/quorum.rs
@@ -75,7 +75,7 @@
             listed.map(|upstream| upstream.id).collect::<Vec<_>>()
         };
         let mut memberships: Vec<Membership> = Vec::new();
-        for from in changes(&upstreams, current) {
+        for from in change_versions(&upstreams, current) {
             let members = members(from);
             if memberships.last().is_some_and(|last| last.members == members) {
                 continue;
@@ -164,7 +164,11 @@
 
     /// Whether, in each membership that `me` belongs to, so many other members are `done` that
     /// every majority with `me` in it contains one of them.
-    pub(super) fn is_recalled(&self, me: UpstreamId, done: impl Fn(UpstreamId) -> bool) -> bool {
+    pub(super) fn has_recall_quorum(
+        &self,
+        me: UpstreamId,
+        done: impl Fn(UpstreamId) -> bool,
+    ) -> bool {
         let voted_in =
             self.memberships.iter().filter(|membership| membership.members.contains(&me));
         voted_in.into_iter().all(|membership| {
@@ -231,7 +235,7 @@
 }
 
 /// Versions up to `current` in which the membership may have changed.
-fn changes(upstreams: &[&Upstream], current: Version) -> Vec<Version> {
+fn change_versions(upstreams: &[&Upstream], current: Version) -> Vec<Version> {
     let mut versions: Vec<Version> = upstreams
         .iter()
         .flat_map(|upstream| [Some(upstream.spec.since), upstream.spec.retired])
--- a/crates/decision/src/agent/recall.rs
+++ b/crates/decision/src/agent/recall.rs
@@ -167,7 +167,7 @@
 
     /// Checks the recall against newer settings. They may contain memberships of which too few
     /// members have sent their records; the others are then asked at once.
-    pub(super) fn reopen_recall(&mut self, now: Millis, out: &mut Vec<Action>) {
+    pub(super) fn recheck_recall(&mut self, now: Millis, out: &mut Vec<Action>) {
         let before = self.recall.complete;
         self.update_recall_complete();
         if before && !self.recall.complete {
@@ -191,10 +191,10 @@
     fn update_recall_complete(&mut self) {
         let done = |id| self.recall.cursors.get(id).is_some_and(|cursor| cursor.done);
         let me = self.config.upstream;
-        let any = self.recall.cursors.iter().any(|(_, cursor)| cursor.done);
-        let enough = self.settings.memberships.is_recalled(me, done);
+        let any_done = self.recall.cursors.iter().any(|(_, cursor)| cursor.done);
+        let has_quorum = self.settings.memberships.has_recall_quorum(me, done);
         let is_new = self.is_newborn() && self.is_unknown_to_all();
-        self.recall.complete = enough || is_new || (any && mutated!(self, RecallFromOne));
+        self.recall.complete = has_quorum || is_new || (any_done && mutated!(self, RecallFromOne));
     }
 
     /// Whether every other member has answered, and none has lost records or seen a previous
--- a/crates/decision/src/agent/relearn.rs
+++ b/crates/decision/src/agent/relearn.rs
@@ -135,7 +135,7 @@
         let (own, entrusted): (Vec<_>, Vec<_>) =
             page.into_iter().partition(|entry| entry.holder == from);
         let openings = own.into_iter().map(|entry| entry.opening).collect();
-        let complete = self.was_complete_before(from);
+        let complete = self.knew_all_flows_of(from);
         let message =
             Message::Former { incarnation, former: self.previous_incarnation_state(from) };
         out.push(Action::Send { to: from, message });
@@ -256,7 +256,7 @@
     }
 
     /// Whether `peer` had announced its flows to this agent before it restarted.
-    fn was_complete_before(&self, peer: UpstreamId) -> bool {
+    fn knew_all_flows_of(&self, peer: UpstreamId) -> bool {
         let met_at = self.peers.get(peer).map(|peer| peer.incarnation_seen_at);
         met_at.is_some_and(|met_at| met_at.since(self.started_at) >= limits::RESYNC_MS)
     }
