--- a/crates/decision/src/agent/health.rs
+++ b/crates/decision/src/agent/health.rs
@@ -1,7 +1,7 @@
-//! Whether the own upstream takes openings, and the heartbeats that tell it to the peers.
+//! Whether the own upstream takes openings, and the heartbeats that report this to the peers.
 
 use super::mutant::mutated;
-use super::peers::{heartbeat_ms, suspect_ms};
+use super::peers::{heartbeat_period_ms, suspect_after_ms};
 use super::{Action, Agent, Note, UpstreamReport, limits};
 use crate::keys::UpstreamId;
 use crate::message::{Heartbeat, Message};
@@ -9,36 +9,39 @@
 use crate::time::Millis;
 use crate::view::UpstreamState;
 
-/// Whether the upstream has flows that its agent does not know, by its own report.
+/// Whether the upstream has flows that its agent does not know, according to the upstream's
+/// reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Unknown {
-    /// It has more than the agent knows, hearsay included.
-    Some,
-    /// It has no more than the agent knows for certain.
-    Nothing,
+pub(super) enum UnknownFlows {
+    /// It reports more flows than the agent knows, unconfirmed ones included.
+    Present,
+    /// It reports no more flows than the agent knows for certain.
+    Absent,
 }
 
-/// What is believed about the own upstream.
+/// Health of the own upstream, as this agent sees it.
 #[derive(Debug, Default)]
 pub(super) struct Health {
     report: Option<UpstreamReport>,
-    /// When the upstream process started, as first reported.
+    /// When the upstream process started, from its first report after the start.
     upstream_started_at: Option<Millis>,
-    /// What the last heartbeat said.
-    told_accepting: Option<bool>,
-    /// Uncertain flows that the last report did not confirm.
+    /// Whether the last heartbeat said that the upstream takes openings.
+    advertised_accepting: Option<bool>,
+    /// Number of uncertain flows that the last report leaves no room for.
     unconfirmed: usize,
-    /// Those that neither of the last two reports confirmed: they don't count as load.
-    phantoms: usize,
-    /// What the last report said of flows that this agent does not know.
-    reported: Option<Unknown>,
-    /// What the last two reports have said alike.
-    unknown: Option<Unknown>,
+    /// Number of uncertain flows that neither of the last two reports leaves room for. These do not
+    /// count as load.
+    discounted: usize,
+    /// Whether the last report shows flows that this agent does not know.
+    last_unknown: Option<UnknownFlows>,
+    /// The same, if the last two reports agree.
+    confirmed_unknown: Option<UnknownFlows>,
 }
 
 impl Agent {
-    /// Takes in what the upstream says. A report can only take openings away, never pull them.
-    pub(super) fn upstream_reported(
+    /// Processes a report of the upstream. A report can only keep openings away from it, never
+    /// attract more.
+    pub(super) fn upstream_report_received(
         &mut self,
         now: Millis,
         report: UpstreamReport,
@@ -46,66 +49,68 @@
     ) {
         let before = self.health.report.and_then(|report| report.age_ms);
         if let Some(age_ms) = report.age_ms {
-            // A frozen report repeats its age; only a smaller one tells of a restart.
+            // A report that is stuck repeats the same age; only a smaller age means a restart.
             if before.is_none_or(|before| age_ms < before) {
                 self.health.upstream_started_at = Some(Millis(now.0.saturating_sub(age_ms)));
             }
         }
         self.health.report = Some(report);
-        self.confirm_uncertain(report);
-        self.count_unknown(report);
-        self.tell_if_changed(now, out);
+        self.reconcile_uncertain_flows(report);
+        self.update_unknown_flows(report);
+        self.notify_if_accepting_changed(now, out);
     }
 
-    /// Compares the flows that the upstream may never have had with what it has open.
+    /// Compares the uncertain flows, which the upstream may never have had, with the number of
+    /// flows that it reports as open.
     ///
-    /// What two reports in a row leave no room for is not counted as load; that it may be held is still
-    /// answered. A report that says too little gives the upstream at most as many flows more as are
-    /// uncertain.
-    fn confirm_uncertain(&mut self, report: UpstreamReport) {
+    /// Uncertain flows that two reports in a row leave no room for do not count as load; peers that
+    /// ask about them are still told that they may be held here. A report that is too low lets the
+    /// upstream exceed its limit by at most the number of uncertain flows.
+    fn reconcile_uncertain_flows(&mut self, report: UpstreamReport) {
         let uncertain = self.flows.uncertain();
         let confirmed = (report.open_flows as usize).saturating_sub(self.flows.certain());
         let unconfirmed = uncertain.saturating_sub(confirmed);
-        self.health.phantoms = unconfirmed.min(self.health.unconfirmed);
+        self.health.discounted = unconfirmed.min(self.health.unconfirmed);
         self.health.unconfirmed = unconfirmed;
     }
 
-    /// A report may be older than a flow, so two in a row must say the same.
-    fn count_unknown(&mut self, report: UpstreamReport) {
+    /// Derives from the report whether there are unknown flows. Two reports in a row must agree,
+    /// since one may be older than a flow.
+    fn update_unknown_flows(&mut self, report: UpstreamReport) {
         let reported = report.open_flows as usize;
         let unknown = match reported {
-            more if more > self.flows.open() => Some(Unknown::Some),
-            fewer if fewer <= self.flows.certain() => Some(Unknown::Nothing),
+            more if more > self.flows.open() => Some(UnknownFlows::Present),
+            fewer if fewer <= self.flows.certain() => Some(UnknownFlows::Absent),
             _ => None,
         };
-        self.health.unknown = unknown.filter(|_| self.health.reported == unknown);
-        self.health.reported = unknown;
+        self.health.confirmed_unknown = unknown.filter(|_| self.health.last_unknown == unknown);
+        self.health.last_unknown = unknown;
     }
 
-    /// What the upstream's last reports say of flows that this agent does not know.
-    pub(super) fn unknown_flows(&self) -> Option<Unknown> {
-        self.health.unknown
+    /// Whether the upstream has flows that this agent does not know, if its last two reports agree.
+    pub(super) fn unknown_flows(&self) -> Option<UnknownFlows> {
+        self.health.confirmed_unknown
     }
 
-    /// Open flows as they count for load and limits.
+    /// Number of open flows that count for load and limits.
     pub(super) fn counted_flows(&self) -> usize {
-        self.flows.open() - self.health.phantoms.min(self.flows.uncertain())
+        self.flows.open() - self.health.discounted.min(self.flows.uncertain())
     }
 
-    /// Whether the own upstream takes openings.
-    pub(super) fn accepts(&mut self, now: Millis) -> bool {
+    /// Whether the own upstream takes openings now.
+    pub(super) fn accepts_openings(&mut self, now: Millis) -> bool {
         if self.must_not_admit() || self.is_full() {
             return false;
         }
-        let sick = self.is_sick(now);
-        let Some(report) = self.health.report else { return !sick };
+        let stalled = self.is_stalled(now);
+        let Some(report) = self.health.report else { return !stalled };
         let progressing = now.since(self.flows.last_progress()) < limits::SICK_MS
             && self.flows.last_progress() > self.started_at;
         let unhealthy = !report.healthy && !progressing;
-        !(report.shedding || unhealthy || sick)
+        !(report.shedding || unhealthy || stalled)
     }
 
-    /// Whether the upstream or this agent is on its way out.
+    /// Whether the upstream is draining or retired, or this agent is leaving.
     pub(super) fn must_not_admit(&self) -> bool {
         if mutated!(self, DrainIgnored) {
             return false;
@@ -118,9 +123,9 @@
         self.counted_flows() >= self.settings.max_flows as usize || !self.flows.has_room()
     }
 
-    /// An upstream that reports to be well but completes no handshake gets no more of them, until
-    /// the old ones have expired.
-    fn is_sick(&mut self, now: Millis) -> bool {
+    /// Whether the upstream completes no handshakes, whatever it reports. It gets no more openings
+    /// until the unanswered ones have expired.
+    fn is_stalled(&mut self, now: Millis) -> bool {
         if self.settings.datagrams || self.flows.unanswered() < limits::SICK_UNANSWERED {
             return false;
         }
@@ -129,7 +134,8 @@
         stuck && now.since(self.flows.last_progress()) > limits::SICK_MS
     }
 
-    /// Share of the weight that the own upstream takes for now.
+    /// Percentage of its weight that the own upstream takes now: it grows after the upstream's
+    /// start.
     pub(super) fn ramp_percent(&self, now: Millis) -> u64 {
         let Some(started_at) = self.health.upstream_started_at else { return 100 };
         let span = 100 - limits::RAMP_START_PERCENT;
@@ -137,10 +143,10 @@
         limits::RAMP_START_PERCENT + grown
     }
 
-    /// Tells the peers at once when the upstream stops or starts to take openings.
-    pub(super) fn tell_if_changed(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let accepting = self.accepts(now);
-        if self.health.told_accepting != Some(accepting) {
+    /// Sends heartbeats at once when the upstream stops or starts to take openings.
+    pub(super) fn notify_if_accepting_changed(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let accepting = self.accepts_openings(now);
+        if self.health.advertised_accepting != Some(accepting) {
             self.send_heartbeats(now, out);
         }
     }
@@ -152,9 +158,9 @@
     }
 
     pub(super) fn send_heartbeats(&mut self, now: Millis, out: &mut Vec<Action>) {
-        let accepting = self.accepts(now);
-        self.health.told_accepting = Some(accepting);
-        self.heartbeat_at = now.after(heartbeat_ms(self.peers.len()));
+        let accepting = self.accepts_openings(now);
+        self.health.advertised_accepting = Some(accepting);
+        self.heartbeat_at = now.after(heartbeat_period_ms(self.peers.len()));
         let heartbeat = Heartbeat {
             incarnation: self.config.incarnation,
             born: (!self.config.may_have_past).then_some(self.config.incarnation),
@@ -167,18 +173,21 @@
             leaving: self.leaving,
         };
         self.heartbeats = self.heartbeats.wrapping_add(1);
-        let outdated = self.settings.cuts.outdated(now, self.heartbeats);
+        let outdated = self.settings.memberships.outdated(now, self.heartbeats);
         for (to, peer) in self.peers.iter().filter(|(_, peer)| peer.may_hold_flows(now)) {
             out.push(Action::Send { to, message: Message::Heartbeat(heartbeat) });
             let outdated = outdated.filter(|_| !peer.retired).map(Message::Outdated);
             out.extend(outdated.map(|message| Action::Send { to, message }));
         }
-        self.report_myself(heartbeat.beat, out);
+        self.report_self_up(heartbeat.beat, out);
     }
 
-    /// An agent that hears from few of its peers may be reported down by them although the
-    /// balancers still reach it. Its own word, at a later beat, keeps its packets coming.
-    fn report_myself(&self, beat: u64, out: &mut Vec<Action>) {
+    /// Reports this agent itself as up while it is isolated.
+    ///
+    /// An agent that receives messages from few of its peers may be reported down by them although
+    /// the balancers still reach it. Its own report has a later beat than theirs and so keeps it in
+    /// rotation.
+    fn report_self_up(&self, beat: u64, out: &mut Vec<Action>) {
         if self.is_isolated() && !self.leaving {
             let upstream = self.config.upstream;
             out.push(Action::Report(Member { upstream, beat, up: true }));
@@ -189,7 +198,8 @@
         self.config.incarnation.0 + now.since(self.started_at)
     }
 
-    /// A peer's load and state. Late ones of an earlier life are ignored; leaving is for life.
+    /// Records a peer's load and state. Late heartbeats of a previous incarnation are ignored. Once
+    /// an incarnation has reported that it leaves, later heartbeats cannot take that back.
     pub(super) fn heartbeat_received(
         &mut self,
         now: Millis,
@@ -209,8 +219,9 @@
             peer.born = Some(born);
             self.redirects.forget_before(from, born);
         }
-        let same_life = peer.heartbeat.filter(|old| old.incarnation == heartbeat.incarnation);
-        heartbeat.leaving |= same_life.is_some_and(|old| old.leaving);
+        let same_incarnation =
+            peer.heartbeat.filter(|old| old.incarnation == heartbeat.incarnation);
+        heartbeat.leaving |= same_incarnation.is_some_and(|old| old.leaving);
         if peer.reported_down {
             peer.reported_down = false;
             let beat = heartbeat.beat;
@@ -218,68 +229,75 @@
         }
         peer.view = peer.view.max(heartbeat.view);
         peer.heartbeat = Some(heartbeat);
-        peer.beat_at = Some(now);
+        peer.last_heartbeat_at = Some(now);
         peer.assigned = 0;
         self.doubt_former_homes(now, &homes);
         self.retarget();
     }
 
-    /// Any message shows that its sender lives.
-    pub(super) fn heard_from(&mut self, now: Millis, from: UpstreamId, out: &mut Vec<Action>) {
+    /// Records that a message of a peer has arrived, which ends a suspicion.
+    pub(super) fn mark_peer_alive(&mut self, now: Millis, from: UpstreamId, out: &mut Vec<Action>) {
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.last_heard = Some(now);
+            peer.last_received_at = Some(now);
             if peer.suspected {
-                self.suspect(now, from, false, out);
+                self.set_suspected(now, from, false, out);
             }
         }
     }
 
-    pub(super) fn suspect_silent(&mut self, now: Millis, out: &mut Vec<Action>) {
+    pub(super) fn suspect_unresponsive(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.peers.retain(|peer| peer.listed || peer.may_hold_flows(now));
-        let bound_ms = suspect_ms(self.peers.len());
-        let is_silent = |silent_ms: u64| silent_ms > bound_ms;
-        let silent: Vec<UpstreamId> = self
+        let bound_ms = suspect_after_ms(self.peers.len());
+        let is_unresponsive = |ms_since_received: u64| ms_since_received > bound_ms;
+        let unresponsive: Vec<UpstreamId> = self
             .peers
             .iter()
-            .filter(|(_, peer)| !peer.suspected && is_silent(peer.silent_ms(now)))
+            .filter(|(_, peer)| !peer.suspected && is_unresponsive(peer.ms_since_received(now)))
             .map(|(id, _)| id)
             .collect();
-        for id in silent {
-            self.suspect(now, id, true, out);
+        for id in unresponsive {
+            self.set_suspected(now, id, true, out);
         }
     }
 
-    /// The platform's list lags, so its word counts only against a peer that is silent as well.
-    pub(super) fn hinted(
+    /// Processes a liveness hint from the platform. The platform's list lags, so a hint that a peer
+    /// is down counts only if the peer is unresponsive as well.
+    pub(super) fn liveness_hint_received(
         &mut self,
         now: Millis,
         upstream: UpstreamId,
         alive: bool,
         out: &mut Vec<Action>,
     ) {
-        let period_ms = heartbeat_ms(self.peers.len());
-        let silent = self
-            .peers
-            .get(upstream)
-            .is_some_and(|peer| !peer.suspected && peer.silent_ms(now) > period_ms + period_ms / 2);
-        if !alive && silent {
-            self.suspect(now, upstream, true, out);
+        let period_ms = heartbeat_period_ms(self.peers.len());
+        let unresponsive = self.peers.get(upstream).is_some_and(|peer| {
+            !peer.suspected && peer.ms_since_received(now) > period_ms + period_ms / 2
+        });
+        if !alive && unresponsive {
+            self.set_suspected(now, upstream, true, out);
         }
     }
 
-    /// A suspicion only changes who is home; whoever was home is asked for a while.
-    fn suspect(&mut self, now: Millis, id: UpstreamId, suspected: bool, out: &mut Vec<Action>) {
+    /// Sets or clears the suspicion of a peer. This only changes which agents are home of buckets;
+    /// former homes are still asked for a while.
+    fn set_suspected(
+        &mut self,
+        now: Millis,
+        id: UpstreamId,
+        suspected: bool,
+        out: &mut Vec<Action>,
+    ) {
         let homes = self.homes();
         let Some(peer) = self.peers.get_mut(id) else { return };
         peer.suspected = suspected;
         if suspected {
-            // A peer that has never been heard from is not known to have been up.
+            // A peer that has never sent a heartbeat is not known to have been up.
             if let Some(heartbeat) = peer.heartbeat {
                 peer.reported_down = true;
                 let beat = heartbeat.beat;
                 out.push(Action::Report(Member { upstream: id, beat, up: false }));
             }
-            self.found_silent();
+            self.count_suspected_peer();
         }
         out.push(Action::Note(Note::PeerSuspected { upstream: id, suspected }));
         self.doubt_former_homes(now, &homes);
--- a/crates/decision/src/agent/install.rs
+++ b/crates/decision/src/agent/install.rs
@@ -1,36 +1,38 @@
-//! New settings come into force.
+//! Installation of new settings.
 
 use std::sync::Arc;
 
 use super::flows::FlowLifetimes;
 use super::mutant::mutated;
 use super::peers::Peer;
-use super::quorum::Cuts;
+use super::quorum::Memberships;
 use super::{Action, Agent, Note, limits};
 use crate::keys::{ServiceKey, Version};
 use crate::time::Millis;
 use crate::view::{Transport, UpstreamState, View, WhenInDoubt};
 
-/// What the settings in force say about this agent's service, worked out once.
+/// What the settings in effect say about this agent's service, derived once per installed view.
 #[derive(Debug)]
 pub(super) struct ServiceSettings {
     pub(super) version: Version,
     /// First version that lists the own upstream.
     pub(super) since: Version,
     pub(super) when_in_doubt: WhenInDoubt,
-    /// Whether a copy of an opening at the same upstream is a second run. TCP tells copies apart.
+    /// Whether some endpoint takes datagrams, where a copy of an opening at the same upstream is a
+    /// second run. TCP recognizes copies itself.
     pub(super) datagrams: bool,
-    /// Whether the service has no other flows than datagrams.
+    /// Whether all endpoints of the service take datagrams.
     pub(super) only_datagrams: bool,
     pub(super) lifetimes: FlowLifetimes,
     pub(super) state: UpstreamState,
     pub(super) max_flows: u32,
-    pub(super) cuts: Cuts,
+    pub(super) memberships: Memberships,
 }
 
 impl Agent {
-    /// Takes newer settings; older ones never replace newer ones, whatever their source says.
-    pub(super) fn install(&mut self, now: Millis, view: Arc<View>, out: &mut Vec<Action>) {
+    /// Installs a view if it is newer for this service. Older settings never replace newer ones,
+    /// whatever their source.
+    pub(super) fn install_view(&mut self, now: Millis, view: Arc<View>, out: &mut Vec<Action>) {
         let Some(key) = view.find_service(self.config.service) else { return };
         let version = version_of(&view, key);
         let known = self.service.is_some();
@@ -41,10 +43,10 @@
         let homes = self.homes();
         self.adopt_view(now, view, key);
         self.doubt_former_homes(now, &homes);
-        self.reopen_recall(now, out);
+        self.recheck_recall(now, out);
         out.push(Action::Note(Note::ViewInstalled(version)));
         self.retarget();
-        self.recount_pending(now, out);
+        self.recount_pending_claims(now, out);
         self.send_heartbeats(now, out);
     }
 
@@ -52,15 +54,15 @@
         let is_first = self.service.is_none();
         self.view = view;
         self.service = Some(key);
-        self.list_peers(now);
+        self.update_listed_peers(now);
         self.settings = self.summarize(key);
         if is_first {
-            self.recall.listed_new = self.settings.since == self.settings.version;
+            self.recall.newly_listed = self.settings.since == self.settings.version;
         }
         self.seen_version = self.seen_version.max(self.settings.version);
     }
 
-    fn list_peers(&mut self, now: Millis) {
+    fn update_listed_peers(&mut self, now: Millis) {
         for (_, peer) in self.peers.iter_mut() {
             peer.listed = false;
         }
@@ -98,13 +100,13 @@
             state: spec.map_or(UpstreamState::Retired, |spec| spec.state),
             max_flows: spec.map_or(0, |spec| spec.max_flows),
             since: spec.map_or(Version(0), |spec| spec.since),
-            cuts: Cuts::of(&self.view, service, version, &self.settings.cuts),
+            memberships: Memberships::of(&self.view, service, version, &self.settings.memberships),
         }
     }
 }
 
 impl ServiceSettings {
-    /// Before any settings list the service.
+    /// Placeholder until some settings list the service.
     pub(super) fn none() -> Self {
         Self {
             version: Version(0),
@@ -115,7 +117,7 @@
             lifetimes: lifetimes(false),
             state: UpstreamState::Retired,
             max_flows: 0,
-            cuts: Cuts::default(),
+            memberships: Memberships::default(),
         }
     }
 }
--- a/crates/decision/src/agent/lookup.rs
+++ b/crates/decision/src/agent/lookup.rs
@@ -5,7 +5,7 @@
 
 use super::finding::Finding;
 use super::flows::{Flow, are_of_one};
-use super::health::Unknown;
+use super::health::UnknownFlows;
 use super::redirects::{Evidence, Redirect};
 use super::sorted::Sorted;
 use super::{Action, Agent, HoldKey, Packet, PacketKind, Passed, Reason, Verdict, limits};
@@ -178,10 +178,10 @@
         }
         let me = self.config.upstream;
         match self.redirects.get(now, flow).filter(|redirect| redirect.holder != me) {
-            Some(redirect) if !self.is_unsure(now) || is_told(redirect, sequence) => {
+            Some(redirect) if !self.may_hold_unknown_flows(now) || is_told(redirect, sequence) => {
                 Knowledge::HeldBy(redirect.holder)
             }
-            _ if self.is_unsure(now) => Knowledge::Unsure,
+            _ if self.may_hold_unknown_flows(now) => Knowledge::Unsure,
             _ => Knowledge::NotMine,
         }
     }
@@ -189,8 +189,8 @@
     /// The same, with what the own upstream says of flows that this agent does not know.
     pub(super) fn knowledge_told(&self, now: Millis, flow: FlowId, sequence: u32) -> Knowledge {
         match (self.knowledge(now, flow, sequence), self.unknown_flows()) {
-            (Knowledge::Unsure, Some(Unknown::Some)) => Knowledge::Likely,
-            (Knowledge::Unsure, Some(Unknown::Nothing)) => Knowledge::Unlikely,
+            (Knowledge::Unsure, Some(UnknownFlows::Present)) => Knowledge::Likely,
+            (Knowledge::Unsure, Some(UnknownFlows::Absent)) => Knowledge::Unlikely,
             (knowledge, _) => knowledge,
         }
     }
--- a/crates/decision/src/agent/mod.rs
+++ b/crates/decision/src/agent/mod.rs
@@ -73,7 +73,7 @@
     peers: peers::PeerTable,
     doubts: home::Doubts,
     health: health::Health,
-    past: relearn::Past,
+    past: relearn::Recovery,
     recall: recall::Recall,
     /// By bucket: agents to which the flows are announced.
     targets: Vec<announce::Targets>,
@@ -113,8 +113,8 @@
         let heartbeats = config.upstream.0;
         let next_question = rand::Rng::next_u64(&mut random);
         let past = match config.may_have_past {
-            true => relearn::Past::Relearning,
-            false => relearn::Past::Known,
+            true => relearn::Recovery::Relearning,
+            false => relearn::Recovery::Complete,
         };
         let mut agent = Self {
             config,
@@ -173,9 +173,11 @@
         self.check_pause(now);
         match event {
             Event::Message { from, message } => self.message(now, from, message, out),
-            Event::View(view) => self.install(now, view, out),
-            Event::Upstream(report) => self.upstream_reported(now, report, out),
-            Event::Peer { upstream, alive } => self.hinted(now, upstream, alive, out),
+            Event::View(view) => self.install_view(now, view, out),
+            Event::Upstream(report) => self.upstream_report_received(now, report, out),
+            Event::Peer { upstream, alive } => {
+                self.liveness_hint_received(now, upstream, alive, out)
+            }
             Event::Leave => self.leave(now, out),
             Event::Tick => self.tick(now, out),
         }
@@ -184,21 +186,21 @@
     /// The systems that run over the tables, each bounded.
     fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.last_tick = now;
-        self.tend_claims(now, out);
+        self.process_pending_claims(now, out);
         self.tend_lookups(now, out);
         self.expire_flows(now, out);
         self.redirects.expire(now);
         self.claims.expire(now);
         self.doubts.expire(now);
         self.settle_cuts(now);
-        self.suspect_silent(now, out);
-        self.tell_if_changed(now, out);
+        self.suspect_unresponsive(now, out);
+        self.notify_if_accepting_changed(now, out);
         self.heartbeat_if_due(now, out);
         self.refresh_announcements(now);
         self.send_announcements(now, out);
-        self.hand_over(now, out);
+        self.send_handover(now, out);
         self.relearn(now, out);
-        self.recall(now, out);
+        self.request_recall(now, out);
     }
 
     fn leave(&mut self, now: Millis, out: &mut Vec<Action>) {
@@ -218,15 +220,15 @@
         if from == self.config.upstream || !self.know_peer(now, from) {
             return;
         }
-        self.heard_from(now, from, out);
+        self.mark_peer_alive(now, from, out);
         match message {
             Message::ClaimRequest { opening, claim, view, incarnation } => {
                 let request = witness::Request { from, opening, claim, view, incarnation };
-                self.claim_requested(now, request, out);
+                self.claim_request_received(now, request, out);
             }
             Message::ClaimReply { opening, claim, answer, view, incarnation } => {
                 let reply = claimant::Reply { opening, claim, answer, view, incarnation };
-                self.claim_answered(now, from, reply, out);
+                self.claim_reply_received(now, from, reply, out);
             }
             Message::Announce { incarnation, sequence, notes } => {
                 self.announced(now, from, (incarnation, sequence), &notes, out);
@@ -252,7 +254,7 @@
                 self.answered(now, from, lookup::Answer { flow, question, knowledge }, out);
             }
             Message::Relearn { incarnation, from: first } => {
-                self.relearn_asked(now, from, incarnation, first, out);
+                self.relearn_requested(now, from, incarnation, first, out);
             }
             Message::RelearnReply {
                 incarnation,
@@ -264,10 +266,10 @@
             } => {
                 let page =
                     relearn::Page { incarnation, from: first, openings, entrusted, next, complete };
-                self.page_received(now, from, page, out);
+                self.relearn_page_received(now, from, page, out);
             }
             Message::Recall { incarnation, from: first } => {
-                self.recall_asked(now, from, incarnation, first, out);
+                self.recall_requested(now, from, incarnation, first, out);
             }
             Message::RecallReply {
                 incarnation,
@@ -279,15 +281,15 @@
             } => {
                 let page =
                     recall::Page { incarnation, from: first, records, next, memory, met_before };
-                self.records_received(now, from, page, out);
+                self.recall_page_received(now, from, page, out);
             }
             Message::Heartbeat(heartbeat) => self.heartbeat_received(now, from, heartbeat, out),
-            Message::Outdated(outdated) => self.settings.cuts.hear(now, outdated),
+            Message::Outdated(outdated) => self.settings.memberships.learn_outdated(now, outdated),
             Message::HandedOver { incarnation, state } => {
-                self.handed_over_by(now, from, (incarnation, state), out);
+                self.handover_received(now, from, (incarnation, state), out);
             }
             Message::Former { incarnation, former } => {
-                self.former_told(from, incarnation, former);
+                self.previous_incarnation_reported(from, incarnation, former);
             }
         }
     }
@@ -322,7 +324,7 @@
         let runs = |id: UpstreamId, version: Version| {
             id == me || peers.get(id).is_some_and(|peer| peer.view >= version)
         };
-        self.settings.cuts.settle(now, runs);
+        self.settings.memberships.drop_outdated(now, runs);
     }
 
     fn expire_flows(&mut self, now: Millis, out: &mut Vec<Action>) {
--- a/crates/decision/src/agent/quorum.rs
+++ b/crates/decision/src/agent/quorum.rs
@@ -1,9 +1,9 @@
-//! Votes on a claim, and whether they are a majority of every membership that may be in force.
+//! Votes on a claim, and whether they are a majority of every membership that may be in effect.
 //!
-//! Two claimants may run different settings, and so count different members. Each therefore needs
-//! a majority in every membership that its settings remember: for any two claimants there is one
-//! that both have counted, and two majorities of it share a witness, which votes once. The
-//! argument is written down in `docs/decisions/at-most-once.md`.
+//! Two claimants may have different settings in effect, and so count different members. Each
+//! therefore needs a majority in every membership that its settings remember. Any two claimants
+//! have such a membership in common, and two majorities of it share a witness, which votes only
+//! once. `docs/decisions/at-most-once.md` gives the full argument.
 
 use super::limits;
 use crate::keys::{UpstreamId, Version};
@@ -11,55 +11,61 @@
 use crate::time::Millis;
 use crate::view::{Service, Upstream, View};
 
-/// What one witness has said about a claim.
+/// One witness's vote on a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Vote {
     /// It has recorded the claim.
     Granted,
-    /// It has recorded another one.
+    /// It has recorded another claim for the opening.
     Other(Claim),
-    /// It cannot say.
+    /// It cannot tell what it has recorded, and so does not vote.
     Abstained,
 }
 
 /// One membership of a service: the witnesses listed from one version until the next change.
 #[derive(Clone, Debug)]
-struct Cut {
+struct Membership {
     from: Version,
     /// First version with other members; `None` for the present membership.
     next: Option<Version>,
     members: Vec<UpstreamId>,
-    /// Since when so many members run `next` or later that the others are no majority.
+    /// Since when so many members have `next` or a later version that the others are no majority.
     outdated_since: Option<Millis>,
-    /// When it needs no majority any more, as a peer knows.
-    told_until: Option<Millis>,
+    /// When a majority of it will no longer be needed, as reported by a peer.
+    reported_until: Option<Millis>,
 }
 
-/// The memberships of a service that may still be in force somewhere.
+/// The memberships of a service that may still be in effect somewhere.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Cuts {
-    cuts: Vec<Cut>,
-    /// Memberships, by their first version and the first with others, that need no majority any more.
-    settled: Vec<(Version, Version)>,
+pub(super) struct Memberships {
+    memberships: Vec<Membership>,
+    /// Memberships of which no majority is needed any more: the first version of each, and the
+    /// first version of the membership after it.
+    dropped: Vec<(Version, Version)>,
 }
 
-/// How the votes stand.
+/// State of the count of votes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Tally {
-    /// The claim has a majority in every cut.
+    /// The claim has a majority in every membership.
     Won,
-    /// A refusal by another claimant has a majority in every cut.
+    /// A refusal by another claimant has a majority in every membership.
     Refused,
     /// The claim can still win.
     Open,
-    /// The claim cannot win any more; if given, most other votes are for this claim.
+    /// The claim cannot win any more. Contains the rival claim to yield to, if there is one.
     Lost(Option<Claim>),
 }
 
-impl Cuts {
+impl Memberships {
     /// The memberships that the settings of `service` remember, without those that `before` has
-    /// settled.
-    pub(super) fn of(view: &View, service: &Service, current: Version, before: &Cuts) -> Self {
+    /// dropped.
+    pub(super) fn of(
+        view: &View,
+        service: &Service,
+        current: Version,
+        before: &Memberships,
+    ) -> Self {
         let upstreams: Vec<_> = service.upstream_keys().map(|key| view.upstream(key)).collect();
         let members = |version: Version| {
             let listed = upstreams.iter().filter(|upstream| {
@@ -68,100 +74,124 @@
             });
             listed.map(|upstream| upstream.id).collect::<Vec<_>>()
         };
-        let mut cuts: Vec<Cut> = Vec::new();
-        for from in changes(&upstreams, current) {
+        let mut memberships: Vec<Membership> = Vec::new();
+        for from in change_versions(&upstreams, current) {
             let members = members(from);
-            if cuts.last().is_some_and(|last| last.members == members) {
+            if memberships.last().is_some_and(|last| last.members == members) {
                 continue;
             }
-            if let Some(last) = cuts.last_mut() {
+            if let Some(last) = memberships.last_mut() {
                 last.next = Some(from);
             }
-            cuts.push(Cut { from, next: None, members, outdated_since: None, told_until: None });
+            memberships.push(Membership {
+                from,
+                next: None,
+                members,
+                outdated_since: None,
+                reported_until: None,
+            });
         }
-        let mut settled = before.settled.clone();
-        settled.retain(|(from, _)| cuts.iter().any(|cut| cut.from == *from));
-        cuts.retain(|cut| !cut.members.is_empty());
-        let is_settled = |cut: &Cut| settled.iter().any(|(from, _)| *from == cut.from);
-        cuts.retain(|cut| cut.next.is_none() || !is_settled(cut));
-        for cut in &mut cuts {
-            let known = before.cuts.iter().find(|known| known.is_same(cut));
-            cut.outdated_since = known.and_then(|known| known.outdated_since);
-            cut.told_until = known.and_then(|known| known.told_until);
+        let mut dropped = before.dropped.clone();
+        dropped.retain(|(from, _)| memberships.iter().any(|membership| membership.from == *from));
+        memberships.retain(|membership| !membership.members.is_empty());
+        let is_dropped =
+            |membership: &Membership| dropped.iter().any(|(from, _)| *from == membership.from);
+        memberships.retain(|membership| membership.next.is_none() || !is_dropped(membership));
+        for membership in &mut memberships {
+            let known = before.memberships.iter().find(|known| known.is_same(membership));
+            membership.outdated_since = known.and_then(|known| known.outdated_since);
+            membership.reported_until = known.and_then(|known| known.reported_until);
         }
-        Self { cuts, settled }
+        Self { memberships, dropped }
     }
 
-    /// Drops memberships that can grant nothing any more. `runs` tells whether a member is known
-    /// to run a version or a later one.
+    /// Drops memberships that can grant nothing any more. `runs` tells whether a member is known to
+    /// have the given version or a later one in effect.
     ///
-    /// Failure: upstreams that were replaced long ago are dead, and no majority of their
-    /// membership can ever answer. Symptom: every opening is in doubt. Dropping the membership is
-    /// safe once most of its members answer claimants under it with `StaleView`, and what they
-    /// granted before has been forgotten.
-    pub(super) fn settle(&mut self, now: Millis, runs: impl Fn(UpstreamId, Version) -> bool) {
-        for cut in &mut self.cuts {
-            let Some(next) = cut.next else { continue };
-            let old = cut.members.iter().filter(|member| !runs(**member, next)).count();
-            let outdated = 2 * old <= cut.members.len();
-            cut.outdated_since = outdated.then(|| cut.outdated_since.unwrap_or(now));
+    /// Upstreams that were replaced long ago are gone, so no majority of their membership can ever
+    /// answer, and no claim could be resolved while that membership counts. Dropping it is safe
+    /// once at least half of its members answer claimants under it with `StaleView`, and the claims
+    /// that they granted before have expired.
+    pub(super) fn drop_outdated(
+        &mut self,
+        now: Millis,
+        runs: impl Fn(UpstreamId, Version) -> bool,
+    ) {
+        for membership in &mut self.memberships {
+            let Some(next) = membership.next else { continue };
+            let old = membership.members.iter().filter(|member| !runs(**member, next)).count();
+            let outdated = 2 * old <= membership.members.len();
+            membership.outdated_since = outdated.then(|| membership.outdated_since.unwrap_or(now));
         }
-        let is_settled = |cut: &Cut| cut.outdated_until().is_some_and(|until| until <= now);
-        let settled = self.cuts.iter().filter(|cut| is_settled(cut));
-        self.settled.extend(settled.filter_map(|cut| Some((cut.from, cut.next?))));
-        self.settled.sort_unstable();
-        self.settled.dedup();
-        self.cuts.retain(|cut| !is_settled(cut));
+        let is_dropped =
+            |membership: &Membership| membership.outdated_until().is_some_and(|until| until <= now);
+        let dropped = self.memberships.iter().filter(|membership| is_dropped(membership));
+        self.dropped
+            .extend(dropped.filter_map(|membership| Some((membership.from, membership.next?))));
+        self.dropped.sort_unstable();
+        self.dropped.dedup();
+        self.memberships.retain(|membership| !is_dropped(membership));
     }
 
-    /// The outdated membership whose turn it is, of those that the settings still list.
+    /// The outdated membership to report to peers next, in rotation over those that the settings
+    /// still list.
     pub(super) fn outdated(&self, now: Millis, turn: u64) -> Option<Outdated> {
-        let settled = self.settled.iter().map(|(from, next)| (*from, *next, now));
-        let others =
-            self.cuts.iter().filter_map(|cut| Some((cut.from, cut.next?, cut.outdated_until()?)));
-        let count = settled.len() as u64 + others.clone().count() as u64;
+        let dropped = self.dropped.iter().map(|(from, next)| (*from, *next, now));
+        let others = self.memberships.iter().filter_map(|membership| {
+            Some((membership.from, membership.next?, membership.outdated_until()?))
+        });
+        let count = dropped.len() as u64 + others.clone().count() as u64;
         let turn = turn.checked_rem(count)?;
-        let (from, next, until) = settled.chain(others).nth(turn as usize)?;
+        let (from, next, until) = dropped.chain(others).nth(turn as usize)?;
         Some(Outdated { from, next, expires_in_ms: until.since(now) as u32 })
     }
 
-    /// Takes in what a peer knows of an outdated membership.
+    /// Processes a peer's report that a membership is outdated.
     ///
-    /// That nobody can claim under a membership is true for all once it is for one, and a message that
-    /// comes late only makes the wait longer.
-    pub(super) fn hear(&mut self, now: Millis, outdated: Outdated) {
+    /// If one agent knows that nobody can claim under a membership any more, this holds for all,
+    /// and a report that arrives late only makes the wait longer.
+    pub(super) fn learn_outdated(&mut self, now: Millis, outdated: Outdated) {
         let until = now.after(outdated.expires_in_ms.into());
         let (from, next) = (outdated.from, Some(outdated.next));
-        let known = self.cuts.iter_mut().find(|cut| (cut.from, cut.next) == (from, next));
-        let Some(cut) = known else { return };
-        cut.told_until = Some(cut.told_until.map_or(until, |known| known.min(until)));
+        let known = self
+            .memberships
+            .iter_mut()
+            .find(|membership| (membership.from, membership.next) == (from, next));
+        let Some(membership) = known else { return };
+        membership.reported_until =
+            Some(membership.reported_until.map_or(until, |known| known.min(until)));
     }
 
-    /// Whether, in each membership that `me` belongs to, so many other members are `done` that any
-    /// majority with `me` in it has one of them.
-    pub(super) fn is_recalled(&self, me: UpstreamId, done: impl Fn(UpstreamId) -> bool) -> bool {
-        let voted_in = self.cuts.iter().filter(|cut| cut.members.contains(&me));
-        voted_in.into_iter().all(|cut| {
-            let size = cut.members.len();
+    /// Whether, in each membership that `me` belongs to, so many other members are `done` that
+    /// every majority with `me` in it contains one of them.
+    pub(super) fn has_recall_quorum(
+        &self,
+        me: UpstreamId,
+        done: impl Fn(UpstreamId) -> bool,
+    ) -> bool {
+        let voted_in =
+            self.memberships.iter().filter(|membership| membership.members.contains(&me));
+        voted_in.into_iter().all(|membership| {
+            let size = membership.members.len();
             let majority = size / 2 + 1;
-            let told = cut.members.iter().filter(|id| **id != me && done(**id)).count();
+            let answered = membership.members.iter().filter(|id| **id != me && done(**id)).count();
             // The other voters are `majority - 1` of `size - 1`.
-            told + majority > size
+            answered + majority > size
         })
     }
 
-    /// Everybody who may be asked to vote.
+    /// All agents that may be asked to vote, sorted.
     pub(super) fn witnesses(&self) -> Vec<UpstreamId> {
         let mut all: Vec<UpstreamId> =
-            self.cuts.iter().flat_map(|cut| &cut.members).copied().collect();
+            self.memberships.iter().flat_map(|membership| &membership.members).copied().collect();
         all.sort_unstable();
         all.dedup();
         all
     }
 
-    /// Counts the votes, sorted by witness, for a claim of `claimant`.
+    /// Counts `votes` on a claim of `claimant`. They are sorted by witness.
     pub(super) fn tally(&self, votes: &[(UpstreamId, Vote)], claimant: UpstreamId) -> Tally {
-        if self.cuts.is_empty() {
+        if self.memberships.is_empty() {
             return Tally::Lost(None);
         }
         let granted = |vote: Option<Vote>| vote == Some(Vote::Granted);
@@ -176,7 +206,7 @@
         if self.majority(votes, possible) {
             return Tally::Open;
         }
-        Tally::Lost(stronger(votes, claimant))
+        Tally::Lost(stronger_rival(votes, claimant))
     }
 
     fn majority(
@@ -184,27 +214,28 @@
         votes: &[(UpstreamId, Vote)],
         counts: impl Fn(Option<Vote>) -> bool,
     ) -> bool {
-        self.cuts.iter().all(|cut| {
-            let counted = cut.members.iter().filter(|member| counts(vote_of(votes, **member)));
-            2 * counted.count() > cut.members.len()
+        self.memberships.iter().all(|membership| {
+            let counted =
+                membership.members.iter().filter(|member| counts(vote_of(votes, **member)));
+            2 * counted.count() > membership.members.len()
         })
     }
 }
 
-impl Cut {
-    /// When everything that was claimed under it is forgotten, if nobody can claim any more.
+impl Membership {
+    /// When all claims that were made under it will have expired, if nobody can make new ones.
     fn outdated_until(&self) -> Option<Millis> {
         let own = self.outdated_since.map(|since| since.after(limits::CLAIM_TTL_MS));
-        own.into_iter().chain(self.told_until).min()
+        own.into_iter().chain(self.reported_until).min()
     }
 
-    fn is_same(&self, other: &Cut) -> bool {
+    fn is_same(&self, other: &Membership) -> bool {
         (self.from, self.next) == (other.from, other.next) && self.members == other.members
     }
 }
 
 /// Versions up to `current` in which the membership may have changed.
-fn changes(upstreams: &[&Upstream], current: Version) -> Vec<Version> {
+fn change_versions(upstreams: &[&Upstream], current: Version) -> Vec<Version> {
     let mut versions: Vec<Version> = upstreams
         .iter()
         .flat_map(|upstream| [Some(upstream.spec.since), upstream.spec.retired])
@@ -222,9 +253,9 @@
     Some(votes[index].1)
 }
 
-/// The rival with more votes than the claimant; equal votes go to the larger id, so that of two
-/// rivals one yields.
-fn stronger(votes: &[(UpstreamId, Vote)], claimant: UpstreamId) -> Option<Claim> {
+/// The rival claim that the claimant yields to: the one with the most votes, if it has more than
+/// the claimant's. The larger id breaks a tie, so that exactly one of two rivals yields.
+fn stronger_rival(votes: &[(UpstreamId, Vote)], claimant: UpstreamId) -> Option<Claim> {
     let count = |vote: Vote| votes.iter().filter(|(_, known)| *known == vote).count();
     let own = (count(Vote::Granted), claimant);
     votes
--- a/crates/decision/src/agent/status.rs
+++ b/crates/decision/src/agent/status.rs
@@ -93,7 +93,7 @@
 
     /// Whether new openings go to this agent's upstream for now.
     pub fn is_accepting(&mut self, now: Millis) -> bool {
-        self.accepts(now)
+        self.accepts_openings(now)
     }
 
     /// Whether every announcement has been acknowledged: a leaving agent may then end.
@@ -114,7 +114,7 @@
             unannounced: self.peers.iter().map(|(_, peer)| peer.outbox.len()).sum(),
             suspected_peers: self.peers.iter().filter(|(_, peer)| peer.suspected).count(),
             version: self.settings.version,
-            unsure: self.is_unsure(now),
+            unsure: self.may_hold_unknown_flows(now),
         }
     }
 
