--- a/crates/agent/src/plane/notes.rs
+++ b/crates/agent/src/plane/notes.rs
@@ -16,7 +16,7 @@
             ("assigned", opened(opening).with("to", Value::Id(to.0)))
         }
         TimelineEntry::Refused { opening, reason } => {
-            let reason = Value::Word(Code::from(reason).name());
+            let reason = Value::Static(Code::from(reason).name());
             ("refused", opened(opening).with("reason", reason))
         }
         TimelineEntry::Ended(flow) => ("ended", of_flow(flow)),
--- a/crates/decision/src/agent/assign.rs
+++ b/crates/decision/src/agent/assign.rs
@@ -83,7 +83,7 @@
     pub(super) fn candidates(&mut self, now: Millis) -> Vec<Candidate> {
         let Some(key) = self.service else { return Vec::new() };
         let local_zone = self.local_spec().map(|spec| spec.zone.clone());
-        let local_accepts = self.accepts(now);
+        let local_accepts = self.accepts_openings(now);
         let view = self.view.clone();
         let upstreams = view.service(key).upstream_keys().map(|key| view.upstream(key));
         let listed = upstreams.filter(|upstream| upstream.spec.state == UpstreamState::Active);
--- a/crates/decision/src/agent/finding.rs
+++ b/crates/decision/src/agent/finding.rs
@@ -3,7 +3,7 @@
 
 use super::Agent;
 use super::flows::{Flow, FlowState};
-use super::health::Unknown;
+use super::health::UnknownFlows;
 use super::lookup::Lookup;
 use super::mutant::mutated;
 use crate::keys::{FlowId, UpstreamId};
@@ -114,9 +114,9 @@
         let named_by_peer =
             self.config.may_have_prior_flows && lookup.reported_holders().any(|id| id == self_id);
         let own = (self_id, self.unknown_flows().filter(|_| !named_by_peer));
-        let possible: Vec<(UpstreamId, Option<Unknown>)> = lookup
+        let possible: Vec<(UpstreamId, Option<UnknownFlows>)> = lookup
             .possible_holders()
-            .chain((named_by_peer || self.is_unsure(now)).then_some(own))
+            .chain((named_by_peer || self.may_hold_unknown_flows(now)).then_some(own))
             .collect();
         let only = match possible.as_slice() {
             [] => return Finding::NoHolder,
@@ -133,11 +133,11 @@
 
 /// Of several possible holders, returns the only one whose upstream reports flows unknown to its
 /// agent, if the upstreams of all others report none.
-fn sole_likely_holder(possible: &[(UpstreamId, Option<Unknown>)]) -> Option<UpstreamId> {
-    let others = possible.iter().filter(|(_, unknown)| *unknown != Some(Unknown::Nothing));
+fn sole_likely_holder(possible: &[(UpstreamId, Option<UnknownFlows>)]) -> Option<UpstreamId> {
+    let others = possible.iter().filter(|(_, unknown)| *unknown != Some(UnknownFlows::Absent));
     let others: Vec<_> = others.collect();
     match others.as_slice() {
-        [(only, Some(Unknown::Some))] => Some(*only),
+        [(only, Some(UnknownFlows::Present))] => Some(*only),
         _ => None,
     }
 }
@@ -151,11 +151,11 @@
 
     /// Agents that may hold the flow without knowing it, and whether their upstreams report unknown
     /// flows.
-    fn possible_holders(&self) -> impl Iterator<Item = (UpstreamId, Option<Unknown>)> + '_ {
+    fn possible_holders(&self) -> impl Iterator<Item = (UpstreamId, Option<UnknownFlows>)> + '_ {
         self.answers.iter().filter_map(|(id, answer)| match answer {
             Some(Knowledge::Unsure) => Some((*id, None)),
-            Some(Knowledge::Likely) => Some((*id, Some(Unknown::Some))),
-            Some(Knowledge::Unlikely) => Some((*id, Some(Unknown::Nothing))),
+            Some(Knowledge::Likely) => Some((*id, Some(UnknownFlows::Present))),
+            Some(Knowledge::Unlikely) => Some((*id, Some(UnknownFlows::Absent))),
             _ => None,
         })
     }
--- a/crates/decision/src/agent/home.rs
+++ b/crates/decision/src/agent/home.rs
@@ -133,7 +133,7 @@
             self.former_homes.add_everywhere(now, id);
             if !peer.suspected {
                 peer.listed_at = now;
-                peer.last_heard = peer.last_heard.map(|_| now);
+                peer.last_received_at = peer.last_received_at.map(|_| now);
             }
         }
     }
--- a/crates/decision/src/agent/lookup.rs
+++ b/crates/decision/src/agent/lookup.rs
@@ -5,7 +5,7 @@
 
 use super::finding::Finding;
 use super::flows::{Flow, may_share_connection};
-use super::health::Unknown;
+use super::health::UnknownFlows;
 use super::redirects::{Evidence, Redirect};
 use super::sorted::SortedMap;
 use super::{Action, Agent, Forwarding, HoldKey, Packet, PacketKind, Reason, Verdict, limits};
@@ -187,10 +187,12 @@
         }
         let self_id = self.config.upstream;
         match self.redirects.get(now, flow).filter(|redirect| redirect.holder != self_id) {
-            Some(redirect) if !self.is_unsure(now) || is_announced_open(redirect, sequence) => {
+            Some(redirect)
+                if !self.may_hold_unknown_flows(now) || is_announced_open(redirect, sequence) =>
+            {
                 Knowledge::HeldBy(redirect.holder)
             }
-            _ if self.is_unsure(now) => Knowledge::Unsure,
+            _ if self.may_hold_unknown_flows(now) => Knowledge::Unsure,
             _ => Knowledge::NotMine,
         }
     }
@@ -204,8 +206,8 @@
         sequence: u32,
     ) -> Knowledge {
         match (self.knowledge(now, flow, sequence), self.unknown_flows()) {
-            (Knowledge::Unsure, Some(Unknown::Some)) => Knowledge::Likely,
-            (Knowledge::Unsure, Some(Unknown::Nothing)) => Knowledge::Unlikely,
+            (Knowledge::Unsure, Some(UnknownFlows::Present)) => Knowledge::Likely,
+            (Knowledge::Unsure, Some(UnknownFlows::Absent)) => Knowledge::Unlikely,
             (knowledge, _) => knowledge,
         }
     }
--- a/crates/decision/src/agent/packet.rs
+++ b/crates/decision/src/agent/packet.rs
@@ -105,8 +105,8 @@
     ) -> Verdict {
         self.detect_pause(now);
         match self.settings.when_in_doubt {
-            WhenInDoubt::Admit => self.open_early(now, packet, opening, out),
-            WhenInDoubt::Refuse => self.open_once(now, packet, opening, out),
+            WhenInDoubt::Admit => self.open_optimistically(now, packet, opening, out),
+            WhenInDoubt::Refuse => self.open_at_most_once(now, packet, opening, out),
         }
     }
 
@@ -189,7 +189,7 @@
 
     fn adopt_or_drop(&mut self, now: Millis, packet: &Packet, out: &mut Vec<Action>) -> Verdict {
         let known = self.flows.get(packet.flow).is_some();
-        if !known && !self.is_unsure(now) {
+        if !known && !self.may_hold_unknown_flows(now) {
             return Verdict::Drop(Reason::HolderSilent);
         }
         self.adopt(now, packet.flow, out);
--- a/crates/decision/src/agent/relearn.rs
+++ b/crates/decision/src/agent/relearn.rs
@@ -1,56 +1,58 @@
-//! After a restart: asking the peers which flows the earlier life held.
+//! Recovery of the flow table after a restart: the peers are asked which flows the previous
+//! incarnation held.
 
-use super::health::Unknown;
+use super::health::UnknownFlows;
 use super::peers::Peer;
 use super::redirects::{Evidence, Redirect};
 use super::{Action, Agent, TimelineEntry, limits};
 use crate::keys::{FlowId, Incarnation, UpstreamId};
-use crate::message::{Entrusted, Former, HandedOver, Message, Opening};
+use crate::message::{Entrusted, HandedOver, Message, Opening, PreviousIncarnation};
 use crate::time::Millis;
 use crate::view::WhenInDoubt;
 
-/// How far one peer has told what it knows.
+/// Progress of reading what one peer knows.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Cursor {
     from: FlowId,
     asked_at: Option<Millis>,
     pub(super) done: bool,
-    /// Whether the peer had been told everything before this agent restarted.
+    /// Whether the peer knew all flows announced to it before this agent restarted.
     complete: bool,
-    /// What the peer has said of this agent's former life.
-    pub(super) former: Option<Former>,
+    /// What the peer has reported about this agent's previous incarnation.
+    pub(super) former: Option<PreviousIncarnation>,
 }
 
 impl Cursor {
-    /// Begins anew with the first page.
+    /// Starts again with the first page.
     pub(super) fn restart(&mut self) {
         *self = Self { former: self.former, ..Self::default() };
     }
 
-    /// Whether the peer was told all by the life `last`, or has resumed after it and was told by others.
-    pub(super) fn has_all_of(&self, last: Incarnation, state: HandedOver) -> bool {
+    /// Whether the peer received all announcements of the incarnation `last`, or has itself resumed
+    /// after a restart and got them from others.
+    pub(super) fn covers_handover(&self, last: Incarnation, state: HandedOver) -> bool {
         let former = self.former.unwrap_or_default();
-        match former.life == Some(last) {
+        match former.incarnation == Some(last) {
             true => former.handed_over == Some(state),
             false => former.resumed,
         }
     }
 }
 
-/// What a restarted agent knows about its earlier life.
+/// How far a restarted agent has recovered the flows of its previous incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Past {
-    /// There is none, or all of it is known.
-    Known,
-    /// It has handed everything over, and all of it was told again.
+pub(super) enum Recovery {
+    /// There is no previous incarnation, or all of its flows are known.
+    Complete,
+    /// It had handed over, and the peers have reported all of its flows.
     Resumed,
-    /// Peers are still being asked.
+    /// The peers are still being asked.
     Relearning,
-    /// All that was announced is known; what was not may show up until then.
-    Doubtful { until: Millis },
+    /// All announced flows are known. Flows that were not announced yet may show up until then.
+    AwaitingUnannounced { until: Millis },
 }
 
-/// A page, as received.
+/// A page of flows, as received.
 #[derive(Clone, Debug)]
 pub(super) struct Page {
     pub(super) incarnation: Incarnation,
@@ -63,46 +65,52 @@
 
 impl Agent {
     /// Whether this agent may hold flows that it does not know.
-    pub(super) fn is_unsure(&self, now: Millis) -> bool {
+    pub(super) fn may_hold_unknown_flows(&self, now: Millis) -> bool {
         match self.past {
-            Past::Known | Past::Resumed => false,
-            Past::Relearning => now.since(self.started_at) < limits::MAX_INCOMPLETE_STATE_MS,
-            Past::Doubtful { until } => now < until || self.must_have_more(now),
+            Recovery::Complete | Recovery::Resumed => false,
+            Recovery::Relearning => now.since(self.started_at) < limits::MAX_INCOMPLETE_STATE_MS,
+            Recovery::AwaitingUnannounced { until } => {
+                now < until || self.upstream_reports_more(now)
+            }
         }
     }
 
-    /// Whether the upstream reports more flows than this agent knows. The doubt lasts until they are found,
-    /// since with another agent in doubt no packet of theirs can be tried here.
-    fn must_have_more(&self, now: Millis) -> bool {
-        let young = now.since(self.started_at) < limits::MAX_INCOMPLETE_STATE_MS;
-        young && self.unknown_flows() == Some(Unknown::Some)
+    /// Whether the upstream reports more flows than this agent knows.
+    ///
+    /// The agent then stays in the incomplete state until they are found: while another agent is
+    /// incomplete too, no packet of these flows can be tried here.
+    fn upstream_reports_more(&self, now: Millis) -> bool {
+        let recently_started = now.since(self.started_at) < limits::MAX_INCOMPLETE_STATE_MS;
+        recently_started && self.unknown_flows() == Some(UnknownFlows::Present)
     }
 
-    /// Asks peers for their next page, and ends relearning once all have told everything.
+    /// Asks the peers for their next pages, and ends relearning once all have sent everything.
     pub(super) fn relearn(&mut self, now: Millis, out: &mut Vec<Action>) {
         match self.past {
-            Past::Known | Past::Resumed => return,
-            Past::Relearning => {}
-            Past::Doubtful { .. } if !self.is_unsure(now) => {
-                self.past = Past::Known;
+            Recovery::Complete | Recovery::Resumed => return,
+            Recovery::Relearning => {}
+            Recovery::AwaitingUnannounced { .. } if !self.may_hold_unknown_flows(now) => {
+                self.past = Recovery::Complete;
                 return;
             }
-            Past::Doubtful { .. } => return,
+            Recovery::AwaitingUnannounced { .. } => return,
         }
         let ids: Vec<UpstreamId> = self.peers.iter().map(|(id, _)| id).collect();
         for id in ids {
-            self.ask_page(now, id, out);
+            self.request_page(now, id, out);
         }
         self.check_relearned(now);
     }
 
-    /// Answers a restarted peer with one page of its flows, and of those whose holder is silent or has handed
-    /// over.
+    /// Answers a restarted peer with one page of its own flows, and of flows whose holder is
+    /// unresponsive or has handed over.
     ///
-    /// Failure: a holder's agent is down, and those that it has told of a flow restart one after the
-    /// other. Symptom: nobody can tell it, once it is back, that its upstream has the flow, which hangs.
-    /// Telling each restarted agent is enough while one of the three is up at any time.
-    pub(super) fn relearn_asked(
+    /// If only the restarted peer's own flows were sent, knowledge of other flows could get lost: a
+    /// holder's agent is down, and the agents to which it announced a flow restart one after the
+    /// other. Once it is back, nobody could tell it that its upstream has the flow, which would
+    /// hang. Sending these flows to each restarted agent prevents this as long as one of the three
+    /// agents is up at any time.
+    pub(super) fn relearn_requested(
         &mut self,
         now: Millis,
         from: UpstreamId,
@@ -113,40 +121,47 @@
         if !self.observe_incarnation(now, from, incarnation) {
             return;
         }
-        let gone = |id: UpstreamId| self.peers.get(id).is_some_and(Peer::cannot_tell);
+        let holder_cannot_answer =
+            |id: UpstreamId| self.peers.get(id).is_some_and(Peer::cannot_answer);
         let wanted = |redirect: &Redirect| {
-            // An answer to a lookup names no opening. Whoever asked is not told when the flow ends.
-            let told = redirect.nonce.is_some();
-            (redirect.holder == from || gone(redirect.holder)) && told && !self.never_ran(redirect)
+            // A redirect learned by a lookup has no opening, and the holder does not announce the
+            // end of the flow to this agent.
+            let knows_opening = redirect.nonce.is_some();
+            (redirect.holder == from || holder_cannot_answer(redirect.holder))
+                && knows_opening
+                && !self.never_ran(redirect)
         };
         let (page, next) = self.redirects.page(now, wanted, first);
         let (own, entrusted): (Vec<_>, Vec<_>) =
             page.into_iter().partition(|entry| entry.holder == from);
         let openings = own.into_iter().map(|entry| entry.opening).collect();
-        let complete = self.was_complete_before(from);
-        let message = Message::Former { incarnation, former: self.former_of(from) };
+        let complete = self.knew_all_flows_of(from);
+        let message =
+            Message::Former { incarnation, former: self.previous_incarnation_state(from) };
         out.push(Action::Send { to: from, message });
         let message =
             Message::RelearnReply { incarnation, from: first, openings, entrusted, next, complete };
         out.push(Action::Send { to: from, message });
     }
 
-    /// Whether the holder has announced other flows since this one was assigned to it, but not this one, or
-    /// has lived on long enough to announce it to those whom it tells.
+    /// Whether an assigned opening never ran at its holder: the holder has announced other flows
+    /// since the assignment but not this one, was up long enough after it to announce this one, or
+    /// has handed over.
     ///
-    /// A holder announces all that it has taken within a moment.
+    /// A holder announces every flow within [`limits::ANNOUNCED_WITHIN_MS`].
     fn never_ran(&self, redirect: &Redirect) -> bool {
         let Some(peer) = self.peers.get(redirect.holder) else { return false };
         let due_at = redirect.opened_at.after(limits::ANNOUNCE_DEADLINE_MS);
-        let lived_on =
-            |(life, at): (Incarnation, Millis)| life == redirect.incarnation && at > due_at;
-        let announced = peer.announced_at.is_some_and(|at| at > due_at);
-        let outlived = peer.past_beat.is_some_and(lived_on);
+        let outlived_deadline = |(incarnation, at): (Incarnation, Millis)| {
+            incarnation == redirect.incarnation && at > due_at
+        };
+        let announced = peer.last_announcement_at.is_some_and(|at| at > due_at);
+        let survived = peer.previous_heartbeat.is_some_and(outlived_deadline);
         let handed_over = peer.has_handed_over(redirect.incarnation);
-        redirect.evidence == Evidence::Assigned && (announced || outlived || handed_over)
+        redirect.evidence == Evidence::Assigned && (announced || survived || handed_over)
     }
 
-    pub(super) fn page_received(
+    pub(super) fn relearn_page_received(
         &mut self,
         now: Millis,
         from: UpstreamId,
@@ -156,7 +171,7 @@
         if page.incarnation != self.config.incarnation {
             return;
         }
-        if self.past != Past::Resumed || self.is_told_all(from) {
+        if self.past != Recovery::Resumed || self.has_full_knowledge(from) {
             self.insert_relearned(now, &page.openings, out);
         }
         self.insert_entrusted(now, &page.entrusted);
@@ -174,19 +189,19 @@
         self.relearn(now, out);
     }
 
-    /// Takes in what a peer says that this agent's earlier life held.
+    /// Adds flows that the previous incarnation held, as reported by a peer.
     ///
-    /// Not where every flow is a datagram and a request of its own, which is over once it is
-    /// answered; that they ran is recorded in the claims.
+    /// Skipped where every flow is a single datagram that runs at most once. Such a request is over
+    /// once it is answered, and the claims record that it ran.
     fn insert_relearned(&mut self, now: Millis, openings: &[Opening], out: &mut Vec<Action>) {
-        let once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
-        let single = self.settings.only_datagrams && once;
-        if self.past == Past::Known || single {
+        let at_most_once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
+        let single = self.settings.only_datagrams && at_most_once;
+        if self.past == Recovery::Complete || single {
             return;
         }
         for opening in openings {
             let known = self.flows.get(opening.flow).is_some();
-            // An opening that was admitted since the restart is newer than any page.
+            // A flow admitted since the restart is newer than the page.
             let me = self.config.upstream;
             let redirect = self.redirects.get(now, opening.flow);
             let elsewhere = redirect.is_some_and(|redirect| redirect.holder != me);
@@ -207,11 +222,12 @@
         }
     }
 
-    pub(super) fn ask_page(&mut self, now: Millis, to: UpstreamId, out: &mut Vec<Action>) {
+    pub(super) fn request_page(&mut self, now: Millis, to: UpstreamId, out: &mut Vec<Action>) {
         let incarnation = self.config.incarnation;
         let Some(peer) = self.peers.get_mut(to) else { return };
-        let waits = peer.cursor.asked_at.is_some_and(|at| now.since(at) < limits::RELEARN_RETRY_MS);
-        if peer.cursor.done || waits || !peer.may_hold_flows(now) {
+        let awaits_reply =
+            peer.cursor.asked_at.is_some_and(|at| now.since(at) < limits::RELEARN_RETRY_MS);
+        if peer.cursor.done || awaits_reply || !peer.may_hold_flows(now) {
             return;
         }
         peer.cursor.asked_at = Some(now);
@@ -219,8 +235,11 @@
         out.push(Action::Send { to, message });
     }
 
-    /// Every flow was announced to two agents. If all but one had been told everything before the
-    /// restart, at least one of the two was, and has now told it.
+    /// Ends relearning once all peers have sent everything that they know, unless more than one of
+    /// them had incomplete knowledge.
+    ///
+    /// Every flow was announced to two agents. If all peers but one knew everything announced to
+    /// them before the restart, at least one of the two did, and has now reported the flow.
     fn check_relearned(&mut self, now: Millis) {
         let asked: Vec<&Peer> = self
             .peers
@@ -232,14 +251,15 @@
         let all_done = asked.iter().all(|peer| peer.cursor.done);
         let alone = asked.is_empty();
         if alone || (all_done && incomplete <= 1) {
-            self.past = Past::Doubtful { until: now.after(limits::UNANNOUNCED_FLOWS_MS) };
+            self.past =
+                Recovery::AwaitingUnannounced { until: now.after(limits::UNANNOUNCED_FLOWS_MS) };
         }
         self.check_resumed();
     }
 
-    /// Whether this agent had been told the flows of `peer` before that one restarted.
-    fn was_complete_before(&self, peer: UpstreamId) -> bool {
-        let met_at = self.peers.get(peer).map(|peer| peer.incarnation_at);
+    /// Whether `peer` had announced its flows to this agent before it restarted.
+    fn knew_all_flows_of(&self, peer: UpstreamId) -> bool {
+        let met_at = self.peers.get(peer).map(|peer| peer.incarnation_seen_at);
         met_at.is_some_and(|met_at| met_at.since(self.started_at) >= limits::RESYNC_MS)
     }
 }
--- a/crates/decision/src/agent/status.rs
+++ b/crates/decision/src/agent/status.rs
@@ -93,7 +93,7 @@
 
     /// Whether this agent's upstream currently accepts openings.
     pub fn is_accepting(&mut self, now: Millis) -> bool {
-        self.accepts(now)
+        self.accepts_openings(now)
     }
 
     /// Whether all announcements have been acknowledged, so that a leaving agent may exit.
@@ -114,7 +114,7 @@
             unannounced: self.peers.iter().map(|(_, peer)| peer.outbox.len()).sum(),
             suspected_peers: self.peers.iter().filter(|(_, peer)| peer.suspected).count(),
             version: self.settings.version,
-            may_hold_unknown_flows: self.is_unsure(now),
+            may_hold_unknown_flows: self.may_hold_unknown_flows(now),
         }
     }
 
--- a/crates/decision/src/spread/mod.rs
+++ b/crates/decision/src/spread/mod.rs
@@ -1,12 +1,14 @@
-//! Spreading settings versions and membership changes among the balancers.
+//! Gossip of settings versions and membership changes among the balancers.
 //!
-//! Two mechanisms share one table of facts. *Rumours* carry a change once to a few random peers, so
-//! that it is everywhere within a logarithmic number of rounds. *Digests* compare the whole table
-//! with one random peer from time to time, so that what a rumour missed is found as well. Contents
-//! of settings are not carried here: a notice names a version, and who lacks it fetches it.
+//! Two mechanisms share one table of facts. *Notices* push each change to a few random peers, which
+//! push it on, so it reaches all nodes within a logarithmic number of rounds. *Digests*
+//! periodically compare the whole table with that of one random peer and thereby repair what
+//! notices missed. Contents of settings are not carried here: a notice names a version, and a node
+//! that lacks it fetches it.
 //!
-//! Nobody is elected. Who watches the configuration service follows from the instance list by
-//! rendezvous; two lists that differ give a few readers too many or too few, and digests cover both.
+//! There is no leader election. Which nodes watch the configuration service follows from the
+//! instance list by rendezvous hashing. If the lists of two nodes differ, there are a few readers
+//! too many or too few for a while, and digests compensate for both.
 
 mod facts;
 mod peers;
@@ -22,48 +24,48 @@
 use crate::keys::{AccountId, UpstreamId, Version};
 use crate::time::Millis;
 
-/// Time between two rounds. Ten rounds are enough for 1,600 nodes and take 2 s of the 7 s allowed.
-pub const ROUND_MS: u64 = 200;
-/// Notices in one message. Keeps a node below 10 KB/s while a whole zone is reported: see
-/// `docs/CAPACITY.md` for the measured peak.
+/// Time between two rounds. Ten rounds suffice for 1,600 nodes and take 2 s of the 7 s allowed.
+pub const ROUND_INTERVAL_MS: u64 = 200;
+/// Notices in one message. Keeps a node's traffic below 10 KB/s while the failure of a whole zone
+/// is reported; see `docs/CAPACITY.md` for the peak.
 pub const NOTICES_PER_MESSAGE: usize = 16;
-/// Notices in the answer to a comparison, so that it fits a datagram and the byte budget. What does
-/// not fit is found by the next comparison, which starts elsewhere.
+/// Notices in the reply to a comparison, so that it fits a datagram and the byte budget. The next
+/// comparison starts at another offset and finds the remaining differences.
 pub const DIFFERENCES_MAX: usize = 40;
 /// Time between two digest comparisons that a node starts.
-pub const DIGEST_MS: u64 = 2_000;
-/// Time until the next comparison after one that found a difference: a storm is settled by
-/// comparisons in quick succession, and quiet costs no more than before.
-pub const UNEQUAL_DIGEST_MS: u64 = 400;
-/// A node that no peer has confirmed for this long reads the configuration service itself, reader or
-/// not. 11,600 nodes that all do so are 97 reads a second of the 2,000 allowed.
+pub const DIGEST_INTERVAL_MS: u64 = 2_000;
+/// Time until the next comparison after one that found a difference. Comparisons in quick
+/// succession resolve a burst of changes without raising the traffic of an idle fleet.
+pub const UNEQUAL_DIGEST_INTERVAL_MS: u64 = 400;
+/// Time without confirmation of its versions after which a node reads the configuration service
+/// itself, even if it is no reader. If all 11,600 nodes do so, that is 97 reads a second of the
+/// 2,000 allowed.
 pub const FALLBACK_READ_MS: u64 = 120_000;
-/// Time a peer gets to deliver a version before the configuration service is asked for it.
-pub const PEER_FETCH_MS: u64 = 1_000;
+/// Time for a peer to deliver a version before it is fetched from the configuration service.
+pub const PEER_FETCH_TIMEOUT_MS: u64 = 1_000;
 
-/// Messages between the nodes that spread.
+/// Messages between the nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpreadMessage {
-    /// News for the receiver.
+    /// Changes that the receiver may not know.
     Notices(Vec<Notice>),
-    /// Start of a comparison.
+    /// Starts a comparison.
     Compare(Digest),
-    /// Answer to a comparison: all facts in the shares that differ, and whether the sender of this
-    /// answer wants the receiver's facts in return.
+    /// Reply to a comparison, or to such a reply: the sender's facts in the shares that differ.
     Differences {
         /// Facts of the shares that differ.
         notices: Vec<Notice>,
-        /// Digest of the answering node, set if it wants an answer in turn.
+        /// Digest of the replying node; set if it asks for the receiver's facts in turn.
         digest: Option<Digest>,
     },
 }
 
-/// How eagerly rumours are passed on. The default was chosen from `docs/measurements.md`.
+/// How widely and how often notices are pushed; see `docs/measurements.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tuning {
-    /// Peers that get each rumour in a round.
+    /// Peers that get each notice in a round.
     pub fanout: usize,
-    /// Rounds in which a node passes on a rumour after it has heard it for the first time.
+    /// Rounds in which a node pushes a notice after it has learned it.
     pub rounds: u8,
 }
 
@@ -75,31 +77,31 @@
 
 /// A version that a peer has and this node lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Want {
+pub struct MissingVersion {
     /// Account, or [`ROOT`].
     pub account: AccountId,
-    /// Version wanted, or a later one.
+    /// Lowest version to fetch.
     pub version: Version,
 }
 
-/// What happened to a spreading node.
+/// Input of a node.
 #[derive(Clone, Debug)]
 pub enum SpreadEvent {
     /// The platform's instance list has changed.
     Peers(Vec<Peer>),
-    /// A version is in force here, wherever it came from.
+    /// A version has come into force on this node, whatever its source.
     Installed {
         /// Account, or [`ROOT`].
         account: AccountId,
         /// Version now in force.
         version: Version,
     },
-    /// The configuration service has confirmed the versions in force here.
+    /// The configuration service has confirmed the versions in force on this node.
     Confirmed {
-        /// Milliseconds since then.
+        /// Milliseconds since the confirmation.
         age_ms: u64,
     },
-    /// An agent was seen to fail or to be back.
+    /// An agent was observed to fail or to recover.
     Observed(Member),
     /// A peer's message.
     Message {
@@ -108,11 +110,11 @@
         /// The message.
         message: SpreadMessage,
     },
-    /// Time has passed; due at least every [`ROUND_MS`].
+    /// Time has passed; due at least every [`ROUND_INTERVAL_MS`].
     Tick,
 }
 
-/// What the shell must do.
+/// Action that the caller must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpreadAction {
     /// Send a message to a peer.
@@ -122,14 +124,14 @@
         /// The message.
         message: SpreadMessage,
     },
-    /// Get versions from a peer that has them, in one exchange.
+    /// Fetch versions from a peer that has them, in one exchange.
     FetchFromPeer {
-        /// Who has them.
+        /// Peer that has the versions.
         from: NodeId,
-        /// What is lacking here.
-        wants: Vec<Want>,
+        /// Versions that this node lacks.
+        missing: Vec<MissingVersion>,
     },
-    /// Get the newest version of an account from the configuration service.
+    /// Fetch the newest version of an account from the configuration service.
     FetchFromService {
         /// Account, or [`ROOT`].
         account: AccountId,
@@ -138,39 +140,40 @@
     MembersChanged,
 }
 
-/// A version that was asked for.
+/// A version that was requested from a peer and has not yet come into force.
 #[derive(Clone, Copy, Debug)]
-struct Wanted {
-    want: Want,
-    asked: Millis,
+struct PendingFetch {
+    missing: MissingVersion,
+    asked_at: Millis,
 }
 
-/// A fact that still has to be passed on.
+/// A fact that is still to be pushed to peers.
 #[derive(Clone, Copy, Debug)]
-struct Rumour {
+struct QueuedNotice {
     notice: Notice,
     rounds_left: u8,
 }
 
-/// State of a spreading node.
+/// State of a node.
 #[derive(Debug)]
 pub struct Spread {
     peers: Peers,
     facts: Facts,
-    rumours: Vec<Rumour>,
-    wanted: Vec<Wanted>,
+    queued: Vec<QueuedNotice>,
+    pending_fetches: Vec<PendingFetch>,
     tuning: Tuning,
-    /// False until the facts were once found equal to a peer's or the service's. What a node learns
-    /// while it starts is news to nobody else.
-    settled: bool,
-    confirmed: Millis,
+    /// False until the facts have once been equal to a peer's or to those of the configuration
+    /// service. Versions that a node installs before that are known to its peers, so it does not
+    /// push them.
+    synchronized: bool,
+    confirmed_at: Millis,
     next_round: Millis,
     next_digest: Millis,
     random: Pcg64,
 }
 
 impl Spread {
-    /// A node that knows nothing yet.
+    /// Creates a node without facts or peers.
     ///
     /// ```
     /// use decision::{spread::{NodeId, Peer, Spread}, time::Millis};
@@ -181,23 +184,23 @@
         Self {
             peers: Peers::new(own),
             facts: Facts::default(),
-            rumours: Vec::new(),
-            wanted: Vec::new(),
+            queued: Vec::new(),
+            pending_fetches: Vec::new(),
             tuning: Tuning::default(),
-            settled: false,
-            confirmed: now,
+            synchronized: false,
+            confirmed_at: now,
             next_round: now,
             next_digest: now,
             random: Pcg64::seed_from_u64(seed),
         }
     }
 
-    /// Replaces the default tuning, for experiments.
+    /// Replaces the default tuning. Used by experiments.
     pub fn set_tuning(&mut self, tuning: Tuning) {
         self.tuning = tuning;
     }
 
-    /// Takes in an event and appends what must be done about it.
+    /// Processes an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Millis, event: SpreadEvent, out: &mut Vec<SpreadAction>) {
         match event {
             SpreadEvent::Peers(list) => self.peers.replace(list),
@@ -209,18 +212,18 @@
         }
     }
 
-    /// True if this node is to watch the configuration service.
+    /// Whether this node must watch the configuration service.
     pub fn is_reader(&self) -> bool {
         self.peers.is_reader()
     }
 
-    /// True if this node is one of the two that tell an agent of newer settings.
+    /// Whether this node is one of the two that notify an agent of newer settings.
     pub fn is_notifier(&self, agent: UpstreamId) -> bool {
         self.peers.is_notifier(agent)
     }
 
-    /// Forgets what is known of agents that the settings no longer list. Every node does so on the
-    /// same versions, so the digests stay equal.
+    /// Removes agents that the settings no longer list. All nodes do so on the same versions, so
+    /// their digests stay equal.
     pub fn retain_members(&mut self, listed: impl Fn(UpstreamId) -> bool) {
         self.facts.retain_members(listed);
     }
@@ -230,13 +233,13 @@
         self.facts.down()
     }
 
-    /// Milliseconds since the configuration service, or a peer that had asked it, confirmed the
-    /// versions in force here.
+    /// Milliseconds since the versions in force on this node were confirmed, by the configuration
+    /// service or by a peer that had asked it.
     pub fn confirmed_age_ms(&self, now: Millis) -> u64 {
-        now.since(self.confirmed)
+        now.since(self.confirmed_at)
     }
 
-    /// Version in force here.
+    /// Version of an account in force on this node.
     pub fn version(&self, account: AccountId) -> Option<Version> {
         self.facts.version(account)
     }
@@ -246,9 +249,10 @@
         if !self.facts.learn(notice) {
             return;
         }
-        self.wanted.retain(|known| known.want.account != account || known.want.version > version);
-        if self.settled {
-            self.start_rumour(notice);
+        self.pending_fetches
+            .retain(|known| known.missing.account != account || known.missing.version > version);
+        if self.synchronized {
+            self.enqueue(notice);
         }
     }
 
@@ -264,7 +268,7 @@
             SpreadMessage::Compare(digest) => self.compare(now, from, &digest, out),
             SpreadMessage::Differences { notices, digest } => {
                 self.learn_all(now, from, &notices, out);
-                self.next_digest = self.next_digest.min(now.after(UNEQUAL_DIGEST_MS));
+                self.next_digest = self.next_digest.min(now.after(UNEQUAL_DIGEST_INTERVAL_MS));
                 if let Some(digest) = digest {
                     let notices = self.differences(&digest);
                     let reply = SpreadMessage::Differences { notices, digest: None };
@@ -274,8 +278,8 @@
         }
     }
 
-    /// Settings count as known only once they are in force here, so a notice of them is turned into
-    /// a fetch; a membership change takes effect by itself.
+    /// Merges a peer's notices. A settings version enters the table only once it is in force on
+    /// this node, so a notice of one starts a fetch. A membership change takes effect at once.
     fn learn_all(
         &mut self,
         now: Millis,
@@ -283,40 +287,42 @@
         notices: &[Notice],
         out: &mut Vec<SpreadAction>,
     ) {
-        let mut wants = Vec::new();
+        let mut missing = Vec::new();
         for notice in notices {
             match *notice {
                 Notice::Settings { account, version } => {
-                    wants.extend(self.want(now, Want { account, version }));
+                    missing.extend(self.start_fetch(now, MissingVersion { account, version }));
                 }
                 Notice::Member(member) => self.learn_member(member, out),
             }
         }
-        if !wants.is_empty() {
-            out.push(SpreadAction::FetchFromPeer { from, wants });
+        if !missing.is_empty() {
+            out.push(SpreadAction::FetchFromPeer { from, missing });
         }
     }
 
     fn learn_member(&mut self, member: Member, out: &mut Vec<SpreadAction>) {
         let notice = Notice::Member(member);
         if self.facts.learn(notice) {
-            self.start_rumour(notice);
+            self.enqueue(notice);
             out.push(SpreadAction::MembersChanged);
         }
     }
 
-    /// The want, unless it is in force or was asked for.
-    fn want(&mut self, now: Millis, want: Want) -> Option<Want> {
-        if self.facts.version(want.account).is_some_and(|known| known >= want.version) {
+    /// Records a fetch of `missing` and returns it, unless that version or a later one is in force
+    /// or was requested already.
+    fn start_fetch(&mut self, now: Millis, missing: MissingVersion) -> Option<MissingVersion> {
+        if self.facts.version(missing.account).is_some_and(|known| known >= missing.version) {
             return None;
         }
-        let asked = Wanted { want, asked: now };
-        match self.wanted.iter_mut().find(|known| known.want.account == want.account) {
-            Some(known) if known.want.version >= want.version => return None,
-            Some(known) => *known = asked,
-            None => self.wanted.push(asked),
+        let fetch = PendingFetch { missing, asked_at: now };
+        match self.pending_fetches.iter_mut().find(|known| known.missing.account == missing.account)
+        {
+            Some(known) if known.missing.version >= missing.version => return None,
+            Some(known) => *known = fetch,
+            None => self.pending_fetches.push(fetch),
         }
-        Some(want)
+        Some(missing)
     }
 
     fn compare(&mut self, now: Millis, from: NodeId, digest: &Digest, out: &mut Vec<SpreadAction>) {
@@ -335,20 +341,22 @@
         self.facts.differences(digest, offset, DIFFERENCES_MAX)
     }
 
-    /// A peer with the same facts passes on its confirmation, never a younger one than it has.
+    /// Takes over the confirmation of a peer with the same facts, or of the configuration service,
+    /// if it is more recent than the one known. `age_ms` is the time since the service confirmed.
     fn confirm(&mut self, now: Millis, age_ms: u64) {
-        self.confirmed = self.confirmed.max(Millis(now.0.saturating_sub(age_ms)));
-        self.settled = true;
+        self.confirmed_at = self.confirmed_at.max(Millis(now.0.saturating_sub(age_ms)));
+        self.synchronized = true;
     }
 
     fn tick(&mut self, now: Millis, out: &mut Vec<SpreadAction>) {
         if now >= self.next_round {
-            self.next_round = now.after(ROUND_MS);
+            self.next_round = now.after(ROUND_INTERVAL_MS);
             self.round(out);
         }
         if now >= self.next_digest {
-            // Half to one and a half periods: nodes that started together do not stay in step.
-            let period_ms = self.random.random_range(DIGEST_MS / 2..DIGEST_MS * 3 / 2);
+            // A random delay of 0.5 to 1.5 periods desynchronizes nodes that started together.
+            let period_ms =
+                self.random.random_range(DIGEST_INTERVAL_MS / 2..DIGEST_INTERVAL_MS * 3 / 2);
             self.next_digest = now.after(period_ms);
             self.start_comparison(now, out);
         }
@@ -357,31 +365,31 @@
     }
 
     fn round(&mut self, out: &mut Vec<SpreadAction>) {
-        if self.rumours.is_empty() {
+        if self.queued.is_empty() {
             return;
         }
-        let count = self.rumours.len().min(NOTICES_PER_MESSAGE);
-        let notices: Vec<Notice> =
-            self.rumours[..count].iter().map(|rumour| rumour.notice).collect();
+        let count = self.queued.len().min(NOTICES_PER_MESSAGE);
+        let notices: Vec<Notice> = self.queued[..count].iter().map(|entry| entry.notice).collect();
         for to in self.peers.sample(self.tuning.fanout, &mut self.random) {
             let message = SpreadMessage::Notices(notices.clone());
             out.push(SpreadAction::Send { to, message });
         }
-        self.age_rumours(count);
+        self.age_queued(count);
     }
 
-    /// Sent rumours go to the back of the queue, so that none starves, and end after their rounds.
-    fn age_rumours(&mut self, count: usize) {
-        for rumour in &mut self.rumours[..count] {
-            rumour.rounds_left -= 1;
+    /// Moves the notices that were just sent to the back of the queue, so that none starves, and
+    /// drops those that have been sent in all their rounds.
+    fn age_queued(&mut self, count: usize) {
+        for entry in &mut self.queued[..count] {
+            entry.rounds_left -= 1;
         }
-        self.rumours.rotate_left(count);
-        self.rumours.retain(|rumour| rumour.rounds_left > 0);
+        self.queued.rotate_left(count);
+        self.queued.retain(|entry| entry.rounds_left > 0);
     }
 
-    fn start_rumour(&mut self, notice: Notice) {
-        self.rumours.retain(|rumour| !rumour.notice.same_subject(&notice));
-        self.rumours.push(Rumour { notice, rounds_left: self.tuning.rounds });
+    fn enqueue(&mut self, notice: Notice) {
+        self.queued.retain(|entry| !entry.notice.same_subject(&notice));
+        self.queued.push(QueuedNotice { notice, rounds_left: self.tuning.rounds });
     }
 
     fn start_comparison(&mut self, now: Millis, out: &mut Vec<SpreadAction>) {
@@ -392,13 +400,13 @@
         }
     }
 
-    /// A peer may die between its notice and our fetch. The configuration service, or the next
-    /// comparison, then delivers the version: nothing waits for one peer.
+    /// Fetches from the configuration service what a peer has not delivered in time. A peer may
+    /// fail between its notice and the fetch, so no version depends on a single peer.
     fn escalate_fetches(&mut self, now: Millis, out: &mut Vec<SpreadAction>) {
-        for wanted in &mut self.wanted {
-            if now.since(wanted.asked) >= PEER_FETCH_MS {
-                wanted.asked = now;
-                out.push(SpreadAction::FetchFromService { account: wanted.want.account });
+        for pending in &mut self.pending_fetches {
+            if now.since(pending.asked_at) >= PEER_FETCH_TIMEOUT_MS {
+                pending.asked_at = now;
+                out.push(SpreadAction::FetchFromService { account: pending.missing.account });
             }
         }
     }
@@ -407,8 +415,8 @@
         if self.confirmed_age_ms(now) < FALLBACK_READ_MS {
             return;
         }
-        // Counted as if confirmed, so that a service that is down gets one read for each period.
-        self.confirmed = now;
+        // Treated as a confirmation, so that an unavailable service gets one read per period.
+        self.confirmed_at = now;
         out.push(SpreadAction::FetchFromService { account: ROOT });
     }
 }
--- a/crates/telemetry/src/queued.rs
+++ b/crates/telemetry/src/queued.rs
@@ -1,7 +1,7 @@
-//! JSON lines on standard output that never hold up the process.
+//! Logging of JSON lines to standard output without blocking.
 //!
-//! Lines go through a bounded queue to a thread of their own. If whoever reads the output stops
-//! doing so, the queue fills up, and further lines are dropped and counted.
+//! A bounded queue passes the lines to a separate thread, which writes them. If the output is no
+//! longer read, the queue fills up, and further lines are dropped and counted.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,25 +13,25 @@
 use logforth::layout::JsonLayout;
 use logforth::{Diagnostic, Layout};
 
-/// Lines that wait at most; with 400 bytes each this is 100 KB.
-pub const LINES_MAX: usize = 256;
-/// Lines written with one call.
+/// Maximum of queued lines. With 400 bytes each, they take 100 KB.
+pub const QUEUE_LINES_MAX: usize = 256;
+/// Size at which a batch of lines is written.
 const BATCH_BYTES: usize = 4 << 10;
 
-/// Appends lines to a queue.
+/// Appends log lines to a bounded queue.
 #[derive(Debug)]
-pub struct Queued {
+pub struct QueuedAppender {
     layout: JsonLayout,
     sender: Mutex<SyncSender<Vec<u8>>>,
     dropped: Arc<AtomicU64>,
 }
 
-impl Queued {
-    /// A queue before `out`, with a thread that writes.
+impl QueuedAppender {
+    /// Creates the queue and starts the thread that writes its lines to `out`.
     ///
     /// Errors: the thread could not be started.
-    pub fn before(out: impl Write + Send + 'static) -> std::io::Result<Self> {
-        let (sender, receiver) = sync_channel(LINES_MAX);
+    pub fn new(out: impl Write + Send + 'static) -> std::io::Result<Self> {
+        let (sender, receiver) = sync_channel(QUEUE_LINES_MAX);
         let dropped = Arc::new(AtomicU64::new(0));
         let counted = Arc::clone(&dropped);
         thread::Builder::new()
@@ -40,7 +40,7 @@
         Ok(Self { layout: JsonLayout::default(), sender: Mutex::new(sender), dropped })
     }
 
-    /// Queues a line; says whether there was room.
+    /// Queues a line, or drops and counts it if the queue is full. Returns whether it was queued.
     pub fn push(&self, line: Vec<u8>) -> bool {
         let sender = self.sender.lock().unwrap_or_else(PoisonError::into_inner);
         let queued = sender.try_send(line).is_ok();
@@ -51,7 +51,7 @@
     }
 }
 
-impl Append for Queued {
+impl Append for QueuedAppender {
     fn append(
         &self,
         record: &logforth::record::Record,
@@ -71,9 +71,9 @@
 /// Sends the log of this process to standard output, each line with the name of the instance.
 /// A second call changes nothing and returns false.
 ///
-/// Errors: the thread that writes could not be started.
+/// Errors: the writer thread could not be started.
 pub fn start(instance: &str) -> std::io::Result<bool> {
-    Ok(crate::log::start_to(instance, Queued::before(std::io::stdout())?))
+    Ok(crate::log::start_to(instance, QueuedAppender::new(std::io::stdout())?))
 }
 
 fn write_all(mut out: impl Write, lines: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
@@ -90,7 +90,7 @@
             );
             batch.extend_from_slice(note.as_bytes());
         }
-        // Nobody is left to be told if the output itself is gone.
+        // A failure cannot be reported anywhere, because the output itself has failed.
         let _ = out.write_all(&batch).and_then(|()| out.flush());
     }
 }
