--- a/crates/decision/src/agent/recall.rs
+++ b/crates/decision/src/agent/recall.rs
@@ -96,7 +96,7 @@
 
     /// Asks the other witnesses for their next pages.
     ///
-    /// It first waits for [`limits::RECALL_WAIT_MS`]. Otherwise a claimant could still count a
+    /// It first waits for [`limits::RECALL_DELAY_MS`]. Otherwise a claimant could still count a
     /// grant of the previous incarnation, and its claim could win after a witness has sent its
     /// records without that claim. A claimant counts no grant after [`limits::QUORUM_TIMEOUT_MS`], so
     /// after the longer wait every claim that can still win is recorded by its majority.
--- a/crates/decision/src/agent/relearn.rs
+++ b/crates/decision/src/agent/relearn.rs
@@ -148,7 +148,7 @@
     /// since the assignment but not this one, was up long enough after it to announce this one, or
     /// has handed over.
     ///
-    /// A holder announces every flow within [`limits::ANNOUNCED_WITHIN_MS`].
+    /// A holder announces every flow within [`limits::ANNOUNCE_DEADLINE_MS`].
     fn never_ran(&self, redirect: &Redirect) -> bool {
         let Some(peer) = self.peers.get(redirect.holder) else { return false };
         let due_at = redirect.opened_at.after(limits::ANNOUNCE_DEADLINE_MS);
