--- a/crates/fuzzing/src/direct/world/changes.rs
+++ b/crates/fuzzing/src/direct/world/changes.rs
@@ -61,8 +61,8 @@
             *confirmed_ms = self.now_ms;
         }
         let forgets = mutant == Some(Mutant::MissingForgotten);
-        let whole_from_ms = if forgets { 0 } else { *whole_from_ms };
-        edge.trust(Trust { confirmed_ms: *confirmed_ms, whole_from_ms });
+        let complete_from_ms = if forgets { 0 } else { *whole_from_ms };
+        edge.set_trust(Trust { confirmed_ms: *confirmed_ms, complete_from_ms });
         let pings = edge.take_pings(self.now_ms, view);
         let mut actions = Vec::new();
         edge.on_tick(self.now_ms, view, &mut actions);
--- a/crates/fuzzing/src/direct/world/packets.rs
+++ b/crates/fuzzing/src/direct/world/packets.rs
@@ -55,7 +55,7 @@
         let reply = AgentReply { from: address(upstream), verdict };
         let mut actions = Vec::new();
         let Balancer { edge, view, .. } = &mut self.balancers[balancer];
-        edge.on_verdict(self.now_ms, view, reply, &packet.segment, &mut actions);
+        edge.on_agent_reply(self.now_ms, view, reply, &packet.segment, &mut actions);
         self.apply(balancer, packet, actions);
     }
 
@@ -130,16 +130,16 @@
             Delivery::Deliver => self.at_upstream(upstream, balancer, packet),
             Delivery::DeliverSilent { for_ms } => {
                 self.at_upstream(upstream, balancer, packet);
-                self.say(balancer, upstream, Verdict::Silent { for_ms }, packet);
+                self.say(balancer, upstream, Verdict::Unresponsive { for_ms }, packet);
             }
             Delivery::Foreign { service } => {
-                self.say(balancer, upstream, Verdict::Foreign { service }, packet);
+                self.say(balancer, upstream, Verdict::WrongService { service }, packet);
             }
             Delivery::Denied | Delivery::TurnedAway => {
                 self.say(balancer, upstream, Verdict::Denied, packet);
             }
             Delivery::Limited { for_ms } => {
-                self.say(balancer, upstream, Verdict::Limited { for_ms }, packet);
+                self.say(balancer, upstream, Verdict::RateLimited { for_ms }, packet);
             }
             // Without known slots nothing waits.
             Delivery::Wait => {}
--- a/crates/steering/src/edge/mod.rs
+++ b/crates/steering/src/edge/mod.rs
@@ -32,9 +32,9 @@
 use lag::Lag;
 use loads::LoadTable;
 use pending::PendingTable;
-pub use pending::{PENDING_BYTES_MAX, REPEAT_AFTER_MS};
+pub use pending::{PENDING_BYTES_MAX, RETRANSMIT_AFTER_MS};
 use reach::Reach;
-pub use types::{Action, AgentReply, Destination, Reason, Tally, Trust, Verdict};
+pub use types::{Action, AgentReply, Counters, Destination, Reason, Trust, Verdict};
 
 /// A balancer looks after its flows at least every 60 ms; after this time without, it was paused.
 const PAUSE_MS: Millis = 300;
@@ -61,12 +61,12 @@
     trust: Trust,
     called_ms: Millis,
     woken_ms: Millis,
-    tally: Tally,
+    counters: Counters,
 }
 
 impl Edge {
     /// A balancer with this policy.
-    pub fn with(policy: Policy) -> Self {
+    pub fn with_policy(policy: Policy) -> Self {
         Self {
             policy,
             loads: LoadTable::with(policy),
@@ -103,12 +103,12 @@
     }
 
     /// Notes how far the list of upstreams can be trusted from now on.
-    pub fn trust(&mut self, trust: Trust) {
+    pub fn set_trust(&mut self, trust: Trust) {
         self.trust = trust;
     }
 
     /// Takes what an agent says about a packet; the packet itself comes along.
-    pub fn on_verdict(
+    pub fn on_agent_reply(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -133,18 +133,18 @@
             Verdict::Denied => {
                 self.denied(now_ms, view, from, segment, actions);
             }
-            Verdict::Foreign { service } => {
+            Verdict::WrongService { service } => {
                 let later = segment.kind == SegmentKind::Later;
                 if later && may_lead_to(view, segment.flow, service, now_ms) {
                     self.flows.entry(segment.flow, now_ms).mislead(from, now_ms);
                 }
                 self.denied(now_ms, view, from, segment, actions);
             }
-            Verdict::Limited { for_ms } => {
+            Verdict::RateLimited { for_ms } => {
                 self.loads.limited(now_ms, view, from, for_ms);
                 self.denied(now_ms, view, from, segment, actions);
             }
-            Verdict::Silent { for_ms } => {
+            Verdict::Unresponsive { for_ms } => {
                 self.loads.silent(now_ms, view, from);
                 if for_ms >= SILENCE_PROVES_MS || segment.kind != SegmentKind::Later {
                     self.denied(now_ms, view, from, segment, actions);
@@ -157,7 +157,7 @@
     /// Whether a packet of the own may be sent.
     fn may_send_own(&mut self) -> bool {
         let may = self.budget.spend();
-        self.tally.spared += u64::from(!may);
+        self.counters.suppressed += u64::from(!may);
         may
     }
 
@@ -231,8 +231,8 @@
     }
 
     /// What this balancer has done so far.
-    pub fn tally(&self) -> Tally {
-        self.tally
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
     fn close(
@@ -266,8 +266,8 @@
             }
         }
         if !entry.confirmed && entry.sequence.is_none() {
-            self.tally.found += 1;
-            self.tally.asked += entry.visits.asked_count();
+            self.counters.flows_found += 1;
+            self.counters.upstreams_asked += entry.visits.asked_count();
         }
         entry.target = Some(from);
         entry.confirmed = true;
@@ -281,7 +281,7 @@
         segment: &Segment,
         actions: &mut Vec<Action>,
     ) {
-        self.tally.denials += 1;
+        self.counters.denials += 1;
         match segment.kind {
             SegmentKind::Opening { .. } => {
                 self.opening_denied(now_ms, view, from, segment, actions)
--- a/crates/steering/src/edge/pending.rs
+++ b/crates/steering/src/edge/pending.rs
@@ -7,7 +7,7 @@
 
 /// First pause before a packet goes to another upstream. A calm round trip takes under 5 ms; the
 /// rest is room for a busy instance. Callers repeat after 200 ms, most of the time that they have.
-pub const REPEAT_AFTER_MS: Millis = 60;
+pub const RETRANSMIT_AFTER_MS: Millis = 60;
 /// The same for data: an upstream that holds the flow says nothing before its answer, which takes most
 /// of this time or less.
 const REPEAT_DATA_AFTER_MS: Millis = 150;
@@ -52,7 +52,7 @@
         }
         self.bytes += packet.len();
         let pause_ms = match segment.kind {
-            SegmentKind::Opening { .. } => REPEAT_AFTER_MS,
+            SegmentKind::Opening { .. } => RETRANSMIT_AFTER_MS,
             SegmentKind::Later | SegmentKind::Reset => REPEAT_DATA_AFTER_MS,
         };
         let pending = Pending {
--- a/crates/steering/src/edge/search.rs
+++ b/crates/steering/src/edge/search.rs
@@ -336,7 +336,7 @@
             entry.visits.copy(now_ms, address);
             let to = Destination::of(now_ms, view, flow, address, service);
             actions.push(Action::Forward { to, ask: true, reason: Reason::Asked });
-            self.tally.copies += 1;
+            self.counters.copies += 1;
         }
     }
 
--- a/crates/steering/src/edge/types.rs
+++ b/crates/steering/src/edge/types.rs
@@ -25,17 +25,17 @@
     /// The upstream does not hold the flow, or cannot take it.
     Denied,
     /// The packet was meant for another service than the one whose upstream is there; it got nothing.
-    Foreign {
+    WrongService {
         /// The service that it runs.
         service: ServiceStamp,
     },
     /// The upstream is cold and has taken as many openings as it bears.
-    Limited {
+    RateLimited {
         /// How long to send it no further one.
         for_ms: Millis,
     },
     /// The upstream has answered nothing for that long; the packet went to it all the same.
-    Silent {
+    Unresponsive {
         /// How long it has been silent.
         for_ms: Millis,
     },
@@ -48,13 +48,13 @@
     pub confirmed_ms: Millis,
     /// From when on the list counts as whole: right after an outage of the configuration service, and
     /// until other balancers could tell of one, it may lack upstreams that live.
-    pub whole_from_ms: Millis,
+    pub complete_from_ms: Millis,
 }
 
 impl Trust {
     pub(super) fn proves_absence(self, now_ms: Millis) -> bool {
         let confirmed = now_ms.saturating_sub(self.confirmed_ms) < CONFIRMED_MS;
-        confirmed && now_ms >= self.whole_from_ms
+        confirmed && now_ms >= self.complete_from_ms
     }
 }
 
@@ -171,15 +171,15 @@
 
 /// What the balancer has done since its start, for its metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Counters {
     /// Flows without memory that were found.
-    pub found: u64,
+    pub flows_found: u64,
     /// Upstreams that were asked one after the other until these were found.
-    pub asked: u64,
+    pub upstreams_asked: u64,
     /// Copies of unanswered packets beside the upstream that is asked.
     pub copies: u64,
     /// Packets that were not sent once more, since too many had been.
-    pub spared: u64,
+    pub suppressed: u64,
     /// Packets that came back from upstreams that do not hold their flows.
     pub denials: u64,
 }
--- a/crates/steering/tests/common/mod.rs
+++ b/crates/steering/tests/common/mod.rs
@@ -99,7 +99,7 @@
     segment: &Segment,
 ) -> Vec<Action> {
     let mut actions = Vec::new();
-    edge.on_verdict(now_ms, view, AgentReply { from, verdict }, segment, &mut actions);
+    edge.on_agent_reply(now_ms, view, AgentReply { from, verdict }, segment, &mut actions);
     actions
 }
 
--- a/crates/steering/tests/edge_fleet.rs
+++ b/crates/steering/tests/edge_fleet.rs
@@ -6,7 +6,7 @@
 
 use common::{READY, data, packet, target, tick, verdict, view_of};
 use rstest::rstest;
-use steering::edge::{Action, Edge, REPEAT_AFTER_MS, Trust, Verdict};
+use steering::edge::{Action, Edge, RETRANSMIT_AFTER_MS, Trust, Verdict};
 use steering::flow::{Millis, Segment};
 use steering::view::View;
 
@@ -31,7 +31,7 @@
     let mut searched = Searched { asked: Vec::new(), ended_ms: None };
     let mut answers: Vec<(Millis, Ipv4Addr)> = Vec::new();
     for now_ms in 0..LENGTH_MS {
-        edge.trust(Trust { confirmed_ms: now_ms, whole_from_ms: 0 });
+        edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut actions: Vec<Action> = Vec::new();
         for (_, from) in answers.extract_if(.., |(at_ms, _)| *at_ms == now_ms) {
             if Some(from) == holder {
@@ -122,7 +122,7 @@
     let mut answers: Vec<(Millis, Ipv4Addr, Segment)> = Vec::new();
     let mut sent_to_holder = 0;
     for now_ms in 0..100 {
-        edge.trust(Trust { confirmed_ms: now_ms, whole_from_ms: 0 });
+        edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut actions: Vec<Action> = Vec::new();
         for (_, from, segment) in answers.extract_if(.., |(at_ms, ..)| *at_ms == now_ms) {
             actions.extend(verdict(&mut edge, now_ms, &view, from, Verdict::Denied, &segment));
@@ -130,7 +130,7 @@
         if now_ms == 0 {
             actions.extend(packet(&mut edge, now_ms, &view, &segment));
         }
-        if now_ms >= REPEAT_AFTER_MS && now_ms % 20 == 0 {
+        if now_ms >= RETRANSMIT_AFTER_MS && now_ms % 20 == 0 {
             actions.extend(tick(&mut edge, now_ms, &view));
         }
         for to in actions.iter().filter_map(target) {
--- a/crates/steering/tests/edge_former.rs
+++ b/crates/steering/tests/edge_former.rs
@@ -64,7 +64,7 @@
 /// Asks one after the other until `holder` is reached, or the flow is reset. Returns who was asked.
 fn asked(view: &View, now_ms: Millis, holder: Option<u8>) -> (Vec<Ipv4Addr>, Vec<Action>) {
     let mut edge = Edge::default();
-    edge.trust(Trust { confirmed_ms: now_ms, whole_from_ms: 0 });
+    edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
     let holder = holder.map(|number| Ipv4Addr::new(10, 0, 0, number));
     let segment: Segment = data(1, 5);
     let mut asked = Vec::new();
@@ -155,12 +155,12 @@
 fn packet_for_another_service_proves_nothing(#[case] runs: ServiceStamp, #[case] proves: bool) {
     let (view, segment) = (moved_view(), data(1, 5));
     let mut edge = Edge::default();
-    edge.trust(Trust { confirmed_ms: CHANGED_MS, whole_from_ms: 0 });
+    edge.set_trust(Trust { confirmed_ms: CHANGED_MS, complete_from_ms: 0 });
     let mut actions = VecDeque::from(packet(&mut edge, CHANGED_MS, &view, &segment));
     let first = target(&actions[0]).unwrap();
     while let Some(to) = actions.front().and_then(target) {
         let said = match to == first {
-            true => Verdict::Foreign { service: runs },
+            true => Verdict::WrongService { service: runs },
             false => Verdict::Denied,
         };
         actions.pop_front();
--- a/crates/steering/tests/edge_long_answers.rs
+++ b/crates/steering/tests/edge_long_answers.rs
@@ -78,7 +78,7 @@
     let mut words: Vec<(Millis, Ipv4Addr)> = Vec::new();
     let mut sent_to_holder = 0;
     for now_ms in 0..5_000 {
-        edge.trust(Trust { confirmed_ms: now_ms, whole_from_ms: 0 });
+        edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut actions = Vec::new();
         for (_, from) in words.extract_if(.., |(at_ms, _)| *at_ms == now_ms) {
             verdict(&mut edge, now_ms, view, from, Verdict::Alive, &segment);
@@ -144,7 +144,7 @@
         segments.iter().map(|segment| (ready_by_rank(&view, segment.flow)[2], false)).collect();
     let mut replies: Vec<(Millis, Ipv4Addr, usize, Verdict)> = Vec::new();
     for now_ms in 0..FOUND_WITHIN_MS {
-        edge.trust(Trust { confirmed_ms: now_ms, whole_from_ms: 0 });
+        edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut sent: Vec<(usize, Ipv4Addr)> = Vec::new();
         for (_, from, index, word) in replies.extract_if(.., |(at_ms, ..)| *at_ms == now_ms) {
             let actions = verdict(&mut edge, now_ms, &view, from, word, &segments[index]);
--- a/crates/steering/tests/edge_openings.rs
+++ b/crates/steering/tests/edge_openings.rs
@@ -8,7 +8,7 @@
     READY, calm_view, data, flow, hops_to, opening, packet, target, tick, verdict, view_of,
 };
 use rstest::rstest;
-use steering::edge::{Action, Edge, REPEAT_AFTER_MS, Reason, Verdict};
+use steering::edge::{Action, Edge, RETRANSMIT_AFTER_MS, Reason, Verdict};
 use steering::flow::{FlowKey, Millis, Segment};
 use steering::view::{Standing, Upstream, View, ZoneStamp};
 
@@ -41,8 +41,8 @@
             &opening(1, 0),
         );
     }
-    assert!(tick(&mut edge, REPEAT_AFTER_MS - 1, &view).is_empty());
-    let actions = tick(&mut edge, REPEAT_AFTER_MS, &view);
+    assert!(tick(&mut edge, RETRANSMIT_AFTER_MS - 1, &view).is_empty());
+    let actions = tick(&mut edge, RETRANSMIT_AFTER_MS, &view);
     assert_eq!(actions.len(), replays);
     assert!(actions.iter().all(|action| target(action) != Some(first)));
 }
@@ -55,7 +55,7 @@
 fn restarted_upstream_gets_flows_at_once(#[case] born_ms: u64, #[case] gets_flows: bool) {
     let (mut edge, view) = (Edge::default(), view_of(&[READY, READY]));
     let silent = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
-    tick(&mut edge, REPEAT_AFTER_MS, &view);
+    tick(&mut edge, RETRANSMIT_AFTER_MS, &view);
     let listed = view.upstreams().iter().map(|upstream| match upstream.address == silent {
         true => Upstream { born_ms, ..*upstream },
         false => *upstream,
@@ -97,7 +97,7 @@
 fn silent_upstream_is_passed_over() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY, READY]));
     let silent = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
-    tick(&mut edge, REPEAT_AFTER_MS, &view);
+    tick(&mut edge, RETRANSMIT_AFTER_MS, &view);
     for number in 2..30 {
         let actions = packet(&mut edge, 70, &view, &opening(number, 0));
         assert_ne!(target(&actions[0]), Some(silent), "flow {number}");
--- a/crates/steering/tests/edge_proof.rs
+++ b/crates/steering/tests/edge_proof.rs
@@ -6,7 +6,7 @@
 
 use common::{READY, calm_view, data, hops_to, opening, packet, target, tick, verdict, view_of};
 use rstest::rstest;
-use steering::edge::{Action, Edge, REPEAT_AFTER_MS, Reason, Trust, Verdict};
+use steering::edge::{Action, Edge, RETRANSMIT_AFTER_MS, Reason, Trust, Verdict};
 use steering::flow::Millis;
 use steering::view::{Standing, View};
 
@@ -76,16 +76,16 @@
     while let Some(to) = actions.first().and_then(target) {
         if to == down {
             // Nobody answers; others are asked only when the packet is repeated.
-            actions = tick(&mut edge, REPEAT_AFTER_MS, &view);
+            actions = tick(&mut edge, RETRANSMIT_AFTER_MS, &view);
             actions.retain(|action| target(action) != Some(down));
             continue;
         }
-        actions = verdict(&mut edge, REPEAT_AFTER_MS, &view, to, Verdict::Denied, &segment);
+        actions = verdict(&mut edge, RETRANSMIT_AFTER_MS, &view, to, Verdict::Denied, &segment);
         if actions.first().and_then(target) == Some(down) && actions.len() == 1 {
             break;
         }
     }
-    for now_ms in (REPEAT_AFTER_MS..900).step_by(20) {
+    for now_ms in (RETRANSMIT_AFTER_MS..900).step_by(20) {
         for action in tick(&mut edge, now_ms, &view) {
             assert!(target(&action).is_some(), "no proof yet: {action:?}");
             if let Some(to) = target(&action).filter(|to| *to != down) {
@@ -108,11 +108,11 @@
 #[case::list_is_whole_again(9_900, 10_000, true)]
 fn reset_needs_a_trusted_list(
     #[case] confirmed_ms: Millis,
-    #[case] whole_from_ms: Millis,
+    #[case] complete_from_ms: Millis,
     #[case] reset: bool,
 ) {
     let (mut edge, view) = (Edge::default(), view_of(&[READY]));
-    edge.trust(Trust { confirmed_ms, whole_from_ms });
+    edge.set_trust(Trust { confirmed_ms, complete_from_ms });
     let now_ms = 10_000;
     (0..now_ms).step_by(50).for_each(|tick_ms| drop(tick(&mut edge, tick_ms, &view)));
     let segment = data(1, 5);
@@ -132,7 +132,7 @@
     (0..3_000).step_by(50).for_each(|tick_ms| drop(tick(&mut edge, tick_ms, &view)));
     let segment = data(1, 5);
     let only = target(&packet(&mut edge, 5_000, &view, &segment)[0]).unwrap();
-    edge.trust(Trust { confirmed_ms, whole_from_ms: 0 });
+    edge.set_trust(Trust { confirmed_ms, complete_from_ms: 0 });
     let actions = verdict(&mut edge, 5_002, &view, only, Verdict::Denied, &segment);
     assert_eq!(actions == [Action::Reset { reason: Reason::Lost }], reset, "{actions:?}");
 }
@@ -145,7 +145,7 @@
     let (mut edge, view) = (Edge::default(), view_of(&[READY, READY]));
     let opened = opening(1, 0);
     let holder = target(&packet(&mut edge, 0, &view, &opened)[0]).unwrap();
-    let silent = Verdict::Silent { for_ms: 120 };
+    let silent = Verdict::Unresponsive { for_ms: 120 };
     let other = target(&verdict(&mut edge, 5, &view, holder, silent, &opened)[0]).unwrap();
     let segment = data(1, 5);
     packet(&mut edge, 10, &view, &segment);
--- a/crates/steering/tests/edge_search.rs
+++ b/crates/steering/tests/edge_search.rs
@@ -8,7 +8,7 @@
     READY, calm_view, data, ending, flow, hops_to, opening, packet, target, tick, verdict, view_of,
 };
 use rstest::rstest;
-use steering::edge::{Edge, REPEAT_AFTER_MS, Tally, Verdict};
+use steering::edge::{Counters, Edge, RETRANSMIT_AFTER_MS, Verdict};
 use steering::flow::{FlowKey, Millis, Segment};
 use steering::policy::Policy;
 use steering::view::View;
@@ -64,7 +64,7 @@
     for number in 1..20_000 {
         packet(&mut edge, 0, &view, &data(number, 5));
     }
-    let repeated = tick(&mut edge, REPEAT_AFTER_MS, &view);
+    let repeated = tick(&mut edge, RETRANSMIT_AFTER_MS, &view);
     assert!(repeated.len() <= 3 * steering::edge::PENDING_BYTES_MAX / 36);
 }
 
@@ -222,9 +222,9 @@
 /// The on-call engineer wants to know how far flows are looked for after balancers were replaced: the
 /// mean number of upstreams that are asked for each flow that is found.
 #[rstest]
-#[case::at_the_first(1, Tally { found: 1, asked: 1, copies: 0, spared: 0, denials: 0 })]
-#[case::at_the_third(3, Tally { found: 1, asked: 3, copies: 0, spared: 0, denials: 2 })]
-fn tally_of_a_search(#[case] rank: u64, #[case] expected: Tally) {
+#[case::at_the_first(1, Counters { flows_found: 1, upstreams_asked: 1, copies: 0, suppressed: 0, denials: 0 })]
+#[case::at_the_third(3, Counters { flows_found: 1, upstreams_asked: 3, copies: 0, suppressed: 0, denials: 2 })]
+fn counters_of_a_search(#[case] rank: u64, #[case] expected: Counters) {
     let (mut edge, view) = (Edge::default(), calm_view());
     let segment = data(1, 5);
     let mut asked = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
@@ -235,7 +235,7 @@
     let held = Verdict::Held { busy: 0, opening_sequence: None };
     verdict(&mut edge, 1, &view, asked, held, &segment);
     verdict(&mut edge, 2, &view, asked, held, &segment);
-    assert_eq!(edge.tally(), expected);
+    assert_eq!(edge.counters(), expected);
 }
 
 /// A caller ends a flow that was idle, through a balancer without memory. The upstream that comes
@@ -320,7 +320,7 @@
 #[test]
 fn mute_upstream_of_an_opening_does_not_hold_up_the_search() {
     let view = view_of(&[READY; 4]);
-    let mut edge = Edge::with(Policy { copies: false, ..Policy::default() });
+    let mut edge = Edge::with_policy(Policy { copies: false, ..Policy::default() });
     let mute = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
     let held = Verdict::Held { busy: 0, opening_sequence: Some(1_000) };
     verdict(&mut edge, 1, &view, mute, held, &opening(1, 0));
--- a/crates/steering/tests/edge_size.rs
+++ b/crates/steering/tests/edge_size.rs
@@ -63,7 +63,7 @@
         for now_ms in 0..self.length_ms {
             // A flow that is well earns the balancer packets of its own.
             packet(&mut edge, now_ms, view, &data(u16::MAX, 100 * (now_ms as u32 + 1)));
-            edge.trust(Trust { confirmed_ms: now_ms, whole_from_ms: 0 });
+            edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
             let mut actions: Vec<(Segment, Action)> = Vec::new();
             let due: Vec<_> = words.extract_if(.., |(at_ms, ..)| *at_ms == now_ms).collect();
             for (_, from, segment) in due {
@@ -257,7 +257,7 @@
     let mut told: Vec<u16> = Vec::new();
     let mut words: Vec<(Ipv4Addr, Segment)> = Vec::new();
     for now_ms in (2..4_000).step_by(2) {
-        edge.trust(Trust { confirmed_ms: now_ms, whole_from_ms: 0 });
+        edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut actions: Vec<(Segment, Action)> = Vec::new();
         for (from, segment) in std::mem::take(&mut words) {
             let is_holder = from != dead && segment.flow == data(living, 0).flow;
@@ -294,7 +294,7 @@
 #[test]
 fn old_silence_proves_nothing() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY]));
-    edge.trust(Trust { confirmed_ms: 10_000, whole_from_ms: 0 });
+    edge.set_trust(Trust { confirmed_ms: 10_000, complete_from_ms: 0 });
     for now_ms in (0..10_000).step_by(50) {
         tick(&mut edge, now_ms, &view);
         if now_ms == 1_000 {
@@ -319,7 +319,7 @@
     let mut resets = 0;
     let mut answers: Vec<(Ipv4Addr, Segment)> = Vec::new();
     for now_ms in (0..2_000).step_by(2) {
-        edge.trust(Trust { confirmed_ms: now_ms, whole_from_ms: 0 });
+        edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut actions: Vec<(Segment, Action)> = Vec::new();
         for (from, segment) in std::mem::take(&mut answers) {
             let said = verdict(&mut edge, now_ms, &view, from, Verdict::Denied, &segment);
@@ -364,7 +364,7 @@
             verdict(&mut edge, now_ms, &view, agent.address, Verdict::Alive, &data(0, 0));
         }
     }
-    assert!(edge.tally().spared > 0, "the balancer has something left to send");
+    assert!(edge.counters().suppressed > 0, "the balancer has something left to send");
     let segment = data(1, 5);
     let mute = target(&packet(&mut edge, 1_400, &view, &segment)[0]).unwrap();
     let mut reached: Vec<Ipv4Addr> = Vec::new();
--- a/crates/steering/tests/zones.rs
+++ b/crates/steering/tests/zones.rs
@@ -7,7 +7,7 @@
 
 use common::{READY, data, opening, packet, target, tick, upstream, verdict, view_of};
 use rstest::rstest;
-use steering::edge::{Action, Edge, REPEAT_AFTER_MS, Reason, Verdict};
+use steering::edge::{Action, Edge, RETRANSMIT_AFTER_MS, Reason, Verdict};
 use steering::flow::Millis;
 use steering::membership::{Change, Delta, Membership, UpstreamRecord};
 use steering::view::{
@@ -117,7 +117,7 @@
     let before = view_in(&upstreams, &[B]);
     packet(&mut edge, 0, &before, &opening(1, 0));
     let after = view_in(&upstreams, &[A]);
-    let repeated = tick(&mut edge, REPEAT_AFTER_MS, &after);
+    let repeated = tick(&mut edge, RETRANSMIT_AFTER_MS, &after);
     assert_eq!(target(&repeated[0]).map(|to| to.octets()[3]), Some(2));
 }
 
@@ -182,7 +182,7 @@
     let mut limited = Vec::new();
     while let Some(to) = actions.first().and_then(target) {
         limited.push(to);
-        let word = Verdict::Limited { for_ms: 300 * limited.len() as Millis };
+        let word = Verdict::RateLimited { for_ms: 300 * limited.len() as Millis };
         actions = verdict(&mut edge, 0, &view, to, word, &segment);
     }
     assert_eq!(limited.len(), 2);
@@ -212,7 +212,7 @@
     let mut edge = Edge::default();
     let mut actions = packet(&mut edge, 0, &view, &opening(1, 0));
     while let Some(to) = actions.first().and_then(target) {
-        let word = Verdict::Limited { for_ms: 3_000 };
+        let word = Verdict::RateLimited { for_ms: 3_000 };
         actions = verdict(&mut edge, 0, &view, to, word, &opening(1, 0));
     }
     (0..at_ms).step_by(50).for_each(|now_ms| drop(tick(&mut edge, now_ms, &view)));
