--- a/crates/steering/src/edge/budget.rs
+++ b/crates/steering/src/edge/budget.rs
@@ -14,18 +14,18 @@
 
 /// Packets of its own that a balancer may save up for a moment in which many flows need them: a
 /// neighbour has gone, and its flows come here at once.
-const SAVED_MAX: u32 = 400;
+const BURST_MAX: u32 = 400;
 /// Packets of these that are kept for questions; copies beside them are sent from the others.
-const RESERVED: u32 = SAVED_MAX / 2;
+const RESERVED_FOR_SEARCH: u32 = BURST_MAX / 2;
 /// Packets of callers that earn one of its own. Few of a calm balancer's packets need a second way,
 /// and a tenth more is what any link bears.
-const CALLERS_PER_OWN: u32 = 10;
+const TOKENS_PER_PACKET: u32 = 10;
 
 /// What is left to send.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Budget {
-    /// In shares of a packet: `CALLERS_PER_OWN` are a whole one.
-    shares: u32,
+    /// In tokens of a packet: `TOKENS_PER_PACKET` are a whole one.
+    tokens: u32,
     bounded: bool,
 }
 
@@ -38,28 +38,28 @@
 impl Budget {
     /// A full budget.
     pub(super) fn with(policy: Policy) -> Self {
-        Self { shares: SAVED_MAX * CALLERS_PER_OWN, bounded: policy.budget }
+        Self { tokens: BURST_MAX * TOKENS_PER_PACKET, bounded: policy.budget }
     }
 
     /// A caller's packet has come.
-    pub(super) fn earn(&mut self) {
-        self.shares = (self.shares + 1).min(SAVED_MAX * CALLERS_PER_OWN);
+    pub(super) fn credit(&mut self) {
+        self.tokens = (self.tokens + 1).min(BURST_MAX * TOKENS_PER_PACKET);
     }
 
     /// Whether no copies may be sent now: what is left is for questions, each of which leads a search on.
     pub(super) fn is_low(&self) -> bool {
-        self.bounded && self.shares <= RESERVED * CALLERS_PER_OWN
+        self.bounded && self.tokens <= RESERVED_FOR_SEARCH * TOKENS_PER_PACKET
     }
 
     /// Whether a copy may be sent beside a question; if so, it counts as sent.
-    pub(super) fn spend_on_copy(&mut self) -> bool {
-        !self.is_low() && self.spend()
+    pub(super) fn try_spend_on_copy(&mut self) -> bool {
+        !self.is_low() && self.try_spend()
     }
 
     /// Whether a packet of the own may be sent; if so, it counts as sent.
-    pub(super) fn spend(&mut self) -> bool {
-        let left = self.shares.checked_sub(CALLERS_PER_OWN);
-        self.shares = left.unwrap_or(self.shares);
+    pub(super) fn try_spend(&mut self) -> bool {
+        let left = self.tokens.checked_sub(TOKENS_PER_PACKET);
+        self.tokens = left.unwrap_or(self.tokens);
         left.is_some() || !self.bounded
     }
 }
--- a/crates/steering/src/edge/candidates.rs
+++ b/crates/steering/src/edge/candidates.rs
@@ -32,14 +32,14 @@
         let Some(route) = view.routes.find(flow.endpoint) else { return Self::default() };
         let history = view.history();
         let current: Vec<ServiceStamp> = route.services().collect();
-        let former = without(history.of(now_ms, flow.endpoint), &current);
+        let former = excluding(history.of(now_ms, flow.endpoint), &current);
         if history.is_whole(now_ms) {
             return Self { current, former, ..Self::default() };
         }
         let known = [&current[..], &former[..]].concat();
         let neighbors = view.routes.routes_at(*flow.endpoint.ip()).iter();
-        let suspected = without(neighbors.flat_map(|route| route.services()), &known);
-        let unrouted = without(view.routes.unrouted().iter().copied(), &known);
+        let suspected = excluding(neighbors.flat_map(|route| route.services()), &known);
+        let unrouted = excluding(view.routes.unrouted().iter().copied(), &known);
         Self { current, former, suspected, unrouted }
     }
 }
@@ -58,13 +58,13 @@
 }
 
 /// Whether a flow may be open where nobody looks.
-pub(super) fn may_be_elsewhere(view: &View, flow: FlowKey, now_ms: Millis) -> bool {
+pub(super) fn may_be_at_unrouted_service(view: &View, flow: FlowKey, now_ms: Millis) -> bool {
     let services = Services::of(view, flow, now_ms);
     services.unrouted.iter().any(|service| !view.upstreams_of(*service).is_empty())
 }
 
 /// Whether a flow may be open at an upstream of this service.
-pub(super) fn may_lead_to(
+pub(super) fn may_be_open_at(
     view: &View,
     flow: FlowKey,
     service: ServiceStamp,
@@ -74,7 +74,7 @@
     [current, former, suspected, unrouted].iter().any(|services| services.contains(&service))
 }
 
-fn without(
+fn excluding(
     services: impl Iterator<Item = ServiceStamp>,
     known: &[ServiceStamp],
 ) -> Vec<ServiceStamp> {
--- a/crates/steering/src/edge/flows.rs
+++ b/crates/steering/src/edge/flows.rs
@@ -36,7 +36,7 @@
     /// Sequence number of the opening, if it was seen.
     pub(super) sequence: Option<u32>,
     /// Until when the opening may be refused if every upstream returns it.
-    pub(super) refusable_until_ms: Millis,
+    pub(super) resettable_until_ms: Millis,
     /// Upstreams that do not hold the flow, or did not take its opening, in order.
     denials: Vec<Ipv4Addr>,
     /// Whether one of them was taken for another service's: the packet did not reach it.
--- a/crates/steering/src/edge/mod.rs
+++ b/crates/steering/src/edge/mod.rs
@@ -26,7 +26,7 @@
 use crate::view::{View, ZoneStamp};
 
 use budget::Budget;
-use candidates::may_lead_to;
+use candidates::may_be_open_at;
 pub use flows::FLOWS_MAX;
 use flows::FlowTable;
 use lag::Lag;
@@ -37,16 +37,16 @@
 pub use types::{Action, AgentReply, Counters, Destination, Reason, Trust, Verdict};
 
 /// A balancer looks after its flows at least every 60 ms; after this time without, it was paused.
-const PAUSE_MS: Millis = 300;
+const PAUSE_THRESHOLD_MS: Millis = 300;
 /// Time in which a process that was paused works off the packets that have waited meanwhile: its socket
 /// holds some hundreds, and each takes well under 0.1 ms.
-const BACKLOG_MS: Millis = 100;
+const BACKLOG_DRAIN_MS: Millis = 100;
 /// Behind by this much, a balancer takes silence for its own backlog. A calm round trip takes under
 /// 5 ms, and the first repetition comes after 60.
-const BEHIND_MS: Millis = 40;
+const LAG_THRESHOLD_MS: Millis = 40;
 /// An upstream that has been silent for this long, beside an agent that lives, counts as one that
 /// denies. Upstreams answer at once or return the packet.
-const SILENCE_PROVES_MS: Millis = 400;
+const UNRESPONSIVE_AS_DENIAL_MS: Millis = 400;
 
 /// The state of a balancer.
 #[derive(Default)]
@@ -59,8 +59,8 @@
     budget: Budget,
     reach: Reach,
     trust: Trust,
-    called_ms: Millis,
-    woken_ms: Millis,
+    last_called_ms: Millis,
+    resumed_ms: Millis,
     counters: Counters,
 }
 
@@ -91,15 +91,17 @@
         bytes: &[u8],
         actions: &mut Vec<Action>,
     ) {
-        self.wake(now_ms);
-        self.budget.earn();
+        self.detect_pause(now_ms);
+        self.budget.credit();
         let before = actions.len();
         match segment.kind {
-            SegmentKind::Opening { .. } => self.open(now_ms, view, segment, bytes, actions),
-            SegmentKind::Later => self.carry(now_ms, view, segment, bytes, actions),
-            SegmentKind::Reset => self.close(now_ms, view, segment, bytes, actions),
+            SegmentKind::Opening { .. } => {
+                self.handle_opening(now_ms, view, segment, bytes, actions)
+            }
+            SegmentKind::Later => self.handle_later(now_ms, view, segment, bytes, actions),
+            SegmentKind::Reset => self.handle_reset(now_ms, view, segment, bytes, actions),
         }
-        self.note_asked(now_ms, view, segment.flow, &actions[before..]);
+        self.note_requests(now_ms, view, segment.flow, &actions[before..]);
     }
 
     /// Notes how far the list of upstreams can be trusted from now on.
@@ -116,7 +118,7 @@
         segment: &Segment,
         actions: &mut Vec<Action>,
     ) {
-        self.wake(now_ms);
+        self.detect_pause(now_ms);
         let before = actions.len();
         let AgentReply { from, verdict } = reply;
         self.reach.heard(from);
@@ -127,42 +129,42 @@
         match verdict {
             Verdict::Held { busy, opening_sequence } => {
                 self.loads.report(now_ms, view, from, busy);
-                self.held(now_ms, from, opening_sequence, segment.flow);
+                self.on_held(now_ms, from, opening_sequence, segment.flow);
             }
             Verdict::Alive => {}
             Verdict::Denied => {
-                self.denied(now_ms, view, from, segment, actions);
+                self.on_denied(now_ms, view, from, segment, actions);
             }
             Verdict::WrongService { service } => {
                 let later = segment.kind == SegmentKind::Later;
-                if later && may_lead_to(view, segment.flow, service, now_ms) {
+                if later && may_be_open_at(view, segment.flow, service, now_ms) {
                     self.flows.entry(segment.flow, now_ms).mislead(from, now_ms);
                 }
-                self.denied(now_ms, view, from, segment, actions);
+                self.on_denied(now_ms, view, from, segment, actions);
             }
             Verdict::RateLimited { for_ms } => {
                 self.loads.limited(now_ms, view, from, for_ms);
-                self.denied(now_ms, view, from, segment, actions);
+                self.on_denied(now_ms, view, from, segment, actions);
             }
             Verdict::Unresponsive { for_ms } => {
                 self.loads.silent(now_ms, view, from);
-                if for_ms >= SILENCE_PROVES_MS || segment.kind != SegmentKind::Later {
-                    self.denied(now_ms, view, from, segment, actions);
+                if for_ms >= UNRESPONSIVE_AS_DENIAL_MS || segment.kind != SegmentKind::Later {
+                    self.on_denied(now_ms, view, from, segment, actions);
                 }
             }
         }
-        self.note_asked(now_ms, view, segment.flow, &actions[before..]);
+        self.note_requests(now_ms, view, segment.flow, &actions[before..]);
     }
 
     /// Whether a packet of the own may be sent.
-    fn may_send_own(&mut self) -> bool {
-        let may = self.budget.spend();
+    fn try_spend_budget(&mut self) -> bool {
+        let may = self.budget.try_spend();
         self.counters.suppressed += u64::from(!may);
         may
     }
 
     /// Notes who owes a word.
-    fn note_asked(&mut self, now_ms: Millis, view: &View, flow: FlowKey, actions: &[Action]) {
+    fn note_requests(&mut self, now_ms: Millis, view: &View, flow: FlowKey, actions: &[Action]) {
         if !self.policy.reach {
             return;
         }
@@ -176,17 +178,17 @@
     /// Repeats packets that nobody has answered, to other upstreams first, and forgets what is old.
     /// Each action goes with the packet that it is about.
     pub fn on_tick(&mut self, now_ms: Millis, view: &View, actions: &mut Vec<(Arc<[u8]>, Action)>) {
-        self.wake(now_ms);
-        let repeats = self.policy.repeats && !self.is_behind(now_ms);
+        self.detect_pause(now_ms);
+        let repeats = self.policy.repeats && !self.is_lagging(now_ms);
         let due = if repeats { self.pending.take_due(now_ms) } else { Vec::new() };
         for due in due {
             let mut own = Vec::new();
             match due.segment.kind {
-                SegmentKind::Opening { .. } => self.reopen(now_ms, view, &due, &mut own),
-                SegmentKind::Later => self.ask_again(now_ms, view, &due, &mut own),
+                SegmentKind::Opening { .. } => self.retry_opening(now_ms, view, &due, &mut own),
+                SegmentKind::Later => self.retry_search(now_ms, view, &due, &mut own),
                 SegmentKind::Reset => {}
             }
-            self.note_asked(now_ms, view, due.segment.flow, &own);
+            self.note_requests(now_ms, view, due.segment.flow, &own);
             actions.extend(own.into_iter().map(|action| (Arc::clone(&due.packet), action)));
         }
         self.flows.expire(now_ms);
@@ -199,12 +201,12 @@
 
     /// After a pause of the process, packets that have waited come before any news: upstreams may have
     /// started meanwhile, and entries gone. Nothing is proven until the view was confirmed again.
-    fn wake(&mut self, now_ms: Millis) {
-        if now_ms.saturating_sub(self.called_ms) >= PAUSE_MS {
-            self.woken_ms = now_ms;
+    fn detect_pause(&mut self, now_ms: Millis) {
+        if now_ms.saturating_sub(self.last_called_ms) >= PAUSE_THRESHOLD_MS {
+            self.resumed_ms = now_ms;
             self.reach.forget();
         }
-        self.called_ms = now_ms;
+        self.last_called_ms = now_ms;
     }
 
     /// Number of flows in the table.
@@ -221,8 +223,8 @@
     /// yet.
     ///
     /// Repetitions and searches for words that are only late would make the backlog longer.
-    fn is_behind(&mut self, now_ms: Millis) -> bool {
-        self.policy.lag && self.lag.value_ms(now_ms) >= BEHIND_MS
+    fn is_lagging(&mut self, now_ms: Millis) -> bool {
+        self.policy.lag && self.lag.value_ms(now_ms) >= LAG_THRESHOLD_MS
     }
 
     /// How far this process is behind the packets that come to it.
@@ -235,7 +237,7 @@
         self.counters
     }
 
-    fn close(
+    fn handle_reset(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -243,12 +245,12 @@
         bytes: &[u8],
         actions: &mut Vec<Action>,
     ) {
-        self.carry(now_ms, view, segment, bytes, actions);
+        self.handle_later(now_ms, view, segment, bytes, actions);
         self.pending.remove(segment.flow);
         self.flows.closing(segment.flow, now_ms);
     }
 
-    fn held(
+    fn on_held(
         &mut self,
         now_ms: Millis,
         from: Ipv4Addr,
@@ -273,7 +275,7 @@
         entry.confirmed = true;
     }
 
-    fn denied(
+    fn on_denied(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -284,9 +286,9 @@
         self.counters.denials += 1;
         match segment.kind {
             SegmentKind::Opening { .. } => {
-                self.opening_denied(now_ms, view, from, segment, actions)
+                self.on_opening_denied(now_ms, view, from, segment, actions)
             }
-            SegmentKind::Later => self.later_denied(now_ms, view, from, segment, actions),
+            SegmentKind::Later => self.on_later_denied(now_ms, view, from, segment, actions),
             SegmentKind::Reset => {}
         }
     }
--- a/crates/steering/src/edge/openings.rs
+++ b/crates/steering/src/edge/openings.rs
@@ -5,16 +5,16 @@
 use super::pending::Due;
 use super::placement::{Placement, service_of};
 use super::types::{Action, Destination, Reason};
-use super::{BACKLOG_MS, Edge};
+use super::{BACKLOG_DRAIN_MS, Edge};
 use crate::flow::{Millis, Segment, SegmentKind};
 use crate::view::View;
 use std::net::Ipv4Addr;
 
 /// When a caller repeats an opening; any balancer may get the copy.
-const CALLER_REPEATS_MS: Millis = 200;
+const CALLER_RETRANSMIT_MS: Millis = 200;
 
 impl Edge {
-    pub(super) fn open(
+    pub(super) fn handle_opening(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -31,14 +31,15 @@
             });
             return;
         };
-        let behind = self.is_behind(now_ms);
+        let lagging = self.is_lagging(now_ms);
         let entry = self.flows.entry(segment.flow, now_ms);
         if entry.sequence != Some(segment.sequence) {
             entry.restart(segment.sequence);
-            let waited = self.woken_ms > 0 && now_ms.saturating_sub(self.woken_ms) < BACKLOG_MS;
+            let waited =
+                self.resumed_ms > 0 && now_ms.saturating_sub(self.resumed_ms) < BACKLOG_DRAIN_MS;
             let first = segment.kind == SegmentKind::Opening { copy: 0 };
-            let in_time = first && !waited && !behind;
-            entry.refusable_until_ms = if in_time { now_ms + CALLER_REPEATS_MS } else { 0 };
+            let in_time = first && !waited && !lagging;
+            entry.resettable_until_ms = if in_time { now_ms + CALLER_RETRANSMIT_MS } else { 0 };
         }
         let copied = entry.target.is_some();
         if let (Some(to), true) = (entry.target, entry.confirmed) {
@@ -69,20 +70,20 @@
         self.pending.insert(now_ms, segment, bytes);
     }
 
-    pub(super) fn reopen(
+    pub(super) fn retry_opening(
         &mut self,
         now_ms: Millis,
         view: &View,
         due: &Due,
         actions: &mut Vec<Action>,
     ) {
-        if !self.may_send_own() {
+        if !self.try_spend_budget() {
             return;
         }
         let flow = due.segment.flow;
         let Some(service) = service_of(view, flow) else { return };
         let Some(entry) = self.flows.get(flow) else { return };
-        entry.refusable_until_ms = 0;
+        entry.resettable_until_ms = 0;
         if let Some(silent) = entry.target {
             self.loads.silent(now_ms, view, silent);
         }
@@ -94,7 +95,7 @@
         actions.push(Action::Forward { to, ask: true, reason: Reason::Replaced });
     }
 
-    pub(super) fn opening_denied(
+    pub(super) fn on_opening_denied(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -137,7 +138,7 @@
 /// sent on after a silence is reset, and only until its caller repeats it: the flow of any other may be open
 /// by now.
 fn reject(now_ms: Millis, entry: &mut Entry, reason: Reason) -> Action {
-    if now_ms < std::mem::take(&mut entry.refusable_until_ms) {
+    if now_ms < std::mem::take(&mut entry.resettable_until_ms) {
         return Action::Reset { reason };
     }
     Action::Drop { reason: Reason::Unknown }
--- a/crates/steering/src/edge/search.rs
+++ b/crates/steering/src/edge/search.rs
@@ -8,7 +8,7 @@
 use std::net::Ipv4Addr;
 
 use super::Edge;
-use super::candidates::{candidates, may_be_elsewhere};
+use super::candidates::{candidates, may_be_at_unrouted_service};
 use super::flows::Entry;
 use super::pending::Due;
 use super::placement::service_of;
@@ -45,7 +45,7 @@
 
 /// A packet of an open flow.
 #[derive(Clone, Copy, Debug)]
-struct Carried {
+struct LaterPacket {
     flow: FlowKey,
     /// Whether the caller has sent it before, and nobody has answered.
     repeated: bool,
@@ -65,10 +65,10 @@
 }
 
 impl<'a> Search<'a> {
-    fn new(now_ms: Millis, view: &View, flow: FlowKey, reach: &'a Reach, behind: bool) -> Self {
+    fn new(now_ms: Millis, view: &View, flow: FlowKey, reach: &'a Reach, lagging: bool) -> Self {
         let repeatable = view.routes.find(flow.endpoint).is_some_and(|route| route.repeatable);
         let candidates = candidates(view, flow, now_ms);
-        Self { now_ms, candidates, reach, trusts_silence: repeatable && !behind }
+        Self { now_ms, candidates, reach, trusts_silence: repeatable && !lagging }
     }
 
     /// What becomes of a packet that may have a target already.
@@ -144,7 +144,7 @@
 
 impl Edge {
     /// Decides about a packet of an open flow.
-    pub(super) fn carry(
+    pub(super) fn handle_later(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -152,7 +152,7 @@
         bytes: &[u8],
         actions: &mut Vec<Action>,
     ) {
-        let (flow, behind) = (segment.flow, self.is_behind(now_ms));
+        let (flow, lagging) = (segment.flow, self.is_lagging(now_ms));
         let entry = self.flows.entry(flow, now_ms);
         entry.forget_opening();
         entry.settle(segment.acknowledged);
@@ -163,7 +163,7 @@
             Some(target) if !repeated => Step::Ask(target),
             _ => {
                 entry.forget_old_denials(now_ms);
-                let search = Search::new(now_ms, view, flow, &self.reach, behind);
+                let search = Search::new(now_ms, view, flow, &self.reach, lagging);
                 // No copies may be sent: the caller's own repetitions look for the flow instead.
                 let copies_fail = !entry.confirmed && self.budget.is_low();
                 let step = if copies_fail { search.next(entry) } else { search.step(entry) };
@@ -173,15 +173,15 @@
         entry.doubt_if_mute();
         match step {
             Step::Ask(to) | Step::Probe(to) => {
-                self.pass_on(now_ms, view, Carried { flow, repeated }, to, actions);
+                self.forward(now_ms, view, LaterPacket { flow, repeated }, to, actions);
             }
             Step::Wait => actions.push(Action::Drop { reason: Reason::Unknown }),
             Step::Absent => return self.give_up(now_ms, view, flow, actions),
         }
         // Copies of a known flow's packets would find nothing: its upstream is slow, or dead with it.
         let confirmed = self.flows.get(flow).is_some_and(|entry| entry.confirmed);
-        if repeated && !confirmed && !behind {
-            self.copy_to_others(now_ms, view, flow, actions);
+        if repeated && !confirmed && !lagging {
+            self.send_copies(now_ms, view, flow, actions);
         }
         let quiet =
             matches!(step, Step::Ask(to) | Step::Probe(to) if self.reach.is_quiet(now_ms, to));
@@ -190,15 +190,15 @@
         }
     }
 
-    fn pass_on(
+    fn forward(
         &mut self,
         now_ms: Millis,
         view: &View,
-        carried: Carried,
+        packet: LaterPacket,
         to: Ipv4Addr,
         actions: &mut Vec<Action>,
     ) {
-        let Carried { flow, repeated } = carried;
+        let LaterPacket { flow, repeated } = packet;
         let service = view.upstream_at(to).map(|upstream| upstream.service);
         let Some(service) = service.or_else(|| service_of(view, flow)) else {
             actions.push(Action::Drop { reason: Reason::NoRoute });
@@ -217,17 +217,17 @@
     /// the next; the silent ones get copies from time to time. Asked again soon, the flow is found
     /// or proven lost as soon as they answer; the caller's own repetition may come a second later,
     /// too late for its request.
-    pub(super) fn ask_again(
+    pub(super) fn retry_search(
         &mut self,
         now_ms: Millis,
         view: &View,
         due: &Due,
         actions: &mut Vec<Action>,
     ) {
-        let (flow, behind) = (due.segment.flow, self.is_behind(now_ms));
+        let (flow, lagging) = (due.segment.flow, self.is_lagging(now_ms));
         let Some(entry) = self.flows.get(flow) else { return };
         entry.forget_old_denials(now_ms);
-        let search = Search::new(now_ms, view, flow, &self.reach, behind);
+        let search = Search::new(now_ms, view, flow, &self.reach, lagging);
         let step = if entry.is_opened_here() || entry.confirmed {
             search.step(entry)
         } else {
@@ -237,14 +237,14 @@
         // their own.
         match step {
             Step::Absent => self.give_up(now_ms, view, flow, actions),
-            Step::Ask(to) if entry.take_credit() || self.may_send_own() => {
+            Step::Ask(to) if entry.take_credit() || self.try_spend_budget() => {
                 self.flows.entry(flow, now_ms).ask(now_ms, to);
-                self.ask_listed(now_ms, view, flow, to, actions);
-                self.copy_to_others(now_ms, view, flow, actions);
+                self.forward_search(now_ms, view, flow, to, actions);
+                self.send_copies(now_ms, view, flow, actions);
             }
             Step::Probe(to) => {
                 self.flows.entry(flow, now_ms).ask(now_ms, to);
-                self.ask_listed(now_ms, view, flow, to, actions);
+                self.forward_search(now_ms, view, flow, to, actions);
             }
             Step::Ask(_) | Step::Wait => {}
         }
@@ -253,7 +253,7 @@
     /// One search at a time: only a denial of the upstream that is asked leads to the next. Denials of
     /// copies are noted; if each led on, searches would multiply, and packets wander away from an
     /// upstream that holds the flow and is at work.
-    pub(super) fn later_denied(
+    pub(super) fn on_later_denied(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -261,23 +261,23 @@
         segment: &Segment,
         actions: &mut Vec<Action>,
     ) {
-        let (flow, behind) = (segment.flow, self.is_behind(now_ms));
+        let (flow, lagging) = (segment.flow, self.is_lagging(now_ms));
         let entry = self.flows.entry(flow, now_ms);
         let copied = entry.visits.take_copied(from);
         entry.deny(from, now_ms);
         if let Some(target) = entry.target {
             let follows = entry.confirmed || entry.visits.asked_count() <= FOLLOWED;
             if follows && !copied && segment.wants_answer() {
-                self.ask_listed(now_ms, view, flow, target, actions);
+                self.forward_search(now_ms, view, flow, target, actions);
             }
             return;
         }
-        let search = Search::new(now_ms, view, flow, &self.reach, behind);
+        let search = Search::new(now_ms, view, flow, &self.reach, lagging);
         let asked: Vec<Ipv4Addr> = match search.next(entry) {
             Step::Ask(to) => {
                 entry.ask(now_ms, to);
                 let (next, overdue) = search.beside(entry, to);
-                let overdue = overdue.filter(|_| self.budget.spend());
+                let overdue = overdue.filter(|_| self.budget.try_spend());
                 let beside: Vec<Ipv4Addr> = next.into_iter().chain(overdue).collect();
                 beside.iter().for_each(|address| entry.visits.ask_beside(now_ms, *address));
                 [to].into_iter().chain(beside).collect()
@@ -289,10 +289,10 @@
             Step::Wait => Vec::new(),
             Step::Absent => return self.give_up(now_ms, view, flow, actions),
         };
-        asked.into_iter().for_each(|to| self.ask_listed(now_ms, view, flow, to, actions));
+        asked.into_iter().for_each(|to| self.forward_search(now_ms, view, flow, to, actions));
     }
 
-    fn ask_listed(
+    fn forward_search(
         &self,
         now_ms: Millis,
         view: &View,
@@ -309,7 +309,7 @@
     /// for the one that is asked: the flow's upstream may be behind an agent or a link that is
     /// dead, or the entry may be wrong. One that should have answered comes first, since packets get lost;
     /// then those that never got one, and those that got theirs longest ago.
-    fn copy_to_others(
+    fn send_copies(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -330,7 +330,7 @@
         });
         others.truncate(FAN_OUT);
         for Upstream { address, service, .. } in others {
-            if !self.budget.spend_on_copy() {
+            if !self.budget.try_spend_on_copy() {
                 break;
             }
             entry.visits.copy(now_ms, address);
@@ -341,10 +341,10 @@
     }
 
     fn give_up(&mut self, now_ms: Millis, view: &View, flow: FlowKey, actions: &mut Vec<Action>) {
-        let informed = self.trust.confirmed_ms >= self.woken_ms;
+        let informed = self.trust.confirmed_ms >= self.resumed_ms;
         let proven = informed
             && self.trust.proves_absence(now_ms)
-            && !may_be_elsewhere(view, flow, now_ms)
+            && !may_be_at_unrouted_service(view, flow, now_ms)
             && !candidates(view, flow, now_ms).is_empty();
         if !proven {
             actions.push(Action::Drop { reason: Reason::Unknown });
