--- a/crates/steering/src/edge/lag.rs
+++ b/crates/steering/src/edge/lag.rs
@@ -22,16 +22,16 @@
 /// The shortest round trips of this window and of the one before.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Lag {
-    now: Window,
-    before: Window,
-    since_ms: Millis,
+    current: Window,
+    previous: Window,
+    window_start_ms: Millis,
 }
 
 impl Lag {
     /// Takes the time from a packet to an agent until that agent's word.
-    pub(super) fn note(&mut self, now_ms: Millis, round_trip_ms: Millis) {
-        self.turn(now_ms);
-        let window = &mut self.now;
+    pub(super) fn record(&mut self, now_ms: Millis, round_trip_ms: Millis) {
+        self.rotate(now_ms);
+        let window = &mut self.current;
         window.shortest_ms =
             if window.samples == 0 { round_trip_ms } else { window.shortest_ms.min(round_trip_ms) };
         window.samples += 1;
@@ -39,18 +39,18 @@
 
     /// How far this process is behind; zero if nothing says that it is.
     pub(super) fn value_ms(&mut self, now_ms: Millis) -> Millis {
-        self.turn(now_ms);
-        let known = [self.now, self.before].into_iter().filter(|w| w.samples >= SAMPLES_MIN);
+        self.rotate(now_ms);
+        let known = [self.current, self.previous].into_iter().filter(|w| w.samples >= SAMPLES_MIN);
         known.map(|window| window.shortest_ms).min().unwrap_or(0)
     }
 
-    fn turn(&mut self, now_ms: Millis) {
-        let age_ms = now_ms.saturating_sub(self.since_ms);
+    fn rotate(&mut self, now_ms: Millis) {
+        let age_ms = now_ms.saturating_sub(self.window_start_ms);
         if age_ms < WINDOW_MS {
             return;
         }
-        self.before = if age_ms < 2 * WINDOW_MS { self.now } else { Window::default() };
-        self.now = Window::default();
-        self.since_ms = now_ms;
+        self.previous = if age_ms < 2 * WINDOW_MS { self.current } else { Window::default() };
+        self.current = Window::default();
+        self.window_start_ms = now_ms;
     }
 }
--- a/crates/steering/src/edge/loads.rs
+++ b/crates/steering/src/edge/loads.rs
@@ -7,17 +7,17 @@
 use crate::view::{Upstream, View, ZoneStamp};
 
 /// After this time a report says nothing about the present load; requests take tens of milliseconds.
-const REPORT_MS: Millis = 500;
+const REPORT_TTL_MS: Millis = 500;
 /// How long an upstream that left an opening unanswered is passed over. Doubled each time, so that one
 /// that is gone costs little. Agents that were killed are back within half a second: passed over for longer,
 /// they leave the rush after an outage to the others.
-const SUSPECT_MS: Millis = 200;
+const SUSPECT_BACKOFF_MS: Millis = 200;
 /// Longest time for which a silent upstream is passed over.
-const SUSPECT_MAX_MS: Millis = 1_600;
+const SUSPECT_BACKOFF_MAX_MS: Millis = 1_600;
 /// Longest time for which an agent's word keeps openings from a cold upstream, and from one that only
 /// its agent takes for cold.
-const LIMITED_MAX_MS: Millis = 5_000;
-const LIMITED_WARM_MAX_MS: Millis = 1_000;
+const RATE_LIMIT_MAX_MS: Millis = 5_000;
+const RATE_LIMIT_WARM_MAX_MS: Millis = 1_000;
 /// How much a starting upstream's load weighs, in halves: it works 1.6 times as long per request.
 const COLD_WEIGHT: u32 = 3;
 const WARM_WEIGHT: u32 = 2;
@@ -29,13 +29,13 @@
     born_ms: u64,
     busy: u32,
     placed: u32,
-    at_ms: Millis,
+    updated_ms: Millis,
     suspect_until_ms: Millis,
-    suspect_for_ms: Millis,
+    suspect_backoff_ms: Millis,
     /// Until when it takes no opening, since it is cold.
-    limited_until_ms: Millis,
+    rate_limited_until_ms: Millis,
     /// Whether it was known to be cold then.
-    limited_cold: bool,
+    rate_limited_while_cold: bool,
 }
 
 /// Loads by address.
@@ -54,48 +54,55 @@
     }
 
     /// Prefers upstreams of this availability zone.
-    pub(super) fn prefer(&mut self, zone: ZoneStamp) {
+    pub(super) fn set_zone(&mut self, zone: ZoneStamp) {
         self.zone = zone;
     }
 
     /// Whether an upstream is in another availability zone: bodies that cross zones cost, and take longer.
-    pub(super) fn is_far(&self, upstream: &Upstream) -> bool {
+    pub(super) fn is_in_other_zone(&self, upstream: &Upstream) -> bool {
         self.policy.zone_affinity && upstream.zone != self.zone
     }
 
     /// Takes a report: `busy` requests are at work.
-    pub(super) fn report(&mut self, now_ms: Millis, view: &View, address: Ipv4Addr, busy: u8) {
+    pub(super) fn record_report(
+        &mut self,
+        now_ms: Millis,
+        view: &View,
+        address: Ipv4Addr,
+        busy: u8,
+    ) {
         let load = self.entry(view, address);
         load.busy = u32::from(busy);
         load.placed = 0;
-        load.at_ms = now_ms;
+        load.updated_ms = now_ms;
         load.suspect_until_ms = 0;
-        load.suspect_for_ms = 0;
+        load.suspect_backoff_ms = 0;
     }
 
     /// Notes that a flow was placed.
-    pub(super) fn placed(&mut self, now_ms: Millis, view: &View, address: Ipv4Addr) {
+    pub(super) fn record_placement(&mut self, now_ms: Millis, view: &View, address: Ipv4Addr) {
         let load = self.entry(view, address);
-        if now_ms.saturating_sub(load.at_ms) >= REPORT_MS {
+        if now_ms.saturating_sub(load.updated_ms) >= REPORT_TTL_MS {
             load.busy = 0;
             load.placed = 0;
-            load.at_ms = now_ms;
+            load.updated_ms = now_ms;
         }
         load.placed += 1;
     }
 
     /// Notes that an opening stayed unanswered.
-    pub(super) fn silent(&mut self, now_ms: Millis, view: &View, address: Ipv4Addr) {
+    pub(super) fn record_no_reply(&mut self, now_ms: Millis, view: &View, address: Ipv4Addr) {
         let load = self.entry(view, address);
         if load.suspect_until_ms > now_ms {
             return;
         }
-        load.suspect_for_ms = (load.suspect_for_ms * 2).clamp(SUSPECT_MS, SUSPECT_MAX_MS);
-        load.suspect_until_ms = now_ms + load.suspect_for_ms;
+        load.suspect_backoff_ms =
+            (load.suspect_backoff_ms * 2).clamp(SUSPECT_BACKOFF_MS, SUSPECT_BACKOFF_MAX_MS);
+        load.suspect_until_ms = now_ms + load.suspect_backoff_ms;
     }
 
     /// Notes that a cold upstream takes no opening for so long.
-    pub(super) fn limited(
+    pub(super) fn record_rate_limit(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -103,17 +110,17 @@
         for_ms: Millis,
     ) {
         let is_cold = view.upstream_at(address).is_some_and(|upstream| upstream.is_cold(now_ms));
-        let most_ms = if is_cold { LIMITED_MAX_MS } else { LIMITED_WARM_MAX_MS };
+        let most_ms = if is_cold { RATE_LIMIT_MAX_MS } else { RATE_LIMIT_WARM_MAX_MS };
         let load = self.entry(view, address);
-        load.limited_until_ms = now_ms + for_ms.min(most_ms);
-        load.limited_cold = is_cold;
+        load.rate_limited_until_ms = now_ms + for_ms.min(most_ms);
+        load.rate_limited_while_cold = is_cold;
     }
 
     /// Whether a cold upstream takes no opening now. What was said while it was cold ends with that.
-    pub(super) fn is_limited(&self, now_ms: Millis, upstream: &Upstream) -> bool {
+    pub(super) fn is_rate_limited(&self, now_ms: Millis, upstream: &Upstream) -> bool {
         let holds = |load: &Load| {
-            let is_over = load.limited_cold && !upstream.is_cold(now_ms);
-            load.limited_until_ms > now_ms && !is_over
+            let is_over = load.rate_limited_while_cold && !upstream.is_cold(now_ms);
+            load.rate_limited_until_ms > now_ms && !is_over
         };
         self.find(upstream).is_some_and(holds)
     }
@@ -131,7 +138,7 @@
         }
         let weight = if upstream.is_cold(now_ms) { COLD_WEIGHT } else { WARM_WEIGHT };
         let load = self.find(upstream);
-        let fresh = load.filter(|load| now_ms.saturating_sub(load.at_ms) < REPORT_MS);
+        let fresh = load.filter(|load| now_ms.saturating_sub(load.updated_ms) < REPORT_TTL_MS);
         fresh.map_or(0, |load| load.busy + load.placed) * weight
     }
 
@@ -148,11 +155,11 @@
             born_ms,
             busy: 0,
             placed: 0,
-            at_ms: 0,
+            updated_ms: 0,
             suspect_until_ms: 0,
-            suspect_for_ms: 0,
-            limited_until_ms: 0,
-            limited_cold: false,
+            suspect_backoff_ms: 0,
+            rate_limited_until_ms: 0,
+            rate_limited_while_cold: false,
         };
         let index = match self.loads.binary_search_by_key(&address, |load| load.address) {
             Ok(index) => index,
--- a/crates/steering/src/edge/mod.rs
+++ b/crates/steering/src/edge/mod.rs
@@ -78,7 +78,7 @@
     /// The same in this availability zone.
     #[must_use]
     pub fn in_zone(mut self, zone: ZoneStamp) -> Self {
-        self.loads.prefer(zone);
+        self.loads.set_zone(zone);
         self
     }
 
@@ -124,11 +124,11 @@
         self.reach.heard(from);
         let entry = self.flows.get(segment.flow);
         if let Some(round_trip_ms) = entry.and_then(|entry| entry.take_round_trip(now_ms, from)) {
-            self.lag.note(now_ms, round_trip_ms);
+            self.lag.record(now_ms, round_trip_ms);
         }
         match verdict {
             Verdict::Held { busy, opening_sequence } => {
-                self.loads.report(now_ms, view, from, busy);
+                self.loads.record_report(now_ms, view, from, busy);
                 self.on_held(now_ms, from, opening_sequence, segment.flow);
             }
             Verdict::Alive => {}
@@ -138,16 +138,16 @@
             Verdict::WrongService { service } => {
                 let later = segment.kind == SegmentKind::Later;
                 if later && may_be_open_at(view, segment.flow, service, now_ms) {
-                    self.flows.entry(segment.flow, now_ms).mislead(from, now_ms);
+                    self.flows.entry(segment.flow, now_ms).record_wrong_service(from, now_ms);
                 }
                 self.on_denied(now_ms, view, from, segment, actions);
             }
             Verdict::RateLimited { for_ms } => {
-                self.loads.limited(now_ms, view, from, for_ms);
+                self.loads.record_rate_limit(now_ms, view, from, for_ms);
                 self.on_denied(now_ms, view, from, segment, actions);
             }
             Verdict::Unresponsive { for_ms } => {
-                self.loads.silent(now_ms, view, from);
+                self.loads.record_no_reply(now_ms, view, from);
                 if for_ms >= UNRESPONSIVE_AS_DENIAL_MS || segment.kind != SegmentKind::Later {
                     self.on_denied(now_ms, view, from, segment, actions);
                 }
@@ -247,7 +247,7 @@
     ) {
         self.handle_later(now_ms, view, segment, bytes, actions);
         self.pending.remove(segment.flow);
-        self.flows.closing(segment.flow, now_ms);
+        self.flows.expire_soon(segment.flow, now_ms);
     }
 
     fn on_held(
@@ -260,9 +260,9 @@
         self.pending.remove(flow);
         let entry = self.flows.entry(flow, now_ms);
         entry.clear_denials();
-        entry.end_doubt();
+        entry.clear_suspicion();
         if let Some(sequence) = opening_sequence {
-            entry.note_answer(from, sequence);
+            entry.record_answer(from, sequence);
             if entry.confirmed {
                 return;
             }
--- a/crates/steering/src/edge/openings.rs
+++ b/crates/steering/src/edge/openings.rs
@@ -34,7 +34,7 @@
         let lagging = self.is_lagging(now_ms);
         let entry = self.flows.entry(segment.flow, now_ms);
         if entry.sequence != Some(segment.sequence) {
-            entry.restart(segment.sequence);
+            entry.reset_for_opening(segment.sequence);
             let waited =
                 self.resumed_ms > 0 && now_ms.saturating_sub(self.resumed_ms) < BACKLOG_DRAIN_MS;
             let first = segment.kind == SegmentKind::Opening { copy: 0 };
@@ -62,9 +62,9 @@
         let reason = if copied { Reason::Replaced } else { Reason::Placed };
         entry.ask(now_ms, to);
         if !copied {
-            entry.await_word(now_ms, to);
+            entry.await_first_reply(now_ms, to);
         }
-        self.loads.placed(now_ms, view, to);
+        self.loads.record_placement(now_ms, view, to);
         let to = Destination::of(now_ms, view, segment.flow, to, service);
         actions.push(Action::Forward { to, ask: true, reason });
         self.pending.insert(now_ms, segment, bytes);
@@ -85,12 +85,12 @@
         let Some(entry) = self.flows.get(flow) else { return };
         entry.resettable_until_ms = 0;
         if let Some(silent) = entry.target {
-            self.loads.silent(now_ms, view, silent);
+            self.loads.record_no_reply(now_ms, view, silent);
         }
         let placement = Placement { now_ms, view, loads: &self.loads };
         let Ok(to) = placement.place(service, flow, entry) else { return };
         entry.ask(now_ms, to);
-        self.loads.placed(now_ms, view, to);
+        self.loads.record_placement(now_ms, view, to);
         let to = Destination::of(now_ms, view, flow, to, service);
         actions.push(Action::Forward { to, ask: true, reason: Reason::Replaced });
     }
@@ -109,7 +109,7 @@
         if entry.confirmed {
             return;
         }
-        entry.deny_opening(from, now_ms);
+        entry.record_opening_denial(from, now_ms);
         let Some(service) = service_of(view, flow) else { return };
         let placement = Placement { now_ms, view, loads: &self.loads };
         let to = match placement.place(service, flow, entry) {
@@ -118,12 +118,12 @@
                 let reason = if is_final(reason) { reason } else { Reason::Refused };
                 actions.push(reject(now_ms, entry, reason));
                 self.pending.remove(flow);
-                self.flows.closing(flow, now_ms);
+                self.flows.expire_soon(flow, now_ms);
                 return;
             }
         };
         entry.ask(now_ms, to);
-        self.loads.placed(now_ms, view, to);
+        self.loads.record_placement(now_ms, view, to);
         let to = Destination::of(now_ms, view, flow, to, service);
         actions.push(Action::Forward { to, ask: true, reason: Reason::Replaced });
     }
--- a/crates/steering/src/edge/placement.rs
+++ b/crates/steering/src/edge/placement.rs
@@ -52,7 +52,7 @@
             .filter(|(class, _)| *class == first)
             .map(|(_, upstream)| upstream)
             .min_by_key(|upstream| {
-                (self.loads.load(self.now_ms, upstream), self.loads.is_far(upstream))
+                (self.loads.load(self.now_ms, upstream), self.loads.is_in_other_zone(upstream))
             });
         best.map(|upstream| upstream.address).ok_or(Reason::Unknown)
     }
@@ -73,7 +73,7 @@
         let open =
             narrow(listed, Reason::ZoneClosed, |upstream| !self.view.is_closed(upstream.zone))?;
         let free = narrow(open, Reason::ColdLimit, |upstream| {
-            !self.loads.is_limited(self.now_ms, upstream)
+            !self.loads.is_rate_limited(self.now_ms, upstream)
         })?;
         narrow(free, Reason::Refused, |upstream| !entry.has_denied(upstream.address))
     }
--- a/crates/steering/src/edge/search.rs
+++ b/crates/steering/src/edge/search.rs
@@ -88,8 +88,8 @@
             return step;
         }
         let (_, heard) = self.open(entry);
-        let last_ms = |upstream: &&&Upstream| entry.visits.last_ms(upstream.address);
-        heard.iter().min_by_key(last_ms).map_or(step, |upstream| Step::Ask(upstream.address))
+        let last_sent_ms = |upstream: &&&Upstream| entry.visits.last_sent_ms(upstream.address);
+        heard.iter().min_by_key(last_sent_ms).map_or(step, |upstream| Step::Ask(upstream.address))
     }
 
     /// Upstreams that may hold the flow: those that are quiet, and those that are heard.
@@ -111,7 +111,7 @@
             return Step::Wait;
         }
         if quiet.iter().all(|upstream| self.is_lost(upstream.address)) {
-            return if entry.is_misled() { Step::Wait } else { Step::Absent };
+            return if entry.has_inconclusive_denial() { Step::Wait } else { Step::Absent };
         }
         let may_probe = |upstream: &&&Upstream| self.reach.may_probe(self.now_ms, upstream.address);
         quiet.iter().find(may_probe).map_or(Step::Wait, |upstream| Step::Probe(upstream.address))
@@ -154,10 +154,10 @@
     ) {
         let (flow, lagging) = (segment.flow, self.is_lagging(now_ms));
         let entry = self.flows.entry(flow, now_ms);
-        entry.forget_opening();
-        entry.settle(segment.acknowledged);
-        let repeated = entry.note_packet(now_ms, segment);
-        entry.leave_unlisted(|address| view.upstream_at(address).is_some());
+        entry.forget_opening_denials();
+        entry.resolve_answers(segment.acknowledged);
+        let repeated = entry.record_packet(now_ms, segment);
+        entry.drop_unlisted_target(|address| view.upstream_at(address).is_some());
         let step = match entry.target {
             // Most packets go where the last one went; ranking all upstreams is for the others.
             Some(target) if !repeated => Step::Ask(target),
@@ -170,7 +170,7 @@
                 search.step_of_caller(entry, step)
             }
         };
-        entry.doubt_if_mute();
+        entry.suspect_if_unresponsive();
         match step {
             Step::Ask(to) | Step::Probe(to) => {
                 self.forward(now_ms, view, LaterPacket { flow, repeated }, to, actions);
@@ -237,7 +237,7 @@
         // their own.
         match step {
             Step::Absent => self.give_up(now_ms, view, flow, actions),
-            Step::Ask(to) if entry.take_credit() || self.try_spend_budget() => {
+            Step::Ask(to) if entry.take_search_credit() || self.try_spend_budget() => {
                 self.flows.entry(flow, now_ms).ask(now_ms, to);
                 self.forward_search(now_ms, view, flow, to, actions);
                 self.send_copies(now_ms, view, flow, actions);
@@ -264,7 +264,7 @@
         let (flow, lagging) = (segment.flow, self.is_lagging(now_ms));
         let entry = self.flows.entry(flow, now_ms);
         let copied = entry.visits.take_copied(from);
-        entry.deny(from, now_ms);
+        entry.record_denial(from, now_ms);
         if let Some(target) = entry.target {
             let follows = entry.confirmed || entry.visits.asked_count() <= FOLLOWED;
             if follows && !copied && segment.wants_answer() {
@@ -279,7 +279,7 @@
                 let (next, overdue) = search.beside(entry, to);
                 let overdue = overdue.filter(|_| self.budget.try_spend());
                 let beside: Vec<Ipv4Addr> = next.into_iter().chain(overdue).collect();
-                beside.iter().for_each(|address| entry.visits.ask_beside(now_ms, *address));
+                beside.iter().for_each(|address| entry.visits.ask_in_parallel(now_ms, *address));
                 [to].into_iter().chain(beside).collect()
             }
             Step::Probe(to) => {
@@ -326,7 +326,7 @@
             .find(|upstream| entry.visits.is_overdue(now_ms, upstream.address))
             .map(|upstream| upstream.address);
         others.sort_by_key(|Upstream { address, .. }| {
-            (Some(*address) != overdue, entry.visits.last_ms(*address))
+            (Some(*address) != overdue, entry.visits.last_sent_ms(*address))
         });
         others.truncate(FAN_OUT);
         for Upstream { address, service, .. } in others {
@@ -350,7 +350,7 @@
             actions.push(Action::Drop { reason: Reason::Unknown });
             return;
         }
-        self.flows.closing(flow, now_ms);
+        self.flows.expire_soon(flow, now_ms);
         self.pending.remove(flow);
         actions.push(Action::Reset { reason: Reason::Lost });
     }
@@ -373,7 +373,7 @@
 /// those that got nothing yet. Of those that were asked there is none while they have time to answer.
 fn likeliest<'a>(open: &[&'a Upstream], entry: &Entry) -> Option<&'a Upstream> {
     let asked = |upstream: &&&Upstream| entry.visits.has_asked(upstream.address);
-    let untried = |upstream: &&&Upstream| entry.visits.last_ms(upstream.address).is_none();
+    let untried = |upstream: &&&Upstream| entry.visits.last_sent_ms(upstream.address).is_none();
     let likely =
         if entry.is_opened_here() { open.iter().find(asked) } else { open.iter().find(untried) };
     likely.or(open.iter().find(|upstream| !asked(upstream))).copied()
--- a/crates/steering/src/edge/visits.rs
+++ b/crates/steering/src/edge/visits.rs
@@ -6,8 +6,8 @@
 
 /// First and longest pause before an upstream that has not answered is asked once more by a search that
 /// has gone on: it denies or returns within a few milliseconds, and packets get lost.
-const AGAIN_MS: Millis = 100;
-const AGAIN_MAX_MS: Millis = 400;
+const RETRY_MS: Millis = 100;
+const RETRY_MAX_MS: Millis = 400;
 
 /// An upstream that got a packet of the search.
 #[derive(Clone, Copy, Debug)]
@@ -18,9 +18,9 @@
     /// Whether it got a copy and has not denied the flow since.
     copied: bool,
     /// When it got the last packet.
-    at_ms: Millis,
+    last_sent_ms: Millis,
     /// When it may get another one, if it has not answered.
-    again_ms: Millis,
+    retry_at_ms: Millis,
     pause_ms: Millis,
 }
 
@@ -34,13 +34,13 @@
 impl Visits {
     /// Notes that the upstream at `address` is asked.
     pub(super) fn ask(&mut self, now_ms: Millis, address: Ipv4Addr) {
-        let first = !std::mem::replace(&mut self.note(now_ms, address).asked, true);
+        let first = !std::mem::replace(&mut self.record(now_ms, address).asked, true);
         self.asked += u64::from(first);
     }
 
     /// Notes that the upstream at `address` is asked beside another one.
-    pub(super) fn ask_beside(&mut self, now_ms: Millis, address: Ipv4Addr) {
-        let visit = self.note(now_ms, address);
+    pub(super) fn ask_in_parallel(&mut self, now_ms: Millis, address: Ipv4Addr) {
+        let visit = self.record(now_ms, address);
         visit.copied = true;
         let first = !std::mem::replace(&mut visit.asked, true);
         self.asked += u64::from(first);
@@ -48,7 +48,7 @@
 
     /// Notes that the upstream at `address` gets a copy beside the one that is asked.
     pub(super) fn copy(&mut self, now_ms: Millis, address: Ipv4Addr) {
-        self.note(now_ms, address).copied = true;
+        self.record(now_ms, address).copied = true;
     }
 
     /// Whether the upstream at `address` got a copy; it counts once.
@@ -69,28 +69,29 @@
 
     /// Whether the upstream at `address` has had its time to answer a packet.
     pub(super) fn is_overdue(&self, now_ms: Millis, address: Ipv4Addr) -> bool {
-        self.get(address).is_some_and(|visit| visit.again_ms <= now_ms)
+        self.get(address).is_some_and(|visit| visit.retry_at_ms <= now_ms)
     }
 
     /// When the upstream at `address` got its last packet; nothing if it never got one.
-    pub(super) fn last_ms(&self, address: Ipv4Addr) -> Option<Millis> {
-        self.get(address).map(|visit| visit.at_ms)
+    pub(super) fn last_sent_ms(&self, address: Ipv4Addr) -> Option<Millis> {
+        self.get(address).map(|visit| visit.last_sent_ms)
     }
 
-    fn note(&mut self, now_ms: Millis, address: Ipv4Addr) -> &mut Visit {
+    fn record(&mut self, now_ms: Millis, address: Ipv4Addr) -> &mut Visit {
         let (index, pause_ms) = match self.find(address) {
-            Ok(index) => (index, (2 * self.visits[index].pause_ms).min(AGAIN_MAX_MS)),
+            Ok(index) => (index, (2 * self.visits[index].pause_ms).min(RETRY_MAX_MS)),
             Err(index) => {
-                let (at_ms, again_ms) = (now_ms, now_ms);
+                let (last_sent_ms, retry_at_ms) = (now_ms, now_ms);
                 let (asked, copied) = (false, false);
-                let visit = Visit { address, asked, copied, at_ms, again_ms, pause_ms: AGAIN_MS };
+                let visit =
+                    Visit { address, asked, copied, last_sent_ms, retry_at_ms, pause_ms: RETRY_MS };
                 self.visits.insert(index, visit);
-                (index, AGAIN_MS)
+                (index, RETRY_MS)
             }
         };
         let visit = &mut self.visits[index];
-        visit.at_ms = now_ms;
-        visit.again_ms = now_ms + pause_ms;
+        visit.last_sent_ms = now_ms;
+        visit.retry_at_ms = now_ms + pause_ms;
         visit.pause_ms = pause_ms;
         visit
     }
