--- a/crates/steering/src/edge/mod.rs
+++ b/crates/steering/src/edge/mod.rs
@@ -121,7 +121,7 @@
         self.detect_pause(now_ms);
         let before = actions.len();
         let AgentReply { from, verdict } = reply;
-        self.reach.heard(from);
+        self.reach.record_reply(from);
         let entry = self.flows.get(segment.flow);
         if let Some(round_trip_ms) = entry.and_then(|entry| entry.take_round_trip(now_ms, from)) {
             self.lag.record(now_ms, round_trip_ms);
@@ -170,7 +170,7 @@
         }
         for action in actions {
             if let Action::Forward { to, ask: true, .. } = action {
-                self.reach.asked(now_ms, view, to.address, flow);
+                self.reach.record_request(now_ms, view, to.address, flow);
             }
         }
     }
@@ -204,7 +204,7 @@
     fn detect_pause(&mut self, now_ms: Millis) {
         if now_ms.saturating_sub(self.last_called_ms) >= PAUSE_THRESHOLD_MS {
             self.resumed_ms = now_ms;
-            self.reach.forget();
+            self.reach.clear();
         }
         self.last_called_ms = now_ms;
     }
--- a/crates/steering/src/edge/pending.rs
+++ b/crates/steering/src/edge/pending.rs
@@ -10,11 +10,11 @@
 pub const RETRANSMIT_AFTER_MS: Millis = 60;
 /// The same for data: an upstream that holds the flow says nothing before its answer, which takes most
 /// of this time or less.
-const REPEAT_DATA_AFTER_MS: Millis = 150;
+const RETRANSMIT_DATA_AFTER_MS: Millis = 150;
 /// Longest pause: each repetition doubles it up to here.
-const REPEAT_MAX_MS: Millis = 120;
+const RETRANSMIT_MAX_MS: Millis = 120;
 /// A caller gives an opening up after this time, and repeats data with longer and longer pauses.
-const KEEP_MS: Millis = 1_400;
+const PENDING_TTL_MS: Millis = 1_400;
 /// Bytes kept at most. A request has some hundred bytes, so this is room for about a thousand;
 /// further packets are repeated by their callers only.
 pub const PENDING_BYTES_MAX: usize = 256 << 10;
@@ -24,7 +24,7 @@
     packet: Arc<[u8]>,
     segment: Segment,
     due_ms: Millis,
-    pause_ms: Millis,
+    backoff_ms: Millis,
     expires_ms: Millis,
 }
 
@@ -51,16 +51,16 @@
             return;
         }
         self.bytes += packet.len();
-        let pause_ms = match segment.kind {
+        let backoff_ms = match segment.kind {
             SegmentKind::Opening { .. } => RETRANSMIT_AFTER_MS,
-            SegmentKind::Later | SegmentKind::Reset => REPEAT_DATA_AFTER_MS,
+            SegmentKind::Later | SegmentKind::Reset => RETRANSMIT_DATA_AFTER_MS,
         };
         let pending = Pending {
             packet: packet.into(),
             segment: *segment,
-            due_ms: now_ms + pause_ms,
-            pause_ms,
-            expires_ms: now_ms + KEEP_MS,
+            due_ms: now_ms + backoff_ms,
+            backoff_ms,
+            expires_ms: now_ms + PENDING_TTL_MS,
         };
         self.packets.insert(segment.flow, pending);
     }
@@ -93,8 +93,8 @@
         let due = self.packets.values_mut().filter(|pending| pending.due_ms <= now_ms);
         let mut due: Vec<Due> = due
             .map(|pending| {
-                pending.pause_ms = (pending.pause_ms * 2).min(REPEAT_MAX_MS);
-                pending.due_ms = now_ms + pending.pause_ms;
+                pending.backoff_ms = (pending.backoff_ms * 2).min(RETRANSMIT_MAX_MS);
+                pending.due_ms = now_ms + pending.backoff_ms;
                 Due { packet: Arc::clone(&pending.packet), segment: pending.segment }
             })
             .collect();
--- a/crates/steering/src/edge/placement.rs
+++ b/crates/steering/src/edge/placement.rs
@@ -36,7 +36,7 @@
         flow: FlowKey,
         entry: &Entry,
     ) -> Result<Ipv4Addr, Reason> {
-        let open = self.open_upstreams(service, flow, entry)?;
+        let open = self.eligible_upstreams(service, flow, entry)?;
         let class = |upstream: &Upstream| {
             (entry.visits.has_asked(upstream.address), self.loads.is_suspect(self.now_ms, upstream))
         };
@@ -59,7 +59,7 @@
 
     /// Upstreams that may take the flow now. Each step leaves out some; the first that leaves none
     /// is the reason.
-    fn open_upstreams(
+    fn eligible_upstreams(
         &self,
         service: ServiceStamp,
         flow: FlowKey,
@@ -67,31 +67,36 @@
     ) -> Result<Vec<&Upstream>, Reason> {
         let route = self.view.routes.find(flow.endpoint).ok_or(Reason::NoRoute)?;
         let all = self.view.upstreams_of(service).iter().collect();
-        let allowed =
-            narrow(all, Reason::RegionNotAllowed, |upstream| self.view.allows(route, upstream))?;
-        let listed = self.listed(allowed);
-        let open =
-            narrow(listed, Reason::ZoneClosed, |upstream| !self.view.is_closed(upstream.zone))?;
-        let free = narrow(open, Reason::ColdLimit, |upstream| {
+        let allowed = keep_or_reason(all, Reason::RegionNotAllowed, |upstream| {
+            self.view.allows(route, upstream)
+        })?;
+        let ready = self.ready_or_missing(allowed);
+        let open = keep_or_reason(ready, Reason::ZoneClosed, |upstream| {
+            !self.view.is_closed(upstream.zone)
+        })?;
+        let free = keep_or_reason(open, Reason::ColdLimit, |upstream| {
             !self.loads.is_rate_limited(self.now_ms, upstream)
         })?;
-        narrow(free, Reason::Refused, |upstream| !entry.has_denied(upstream.address))
+        keep_or_reason(free, Reason::Refused, |upstream| !entry.has_denied(upstream.address))
     }
 
     /// Those that are ready. All entries of a service go at once only when the list itself had a
     /// fault: then the ones that went without notice.
-    fn listed<'a>(&self, upstreams: Vec<&'a Upstream>) -> Vec<&'a Upstream> {
+    fn ready_or_missing<'a>(&self, upstreams: Vec<&'a Upstream>) -> Vec<&'a Upstream> {
         let (ready, others): (Vec<&Upstream>, Vec<&Upstream>) =
             upstreams.into_iter().partition(|upstream| upstream.standing == Standing::Ready);
         if !ready.is_empty() {
             return ready;
         }
-        others.into_iter().filter(|upstream| is_silent(upstream, self.now_ms)).collect()
+        others
+            .into_iter()
+            .filter(|upstream| is_missing_unannounced(upstream, self.now_ms))
+            .collect()
     }
 }
 
 /// Leaves out some upstreams; if these were all there were, that is the reason for placing nothing.
-fn narrow(
+fn keep_or_reason(
     upstreams: Vec<&Upstream>,
     reason: Reason,
     keep: impl Fn(&Upstream) -> bool,
@@ -101,7 +106,7 @@
     if kept.is_empty() && !none_before { Err(reason) } else { Ok(kept) }
 }
 
-fn is_silent(upstream: &Upstream, now_ms: Millis) -> bool {
+fn is_missing_unannounced(upstream: &Upstream, now_ms: Millis) -> bool {
     let missing = matches!(upstream.standing, Standing::Missing { drained: false, .. });
     missing && !membership::is_gone(upstream.standing, now_ms)
 }
--- a/crates/steering/src/edge/search.rs
+++ b/crates/steering/src/edge/search.rs
@@ -18,17 +18,17 @@
 use crate::view::{Upstream, View};
 
 /// Copies of a repeated packet that go to further upstreams at once.
-const FAN_OUT: usize = 3;
+const COPIES_MAX: usize = 3;
 /// Upstreams up to which all packets of a flow follow the search. Most flows live at one of the
 /// first ranks, and what is dropped on the way there comes again 200 ms later; further on, each
 /// packet would be a search of its own.
-const FOLLOWED: u64 = 3;
+const FORWARDED_WITHIN: u64 = 3;
 
 /// Upstreams that are asked one after the other. Nearly all flows live at one of these.
-const ALONE: u64 = 6;
+const SEQUENTIAL_ASKS: u64 = 6;
 /// Most upstreams that are asked at once by a search that has gone on for longer: in so few packets, it
 /// leaves room on a thin link.
-const AT_ONCE_MAX: u64 = 16;
+const PARALLEL_ASKS_MAX: u64 = 16;
 
 /// What a search does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,14 +61,14 @@
     /// asks anew after a reset.
     ///
     /// A request that must not be sent twice may have run at an upstream that comes back.
-    trusts_silence: bool,
+    treats_no_reply_as_denial: bool,
 }
 
 impl<'a> Search<'a> {
     fn new(now_ms: Millis, view: &View, flow: FlowKey, reach: &'a Reach, lagging: bool) -> Self {
         let repeatable = view.routes.find(flow.endpoint).is_some_and(|route| route.repeatable);
         let candidates = candidates(view, flow, now_ms);
-        Self { now_ms, candidates, reach, trusts_silence: repeatable && !lagging }
+        Self { now_ms, candidates, reach, treats_no_reply_as_denial: repeatable && !lagging }
     }
 
     /// What becomes of a packet that may have a target already.
@@ -76,69 +76,76 @@
     /// A target that is lost may have held the flow half open only, so that all others are asked first.
     fn step(&self, entry: &Entry) -> Step {
         match entry.target {
-            Some(target) if !self.is_lost(target) => Step::Ask(target),
-            _ => self.next(entry),
+            Some(target) if !self.is_unreachable(target) => Step::Ask(target),
+            _ => self.next_step(entry),
         }
     }
 
     /// The same for a packet of the caller's own: where one that may hold the flow is heard, the packet
     /// goes there although it was asked a moment ago.
-    fn step_of_caller(&self, entry: &Entry, step: Step) -> Step {
+    fn step_for_caller(&self, entry: &Entry, step: Step) -> Step {
         if step != Step::Wait {
             return step;
         }
-        let (_, heard) = self.open(entry);
+        let (_, responsive) = self.undenied(entry);
         let last_sent_ms = |upstream: &&&Upstream| entry.visits.last_sent_ms(upstream.address);
-        heard.iter().min_by_key(last_sent_ms).map_or(step, |upstream| Step::Ask(upstream.address))
+        responsive
+            .iter()
+            .min_by_key(last_sent_ms)
+            .map_or(step, |upstream| Step::Ask(upstream.address))
     }
 
     /// Upstreams that may hold the flow: those that are quiet, and those that are heard.
-    fn open(&self, entry: &Entry) -> (Vec<&Upstream>, Vec<&Upstream>) {
+    fn undenied(&self, entry: &Entry) -> (Vec<&Upstream>, Vec<&Upstream>) {
         let open = self.candidates.iter().filter(|upstream| !entry.has_denied(upstream.address));
-        open.partition(|upstream| self.reach.is_quiet(self.now_ms, upstream.address))
+        open.partition(|upstream| self.reach.is_unresponsive(self.now_ms, upstream.address))
     }
 
-    fn next(&self, entry: &Entry) -> Step {
-        let (quiet, heard) = self.open(entry);
-        if let Some(next) = likeliest(&heard, entry) {
+    fn next_step(&self, entry: &Entry) -> Step {
+        let (unresponsive, responsive) = self.undenied(entry);
+        if let Some(next) = likeliest(&responsive, entry) {
             return Step::Ask(next.address);
         }
         let is_due = |upstream: &&&Upstream| entry.visits.is_overdue(self.now_ms, upstream.address);
-        if let Some(next) = heard.iter().find(is_due) {
+        if let Some(next) = responsive.iter().find(is_due) {
             return Step::Ask(next.address);
         }
-        if !heard.is_empty() {
+        if !responsive.is_empty() {
             return Step::Wait;
         }
-        if quiet.iter().all(|upstream| self.is_lost(upstream.address)) {
+        if unresponsive.iter().all(|upstream| self.is_unreachable(upstream.address)) {
             return if entry.has_inconclusive_denial() { Step::Wait } else { Step::Absent };
         }
         let may_probe = |upstream: &&&Upstream| self.reach.may_probe(self.now_ms, upstream.address);
-        quiet.iter().find(may_probe).map_or(Step::Wait, |upstream| Step::Probe(upstream.address))
+        unresponsive
+            .iter()
+            .find(may_probe)
+            .map_or(Step::Wait, |upstream| Step::Probe(upstream.address))
     }
 
     /// Upstreams that are asked beside the one at `to`: the next ones of a search that has asked many,
     /// and one that should have answered.
-    fn beside(&self, entry: &Entry, to: Ipv4Addr) -> (Vec<Ipv4Addr>, Option<Ipv4Addr>) {
+    fn parallel_asks(&self, entry: &Entry, to: Ipv4Addr) -> (Vec<Ipv4Addr>, Option<Ipv4Addr>) {
         let is_open = |upstream: &&Upstream| {
             may_be_copied(self.now_ms, upstream, Some(to), entry, self.reach)
         };
         let open = || self.candidates.iter().filter(is_open).map(|upstream| upstream.address);
         let asked = entry.visits.asked_count();
-        let more = (asked.saturating_sub(ALONE) / 2).min(AT_ONCE_MAX - 1) as usize;
+        let more = (asked.saturating_sub(SEQUENTIAL_ASKS) / 2).min(PARALLEL_ASKS_MAX - 1) as usize;
         let next = open().filter(|address| !entry.visits.has_asked(*address)).take(more).collect();
         let overdue = open().find(|address| entry.visits.is_overdue(self.now_ms, *address));
         (next, overdue)
     }
 
     /// Whether the upstream at this address is out of reach, and it is not this balancer that is.
-    fn is_lost(&self, address: Ipv4Addr) -> bool {
-        let is_lost = |address| self.reach.is_lost(self.now_ms, address);
-        if !self.trusts_silence || !is_lost(address) {
+    fn is_unreachable(&self, address: Ipv4Addr) -> bool {
+        let is_unreachable = |address| self.reach.is_unreachable(self.now_ms, address);
+        if !self.treats_no_reply_as_denial || !is_unreachable(address) {
             return false;
         }
-        let lost = self.candidates.iter().filter(|upstream| is_lost(upstream.address)).count();
-        Reach::are_few(lost, self.candidates.len())
+        let unreachable =
+            self.candidates.iter().filter(|upstream| is_unreachable(upstream.address)).count();
+        Reach::is_small_share(unreachable, self.candidates.len())
     }
 }
 
@@ -166,8 +173,8 @@
                 let search = Search::new(now_ms, view, flow, &self.reach, lagging);
                 // No copies may be sent: the caller's own repetitions look for the flow instead.
                 let copies_fail = !entry.confirmed && self.budget.is_low();
-                let step = if copies_fail { search.next(entry) } else { search.step(entry) };
-                search.step_of_caller(entry, step)
+                let step = if copies_fail { search.next_step(entry) } else { search.step(entry) };
+                search.step_for_caller(entry, step)
             }
         };
         entry.suspect_if_unresponsive();
@@ -176,16 +183,18 @@
                 self.forward(now_ms, view, LaterPacket { flow, repeated }, to, actions);
             }
             Step::Wait => actions.push(Action::Drop { reason: Reason::Unknown }),
-            Step::Absent => return self.give_up(now_ms, view, flow, actions),
+            Step::Absent => return self.reset_if_proven_lost(now_ms, view, flow, actions),
         }
         // Copies of a known flow's packets would find nothing: its upstream is slow, or dead with it.
         let confirmed = self.flows.get(flow).is_some_and(|entry| entry.confirmed);
         if repeated && !confirmed && !lagging {
             self.send_copies(now_ms, view, flow, actions);
         }
-        let quiet =
-            matches!(step, Step::Ask(to) | Step::Probe(to) if self.reach.is_quiet(now_ms, to));
-        if !confirmed || (quiet && segment.wants_answer()) {
+        let unresponsive = matches!(
+            step,
+            Step::Ask(to) | Step::Probe(to) if self.reach.is_unresponsive(now_ms, to)
+        );
+        if !confirmed || (unresponsive && segment.wants_answer()) {
             self.pending.insert(now_ms, segment, bytes);
         }
     }
@@ -231,12 +240,12 @@
         let step = if entry.is_opened_here() || entry.confirmed {
             search.step(entry)
         } else {
-            search.next(entry)
+            search.next_step(entry)
         };
         // A flow is given up also where nothing more may be sent for it. Probes have a bound of
         // their own.
         match step {
-            Step::Absent => self.give_up(now_ms, view, flow, actions),
+            Step::Absent => self.reset_if_proven_lost(now_ms, view, flow, actions),
             Step::Ask(to) if entry.take_search_credit() || self.try_spend_budget() => {
                 self.flows.entry(flow, now_ms).ask(now_ms, to);
                 self.forward_search(now_ms, view, flow, to, actions);
@@ -266,28 +275,28 @@
         let copied = entry.visits.take_copied(from);
         entry.record_denial(from, now_ms);
         if let Some(target) = entry.target {
-            let follows = entry.confirmed || entry.visits.asked_count() <= FOLLOWED;
-            if follows && !copied && segment.wants_answer() {
+            let forwards = entry.confirmed || entry.visits.asked_count() <= FORWARDED_WITHIN;
+            if forwards && !copied && segment.wants_answer() {
                 self.forward_search(now_ms, view, flow, target, actions);
             }
             return;
         }
         let search = Search::new(now_ms, view, flow, &self.reach, lagging);
-        let asked: Vec<Ipv4Addr> = match search.next(entry) {
+        let asked: Vec<Ipv4Addr> = match search.next_step(entry) {
             Step::Ask(to) => {
                 entry.ask(now_ms, to);
-                let (next, overdue) = search.beside(entry, to);
+                let (next, overdue) = search.parallel_asks(entry, to);
                 let overdue = overdue.filter(|_| self.budget.try_spend());
-                let beside: Vec<Ipv4Addr> = next.into_iter().chain(overdue).collect();
-                beside.iter().for_each(|address| entry.visits.ask_in_parallel(now_ms, *address));
-                [to].into_iter().chain(beside).collect()
+                let parallel: Vec<Ipv4Addr> = next.into_iter().chain(overdue).collect();
+                parallel.iter().for_each(|address| entry.visits.ask_in_parallel(now_ms, *address));
+                [to].into_iter().chain(parallel).collect()
             }
             Step::Probe(to) => {
                 entry.ask(now_ms, to);
                 vec![to]
             }
             Step::Wait => Vec::new(),
-            Step::Absent => return self.give_up(now_ms, view, flow, actions),
+            Step::Absent => return self.reset_if_proven_lost(now_ms, view, flow, actions),
         };
         asked.into_iter().for_each(|to| self.forward_search(now_ms, view, flow, to, actions));
     }
@@ -328,7 +337,7 @@
         others.sort_by_key(|Upstream { address, .. }| {
             (Some(*address) != overdue, entry.visits.last_sent_ms(*address))
         });
-        others.truncate(FAN_OUT);
+        others.truncate(COPIES_MAX);
         for Upstream { address, service, .. } in others {
             if !self.budget.try_spend_on_copy() {
                 break;
@@ -340,9 +349,15 @@
         }
     }
 
-    fn give_up(&mut self, now_ms: Millis, view: &View, flow: FlowKey, actions: &mut Vec<Action>) {
-        let informed = self.trust.confirmed_ms >= self.resumed_ms;
-        let proven = informed
+    fn reset_if_proven_lost(
+        &mut self,
+        now_ms: Millis,
+        view: &View,
+        flow: FlowKey,
+        actions: &mut Vec<Action>,
+    ) {
+        let confirmed_since_pause = self.trust.confirmed_ms >= self.resumed_ms;
+        let proven = confirmed_since_pause
             && self.trust.proves_absence(now_ms)
             && !may_be_at_unrouted_service(view, flow, now_ms)
             && !candidates(view, flow, now_ms).is_empty();
@@ -365,7 +380,7 @@
     reach: &Reach,
 ) -> bool {
     let address = upstream.address;
-    Some(address) != target && !entry.has_denied(address) && !reach.is_quiet(now_ms, address)
+    Some(address) != target && !entry.has_denied(address) && !reach.is_unresponsive(now_ms, address)
 }
 
 /// The upstream to ask next. If the flow's opening went through here, it lives at one of those that
