--- a/crates/steering/src/edge/budget.rs
+++ b/crates/steering/src/edge/budget.rs
@@ -1,62 +1,64 @@
-//! How much may be sent beyond what callers send.
+//! Bounds the packets that a balancer sends beyond those of its callers.
 //!
-//! Repetitions, copies and searches answer silence, and silence has many causes. Where the cause is
-//! too much traffic, each of them adds to it, and more is silent: one balancer with a thin link sent
-//! 22,000 packets of its own in 20 s, fifteen for each flow that it was given, and did not come back.
-//! As a share of what callers send, the own packets cannot be what keeps a balancer busy.
+//! Retransmissions, copies and searches react to missing replies. If the cause is too much traffic,
+//! each of them adds to it, and more replies go missing: without a bound, one balancer on a slow
+//! link sent 22,000 extra packets in 20 s, fifteen for each flow that it was given, and did not
+//! recover. Extra packets are therefore limited to a share of what callers send.
 //!
-//! Load pattern: a third of a service has just left, and the flows of a neighbour come here in the middle of
-//! long answers. Each needs a question for every upstream on its way that is gone, and there are as many
-//! flows as the fleet is large: the packets of a flow's caller after the first earn these questions, and
-//! what all flows share is kept for questions before copies beside them are sent.
+//! After a scale-in by a third of a service, the flows of a neighbouring balancer may arrive here
+//! in the middle of long answers. Each of them needs one query for every upstream of its ranking
+//! that is gone, and the number of flows grows with the fleet. Each packet of a flow's caller after
+//! the first therefore pays for a query of that flow, and half of the shared budget is reserved for
+//! queries; copies may not use it.
 
 use crate::policy::Policy;
 
-/// Packets of its own that a balancer may save up for a moment in which many flows need them: a
-/// neighbour has gone, and its flows come here at once.
+/// Extra packets that a balancer may save up for a moment in which many flows need them at once, as
+/// when it takes over the flows of a neighbour.
 const BURST_MAX: u32 = 400;
-/// Packets of these that are kept for questions; copies beside them are sent from the others.
+/// Extra packets that are reserved for search queries; copies use only the rest.
 const RESERVED_FOR_SEARCH: u32 = BURST_MAX / 2;
-/// Packets of callers that earn one of its own. Few of a calm balancer's packets need a second way,
-/// and a tenth more is what any link bears.
+/// Tokens that an extra packet costs; each packet of a caller adds one token. Few packets of an
+/// unloaded balancer need a retransmission, and any link has room for a tenth more.
 const TOKENS_PER_PACKET: u32 = 10;
 
-/// What is left to send.
+/// Token bucket for extra packets.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Budget {
-    /// In tokens of a packet: `TOKENS_PER_PACKET` are a whole one.
+    /// An extra packet costs `TOKENS_PER_PACKET`.
     tokens: u32,
     bounded: bool,
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Self::with(Policy::default())
+        Self::with_policy(Policy::default())
     }
 }
 
 impl Budget {
     /// A full budget.
-    pub(super) fn with(policy: Policy) -> Self {
+    pub(super) fn with_policy(policy: Policy) -> Self {
         Self { tokens: BURST_MAX * TOKENS_PER_PACKET, bounded: policy.budget }
     }
 
-    /// A caller's packet has come.
+    /// Adds a token for a caller's packet.
     pub(super) fn credit(&mut self) {
         self.tokens = (self.tokens + 1).min(BURST_MAX * TOKENS_PER_PACKET);
     }
 
-    /// Whether no copies may be sent now: what is left is for questions, each of which leads a search on.
+    /// Whether copies are suspended: the remaining tokens are reserved for queries, each of which
+    /// advances a search.
     pub(super) fn is_low(&self) -> bool {
         self.bounded && self.tokens <= RESERVED_FOR_SEARCH * TOKENS_PER_PACKET
     }
 
-    /// Whether a copy may be sent beside a question; if so, it counts as sent.
+    /// Whether a copy may be sent in addition to a query; if so, takes its tokens.
     pub(super) fn try_spend_on_copy(&mut self) -> bool {
         !self.is_low() && self.try_spend()
     }
 
-    /// Whether a packet of the own may be sent; if so, it counts as sent.
+    /// Whether an extra packet may be sent; if so, takes its tokens.
     pub(super) fn try_spend(&mut self) -> bool {
         let left = self.tokens.checked_sub(TOKENS_PER_PACKET);
         self.tokens = left.unwrap_or(self.tokens);
--- a/crates/steering/src/edge/candidates.rs
+++ b/crates/steering/src/edge/candidates.rs
@@ -1,8 +1,8 @@
 //! Which upstreams may hold a flow, and in which order they are asked.
 //!
-//! Load pattern: a route has just left a service, callers go on with flows that are open there, and
-//! the fabric hands them to balancers that do not know them. The first ranks of the services before
-//! come right after those of the present ones, so that such a flow is found in a few steps.
+//! After a route has left a service, callers continue flows that are open there, and the fabric may
+//! hand them to balancers that do not know them. The first ranks of the former services come right
+//! after those of the current ones, so that such a flow is found in a few steps.
 
 use std::cmp::Reverse;
 
@@ -19,11 +19,11 @@
     current: Vec<ServiceStamp>,
     /// Those that its route has left.
     former: Vec<ServiceStamp>,
-    /// Where its route may have left others: those that routes of the same address lead to. They belong
-    /// to the same client account.
+    /// Services that its route may have left without this balancer's knowledge: those of routes
+    /// with the same address. They belong to the same client account.
     suspected: Vec<ServiceStamp>,
-    /// Where its route may have left others: those that no route leads to any more. They may be another
-    /// client account's, so that they are not asked.
+    /// Services that its route may have left without this balancer's knowledge: those that no route
+    /// leads to any more. They may belong to another client account, so they are not asked.
     unrouted: Vec<ServiceStamp>,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Upstreams that may hold a flow, best guess first.
+/// Upstreams that may hold a flow, most likely first.
 pub(super) fn candidates(view: &View, flow: FlowKey, now_ms: Millis) -> Vec<Upstream> {
     let services = Services::of(view, flow, now_ms);
     let mut candidates = ranked(view, flow, now_ms, &services.current);
@@ -57,7 +57,7 @@
     candidates
 }
 
-/// Whether a flow may be open where nobody looks.
+/// Whether a flow may be open at an upstream of an unrouted service, which no search asks.
 pub(super) fn may_be_at_unrouted_service(view: &View, flow: FlowKey, now_ms: Millis) -> bool {
     let services = Services::of(view, flow, now_ms);
     services.unrouted.iter().any(|service| !view.upstreams_of(*service).is_empty())
--- a/crates/steering/src/edge/flows.rs
+++ b/crates/steering/src/edge/flows.rs
@@ -1,4 +1,4 @@
-//! The balancer's table of flows: a shortcut, bounded, and forgotten without harm.
+//! The balancer's flow table: a bounded cache whose entries can be lost without harm.
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -6,70 +6,73 @@
 use super::visits::Visits;
 use crate::flow::{FlowKey, Millis, Segment};
 
-/// Most flows remembered. With 120 bytes each this is 8 MB, far above today's need.
+/// Maximum number of flows in the table: 8 MB at 120 bytes each, far above the present load.
 pub const FLOWS_MAX: usize = 65_536;
-/// A flow without packets for this long is forgotten; finding it again costs some round trips.
+/// A flow without packets for this long is removed; finding it again costs a few round trips.
 const IDLE_TIMEOUT_MS: Millis = 30_000;
-/// A flow that a caller has ended is forgotten after this time, so that late packets still find it.
+/// A flow that its caller has closed is removed after this time, so that late packets still find
+/// it.
 const CLOSING_TIMEOUT_MS: Millis = 2_000;
-/// After this time without a further denial, what upstreams denied says nothing any more. Counted
-/// from the first denial of a search, it would end no search that takes longer.
+/// Denials expire this long after the latest one. If they expired this long after the first one, a
+/// search that takes longer would never end.
 const DENIAL_TTL_MS: Millis = 1_000;
-/// A packet with the same data that comes again after this time is taken as repeated because
-/// nobody answered; the callers' first pause is 200 ms.
+/// Data that arrives again after this time counts as retransmitted for lack of an answer; callers
+/// first retransmit after 200 ms.
 const RETRANSMISSION_MIN_MS: Millis = 150;
-/// Repetitions without an answer after which an upstream is doubted: 1.4 s after the first sending,
+/// Unanswered retransmissions after which an upstream is suspected: 1.4 s after the first packet,
 /// twice as long as a request waits beside its upstream.
 const RETRANSMISSIONS_MAX: u32 = 3;
-/// Questions that a caller's packets earn at most for their flow.
+/// Most queries that the packets of a flow's caller can pay for in advance.
 const SEARCH_CREDIT_MAX: u8 = 8;
-/// Pause between two looks for flows to forget.
+/// Interval between two removals of expired flows.
 const SWEEP_INTERVAL_MS: Millis = 1_000;
 
-/// What is known about a flow.
+/// State of a flow.
 #[derive(Debug, Default)]
 pub(super) struct Entry {
-    /// Where its packets go.
+    /// The upstream that gets its packets.
     pub(super) target: Option<Ipv4Addr>,
-    /// Whether the upstream there has answered on this flow.
+    /// Whether that upstream has answered on this flow.
     pub(super) confirmed: bool,
-    /// Sequence number of the opening, if it was seen.
+    /// Sequence number of the opening, if this balancer received it.
     pub(super) sequence: Option<u32>,
-    /// Until when the opening may be refused if every upstream returns it.
+    /// Until when the opening may be reset if every upstream denies it.
     pub(super) resettable_until_ms: Millis,
-    /// Upstreams that do not hold the flow, or did not take its opening, in order.
+    /// Upstreams that do not hold the flow, or did not take its opening, sorted.
     denials: Vec<Ipv4Addr>,
-    /// Whether one of them was taken for another service's: the packet did not reach it.
+    /// Whether one of them did not get the packet, which was addressed to another service than its
+    /// own.
     inconclusive_denial: bool,
-    /// Whether the upstream that answered takes packets without a word, so that the flow may be anywhere.
+    /// Whether the upstream that answered the opening has stopped answering, so that the flow may
+    /// be at any other.
     suspected: bool,
-    /// How often the caller has repeated its data without an answer.
+    /// How often the caller has retransmitted its latest data.
     retransmissions: u32,
-    /// Upstreams that have answered the opening, with their numbers.
+    /// Upstreams that have answered the opening, with their sequence numbers.
     answers: Vec<(Ipv4Addr, u32)>,
-    /// Upstreams at which it was looked for.
+    /// Upstreams that were searched for the flow.
     pub(super) visits: Visits,
-    /// Since when packets go to the present target.
+    /// Since when packets go to the current target.
     target_since_ms: Option<Millis>,
-    /// Where the opening went first, and when, until there is a word from there.
+    /// Where the opening was sent first, and when; cleared by the first reply from there.
     awaited_reply: Option<(Ipv4Addr, Millis)>,
-    /// Whether these are denials of the opening.
+    /// Whether `denials` are denials of the opening.
     opening_denied: bool,
-    /// When the last of them said so.
+    /// Time of the latest denial.
     denied_ms: Millis,
     expires_ms: Millis,
     last_data: Option<(u32, Millis)>,
-    /// Questions that its caller's packets after the first have earned.
+    /// Queries that the packets of its caller after the first have paid for.
     search_credit: u8,
 }
 
 impl Entry {
-    /// Begins anew for another opening of the same flow.
+    /// Starts over for another opening of the same flow.
     pub(super) fn reset_for_opening(&mut self, sequence: u32) {
         *self = Self { sequence: Some(sequence), expires_ms: self.expires_ms, ..Self::default() };
     }
 
-    /// Notes that the upstream at `address` is asked.
+    /// Makes the upstream at `address` the target and records a query to it.
     pub(super) fn ask(&mut self, now_ms: Millis, address: Ipv4Addr) {
         if self.target != Some(address) {
             self.target = Some(address);
@@ -79,18 +82,18 @@
         self.visits.ask(now_ms, address);
     }
 
-    /// Notes when the opening went out for the first time.
+    /// Records when and where the opening was sent first.
     pub(super) fn await_first_reply(&mut self, now_ms: Millis, address: Ipv4Addr) {
         self.awaited_reply = Some((address, now_ms));
     }
 
-    /// Time since the opening went to the upstream at `address`, if it speaks for the first time.
+    /// Time since the opening was sent to the upstream at `address`, if this is its first reply.
     pub(super) fn take_round_trip(&mut self, now_ms: Millis, address: Ipv4Addr) -> Option<Millis> {
         let (_, asked_ms) = self.awaited_reply.take_if(|(awaited, _)| *awaited == address)?;
         Some(now_ms.saturating_sub(asked_ms))
     }
 
-    /// Notes that the upstream at `address` did not take the flow's opening.
+    /// Records that the upstream at `address` did not take the flow's opening.
     pub(super) fn record_opening_denial(&mut self, address: Ipv4Addr, now_ms: Millis) {
         if !std::mem::replace(&mut self.opening_denied, true) {
             self.clear_denials();
@@ -98,35 +101,35 @@
         self.push_denial(address, now_ms);
     }
 
-    /// Notes that the upstream at `address` does not hold the flow.
+    /// Records that the upstream at `address` does not hold the flow.
     pub(super) fn record_denial(&mut self, address: Ipv4Addr, now_ms: Millis) {
         self.forget_opening_denials();
         self.push_denial(address, now_ms);
     }
 
-    /// Forgets who did not take the opening.
+    /// Clears the denials of the opening.
     ///
-    /// One that was silent may have taken it after all.
+    /// An upstream that did not reply in time may have taken the opening after all.
     pub(super) fn forget_opening_denials(&mut self) {
         if std::mem::take(&mut self.opening_denied) {
             self.clear_denials();
         }
     }
 
-    /// Forgets all denials.
+    /// Clears all denials.
     pub(super) fn clear_denials(&mut self) {
         self.denials.clear();
         self.inconclusive_denial = false;
     }
 
-    /// Notes that the upstream at `address` got nothing, and may hold the flow: it was asked for
-    /// another service than it runs.
+    /// Records that the packet was not delivered at `address`, since the upstream there runs
+    /// another service than the addressed one. It may still hold the flow.
     pub(super) fn record_wrong_service(&mut self, address: Ipv4Addr, now_ms: Millis) {
         self.record_denial(address, now_ms);
         self.inconclusive_denial = true;
     }
 
-    /// Whether some denial proves nothing.
+    /// Whether the denials include one that does not prove the flow's absence.
     pub(super) fn has_inconclusive_denial(&self) -> bool {
         self.inconclusive_denial
     }
@@ -143,15 +146,16 @@
         }
     }
 
-    /// Forgets denials that are too old to prove anything.
+    /// Clears denials that are too old to prove anything.
     pub(super) fn forget_old_denials(&mut self, now_ms: Millis) {
         if now_ms.saturating_sub(self.denied_ms) >= DENIAL_TTL_MS {
             self.clear_denials();
         }
     }
 
-    /// Doubts an upstream that answered before and takes packets without a word now: it may hold the
-    /// flow half open only. It keeps getting the flow's packets, and others get copies.
+    /// Marks the target as suspected if it answered before and now receives packets without
+    /// replying: the flow may be only half open there. The target still gets the flow's packets,
+    /// and other upstreams get copies.
     pub(super) fn suspect_if_unresponsive(&mut self) {
         if self.retransmissions >= RETRANSMISSIONS_MAX {
             self.confirmed = false;
@@ -159,19 +163,20 @@
         }
     }
 
-    /// Takes the word of the flow's upstream.
+    /// Clears the suspicion after a reply from the flow's upstream.
     pub(super) fn clear_suspicion(&mut self) {
         self.retransmissions = 0;
         self.suspected = false;
     }
 
-    /// Whether the flow lives at one of those that got its opening from here, as far as is known.
+    /// Whether the flow is, as far as is known, at one of the upstreams to which this balancer sent
+    /// its opening.
     pub(super) fn is_opened_here(&self) -> bool {
         self.sequence.is_some() && !self.suspected
     }
 
-    /// Asks no upstream any more that is not listed, unless it has answered on this flow: its entry
-    /// went because it is gone, and the flow is elsewhere or lost.
+    /// Clears a target that is no longer listed, unless it has answered on this flow. Its entry was
+    /// removed because the upstream is gone, so the flow is elsewhere or lost.
     pub(super) fn drop_unlisted_target(&mut self, is_listed: impl FnOnce(Ipv4Addr) -> bool) {
         let asked = self.target.filter(|_| !self.confirmed);
         if asked.is_some_and(|address| !is_listed(address)) {
@@ -179,15 +184,15 @@
         }
     }
 
-    /// Notes that the upstream at `address` has answered the opening with this number.
+    /// Records that the upstream at `address` has answered the opening with this sequence number.
     pub(super) fn record_answer(&mut self, address: Ipv4Addr, sequence: u32) {
         self.answers.retain(|(answered, _)| *answered != address);
         self.answers.push((address, sequence));
     }
 
-    /// Decides between several upstreams that have answered the opening: the flow is open at the one
-    /// whose number the caller acknowledges. The others keep a half-open flow, and take its packets
-    /// without a word.
+    /// Decides between several upstreams that have answered the opening: the flow is open at the
+    /// one whose sequence number the caller acknowledges. The others keep a half-open flow and
+    /// accept its packets without answering.
     pub(super) fn resolve_answers(&mut self, acknowledged: u32) {
         if self.answers.len() < 2 {
             return;
@@ -205,23 +210,26 @@
         self.denials.binary_search(&address).is_ok()
     }
 
-    /// Whether the upstream that is asked has said nothing for so long that the packets that nobody
-    /// answers should go to others as well.
+    /// Whether the target has not replied for so long that packets to which no answer is due should
+    /// go to other upstreams as well.
     ///
-    /// A caller that takes a long answer sends bare acknowledgements only, which nobody answers.
+    /// A caller that receives a long answer sends only bare acknowledgements, which are never
+    /// answered.
     fn is_unanswered(&self, now_ms: Millis) -> bool {
-        let waits_since = self.target_since_ms.filter(|_| !self.confirmed);
-        waits_since.is_some_and(|since_ms| now_ms.saturating_sub(since_ms) >= RETRANSMISSION_MIN_MS)
+        let unconfirmed_since = self.target_since_ms.filter(|_| !self.confirmed);
+        unconfirmed_since
+            .is_some_and(|since_ms| now_ms.saturating_sub(since_ms) >= RETRANSMISSION_MIN_MS)
     }
 
-    /// Spends a question that the caller's packets have earned, if there is one.
+    /// Takes one query that the caller's packets have paid for, if there is one.
     pub(super) fn take_search_credit(&mut self) -> bool {
         let left = self.search_credit.checked_sub(1);
         self.search_credit = left.unwrap_or(0);
         left.is_some()
     }
 
-    /// Notes a packet and says whether the same came before, some time ago: nobody has answered it.
+    /// Records a packet and returns whether the flow lacks an answer: the packet is a
+    /// retransmission, or a bare acknowledgement while the target has not replied for long.
     pub(super) fn record_packet(&mut self, now_ms: Millis, segment: &Segment) -> bool {
         let is_first = self.visits.asked_count() == 0;
         self.search_credit = (self.search_credit + u8::from(!is_first)).min(SEARCH_CREDIT_MAX);
@@ -241,7 +249,7 @@
     }
 }
 
-/// All flows known.
+/// All known flows.
 #[derive(Default)]
 pub(super) struct FlowTable {
     entries: HashMap<FlowKey, Entry>,
@@ -249,8 +257,8 @@
 }
 
 impl FlowTable {
-    /// The entry of a flow, new if there is none. A full table starts anew: entries are shortcuts,
-    /// and a flood must not cost more than that.
+    /// The entry of a flow, created if there is none. A full table is emptied: entries are only a
+    /// cache, and a flood of flows must not cost more than that.
     pub(super) fn entry(&mut self, flow: FlowKey, now_ms: Millis) -> &mut Entry {
         if self.entries.len() >= FLOWS_MAX && !self.entries.contains_key(&flow) {
             self.entries = HashMap::new();
@@ -265,14 +273,14 @@
         self.entries.get_mut(&flow)
     }
 
-    /// Forgets a flow soon.
+    /// Lets a closed flow expire soon.
     pub(super) fn expire_soon(&mut self, flow: FlowKey, now_ms: Millis) {
         if let Some(entry) = self.entries.get_mut(&flow) {
             entry.expires_ms = now_ms + CLOSING_TIMEOUT_MS;
         }
     }
 
-    /// Forgets what is old.
+    /// Removes expired flows.
     pub(super) fn expire(&mut self, now_ms: Millis) {
         if now_ms.saturating_sub(self.last_sweep_ms) < SWEEP_INTERVAL_MS {
             return;
--- a/crates/steering/src/edge/lag.rs
+++ b/crates/steering/src/edge/lag.rs
@@ -1,16 +1,16 @@
-//! How far this process is behind the packets that come to it.
+//! Measures how far this process lags behind the packets that it receives.
 //!
-//! An agent answers within a millisecond, and upstreams answer or return an opening at once. Where
-//! even the fastest word of all agents takes long, it is not they who are slow: packets wait at this
-//! instance's link or in its socket. What looks like silence then is a backlog, and each packet sent
-//! for it makes the backlog longer.
+//! Agents reply within a millisecond, and upstreams answer or return an opening at once. If even
+//! the fastest reply of all agents takes long, the agents are not the cause: packets are queued at
+//! this instance's link or in its socket. Replies that seem to be missing are then in the backlog,
+//! and each packet sent because of them makes the backlog longer.
 
 use crate::flow::Millis;
 
-/// Time over which the shortest round trip is taken: long enough for some words at little traffic,
-/// and short enough to notice a backlog within a second.
+/// Length of the window over which the shortest round trip is taken: long enough for several
+/// replies under low traffic, and short enough to detect a backlog within a second.
 const WINDOW_MS: Millis = 500;
-/// Round trips without which a window says nothing: a few may all have met one slow upstream.
+/// A window with fewer round trips is ignored: all of them may have met one slow upstream.
 const SAMPLES_MIN: u32 = 5;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -19,7 +19,7 @@
     samples: u32,
 }
 
-/// The shortest round trips of this window and of the one before.
+/// The shortest round trips of the current window and of the previous one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Lag {
     current: Window,
@@ -28,7 +28,7 @@
 }
 
 impl Lag {
-    /// Takes the time from a packet to an agent until that agent's word.
+    /// Records the time between a packet to an agent and the agent's reply.
     pub(super) fn record(&mut self, now_ms: Millis, round_trip_ms: Millis) {
         self.rotate(now_ms);
         let window = &mut self.current;
@@ -37,7 +37,7 @@
         window.samples += 1;
     }
 
-    /// How far this process is behind; zero if nothing says that it is.
+    /// The lag of this process; zero if there is no evidence of any.
     pub(super) fn value_ms(&mut self, now_ms: Millis) -> Millis {
         self.rotate(now_ms);
         let known = [self.current, self.previous].into_iter().filter(|w| w.samples >= SAMPLES_MIN);
--- a/crates/steering/src/edge/loads.rs
+++ b/crates/steering/src/edge/loads.rs
@@ -1,4 +1,4 @@
-//! What a balancer knows about the load and the silence of each upstream.
+//! What a balancer knows about the load and the responsiveness of each upstream.
 
 use std::net::Ipv4Addr;
 
@@ -6,39 +6,40 @@
 use crate::policy::Policy;
 use crate::view::{Upstream, View, ZoneStamp};
 
-/// After this time a report says nothing about the present load; requests take tens of milliseconds.
+/// A load report expires after this time; requests take tens of milliseconds.
 const REPORT_TTL_MS: Millis = 500;
-/// How long an upstream that left an opening unanswered is passed over. Doubled each time, so that one
-/// that is gone costs little. Agents that were killed are back within half a second: passed over for longer,
-/// they leave the rush after an outage to the others.
+/// First time for which an upstream that left an opening unanswered is skipped. It doubles each
+/// time, so that an upstream that is gone costs little. Agents that were killed are back within
+/// half a second: if they were skipped for longer, the other upstreams would take all of the load
+/// after an outage.
 const SUSPECT_BACKOFF_MS: Millis = 200;
-/// Longest time for which a silent upstream is passed over.
+/// Longest time for which an unresponsive upstream is skipped.
 const SUSPECT_BACKOFF_MAX_MS: Millis = 1_600;
-/// Longest time for which an agent's word keeps openings from a cold upstream, and from one that only
-/// its agent takes for cold.
+/// Longest time for which an agent's report keeps openings away from an upstream that is known to
+/// be cold, and from one that only its agent considers cold.
 const RATE_LIMIT_MAX_MS: Millis = 5_000;
 const RATE_LIMIT_WARM_MAX_MS: Millis = 1_000;
-/// How much a starting upstream's load weighs, in halves: it works 1.6 times as long per request.
+/// Weight of a cold upstream's load, in halves: it needs 1.6 times as long per request.
 const COLD_WEIGHT: u32 = 3;
 const WARM_WEIGHT: u32 = 2;
 
 #[derive(Clone, Copy, Debug)]
 struct Load {
     address: Ipv4Addr,
-    /// The upstream's life: of another one, nothing here is true.
+    /// The upstream's incarnation; the entry is discarded when it changes.
     born_ms: u64,
     busy: u32,
     placed: u32,
     updated_ms: Millis,
     suspect_until_ms: Millis,
     suspect_backoff_ms: Millis,
-    /// Until when it takes no opening, since it is cold.
+    /// Until when it takes no openings because it is cold.
     rate_limited_until_ms: Millis,
-    /// Whether it was known to be cold then.
+    /// Whether the view listed it as cold when the limit was reported.
     rate_limited_while_cold: bool,
 }
 
-/// Loads by address.
+/// Loads, sorted by address.
 #[derive(Default)]
 pub(super) struct LoadTable {
     loads: Vec<Load>,
@@ -48,22 +49,22 @@
 }
 
 impl LoadTable {
-    /// Nothing is known of any upstream.
-    pub(super) fn with(policy: Policy) -> Self {
+    /// A table without any loads.
+    pub(super) fn with_policy(policy: Policy) -> Self {
         Self { policy, ..Self::default() }
     }
 
-    /// Prefers upstreams of this availability zone.
+    /// Sets the availability zone whose upstreams are preferred.
     pub(super) fn set_zone(&mut self, zone: ZoneStamp) {
         self.zone = zone;
     }
 
-    /// Whether an upstream is in another availability zone: bodies that cross zones cost, and take longer.
+    /// Whether an upstream is in another availability zone, where bodies cost more and take longer.
     pub(super) fn is_in_other_zone(&self, upstream: &Upstream) -> bool {
         self.policy.zone_affinity && upstream.zone != self.zone
     }
 
-    /// Takes a report: `busy` requests are at work.
+    /// Records a report that `busy` requests are in progress.
     pub(super) fn record_report(
         &mut self,
         now_ms: Millis,
@@ -79,7 +80,7 @@
         load.suspect_backoff_ms = 0;
     }
 
-    /// Notes that a flow was placed.
+    /// Records that a flow was placed.
     pub(super) fn record_placement(&mut self, now_ms: Millis, view: &View, address: Ipv4Addr) {
         let load = self.entry(view, address);
         if now_ms.saturating_sub(load.updated_ms) >= REPORT_TTL_MS {
@@ -90,7 +91,7 @@
         load.placed += 1;
     }
 
-    /// Notes that an opening stayed unanswered.
+    /// Records that an opening was not answered.
     pub(super) fn record_no_reply(&mut self, now_ms: Millis, view: &View, address: Ipv4Addr) {
         let load = self.entry(view, address);
         if load.suspect_until_ms > now_ms {
@@ -101,7 +102,7 @@
         load.suspect_until_ms = now_ms + load.suspect_backoff_ms;
     }
 
-    /// Notes that a cold upstream takes no opening for so long.
+    /// Records that a cold upstream takes no openings for this long.
     pub(super) fn record_rate_limit(
         &mut self,
         now_ms: Millis,
@@ -110,22 +111,23 @@
         for_ms: Millis,
     ) {
         let is_cold = view.upstream_at(address).is_some_and(|upstream| upstream.is_cold(now_ms));
-        let most_ms = if is_cold { RATE_LIMIT_MAX_MS } else { RATE_LIMIT_WARM_MAX_MS };
+        let max_ms = if is_cold { RATE_LIMIT_MAX_MS } else { RATE_LIMIT_WARM_MAX_MS };
         let load = self.entry(view, address);
-        load.rate_limited_until_ms = now_ms + for_ms.min(most_ms);
+        load.rate_limited_until_ms = now_ms + for_ms.min(max_ms);
         load.rate_limited_while_cold = is_cold;
     }
 
-    /// Whether a cold upstream takes no opening now. What was said while it was cold ends with that.
+    /// Whether a cold upstream takes no openings at present. A limit that was reported while it was
+    /// cold ends when it is no longer cold.
     pub(super) fn is_rate_limited(&self, now_ms: Millis, upstream: &Upstream) -> bool {
-        let holds = |load: &Load| {
+        let is_in_force = |load: &Load| {
             let is_over = load.rate_limited_while_cold && !upstream.is_cold(now_ms);
             load.rate_limited_until_ms > now_ms && !is_over
         };
-        self.find(upstream).is_some_and(holds)
+        self.find(upstream).is_some_and(is_in_force)
     }
 
-    /// Whether an upstream is passed over.
+    /// Whether an upstream is skipped because it did not answer.
     pub(super) fn is_suspect(&self, now_ms: Millis, upstream: &Upstream) -> bool {
         self.policy.suspicion
             && self.find(upstream).is_some_and(|load| load.suspect_until_ms > now_ms)
--- a/crates/steering/src/edge/mod.rs
+++ b/crates/steering/src/edge/mod.rs
@@ -1,9 +1,9 @@
-//! A balancer's decisions: where each packet of a caller goes, and what follows when an agent
+//! Decisions of a balancer: where each packet of a caller goes, and what follows when an agent
 //! returns it.
 //!
-//! The table of flows is a shortcut only. A balancer without an entry asks the upstreams of the
-//! service one after the other, in an order that all balancers share; an upstream that does not
-//! hold the flow returns the packet, and the one that holds it says so once.
+//! The flow table is only a cache. A balancer without an entry asks the upstreams of the service
+//! one after the other, in a ranking that all balancers share. An upstream that does not hold the
+//! flow returns the packet; the agent of the one that holds it reports so once.
 
 mod budget;
 mod candidates;
@@ -36,16 +36,17 @@
 use reach::Reach;
 pub use types::{Action, AgentReply, Counters, Destination, Reason, Trust, Verdict};
 
-/// A balancer looks after its flows at least every 60 ms; after this time without, it was paused.
+/// A balancer expires flows at least every 60 ms. A longer gap than this means that the process was
+/// paused.
 const PAUSE_THRESHOLD_MS: Millis = 300;
-/// Time in which a process that was paused works off the packets that have waited meanwhile: its socket
-/// holds some hundreds, and each takes well under 0.1 ms.
+/// Time that a paused process needs to work through the packets queued meanwhile: its socket holds
+/// a few hundred, and each takes well under 0.1 ms.
 const BACKLOG_DRAIN_MS: Millis = 100;
-/// Behind by this much, a balancer takes silence for its own backlog. A calm round trip takes under
-/// 5 ms, and the first repetition comes after 60.
+/// From this lag on, a balancer attributes missing replies to its own backlog. An unloaded round
+/// trip takes under 5 ms, and the first retransmission follows after 60.
 const LAG_THRESHOLD_MS: Millis = 40;
-/// An upstream that has been silent for this long, beside an agent that lives, counts as one that
-/// denies. Upstreams answer at once or return the packet.
+/// An upstream that has been unresponsive for this long, while its agent is alive, counts as one
+/// that denies the flow: upstreams answer at once or return the packet.
 const UNRESPONSIVE_AS_DENIAL_MS: Millis = 400;
 
 /// The state of a balancer.
@@ -65,24 +66,24 @@
 }
 
 impl Edge {
-    /// A balancer with this policy.
+    /// A balancer core with this policy.
     pub fn with_policy(policy: Policy) -> Self {
         Self {
             policy,
-            loads: LoadTable::with(policy),
-            budget: Budget::with(policy),
+            loads: LoadTable::with_policy(policy),
+            budget: Budget::with_policy(policy),
             ..Self::default()
         }
     }
 
-    /// The same in this availability zone.
+    /// Sets the balancer's own availability zone.
     #[must_use]
     pub fn in_zone(mut self, zone: ZoneStamp) -> Self {
         self.loads.set_zone(zone);
         self
     }
 
-    /// Decides about a packet of a caller; `bytes` is the packet itself.
+    /// Decides about a caller's packet; `bytes` is the whole packet.
     pub fn on_packet(
         &mut self,
         now_ms: Millis,
@@ -104,12 +105,12 @@
         self.note_requests(now_ms, view, segment.flow, &actions[before..]);
     }
 
-    /// Notes how far the list of upstreams can be trusted from now on.
+    /// Sets how far the list of upstreams can be trusted from now on.
     pub fn set_trust(&mut self, trust: Trust) {
         self.trust = trust;
     }
 
-    /// Takes what an agent says about a packet; the packet itself comes along.
+    /// Handles an agent's reply about a packet; the reply carries the packet itself.
     pub fn on_agent_reply(
         &mut self,
         now_ms: Millis,
@@ -156,14 +157,15 @@
         self.note_requests(now_ms, view, segment.flow, &actions[before..]);
     }
 
-    /// Whether a packet of the own may be sent.
+    /// Whether the budget allows one more packet beyond the callers' own; if not, counts it as
+    /// suppressed.
     fn try_spend_budget(&mut self) -> bool {
-        let may = self.budget.try_spend();
-        self.counters.suppressed += u64::from(!may);
-        may
+        let allowed = self.budget.try_spend();
+        self.counters.suppressed += u64::from(!allowed);
+        allowed
     }
 
-    /// Notes who owes a word.
+    /// Records the agents from which a reply is expected.
     fn note_requests(&mut self, now_ms: Millis, view: &View, flow: FlowKey, actions: &[Action]) {
         if !self.policy.reach {
             return;
@@ -175,32 +177,33 @@
         }
     }
 
-    /// Repeats packets that nobody has answered, to other upstreams first, and forgets what is old.
-    /// Each action goes with the packet that it is about.
+    /// Retransmits packets that nobody has answered, to other upstreams first, and removes expired
+    /// flows. Each action is paired with the packet that it applies to.
     pub fn on_tick(&mut self, now_ms: Millis, view: &View, actions: &mut Vec<(Arc<[u8]>, Action)>) {
         self.detect_pause(now_ms);
         let repeats = self.policy.repeats && !self.is_lagging(now_ms);
         let due = if repeats { self.pending.take_due(now_ms) } else { Vec::new() };
         for due in due {
-            let mut own = Vec::new();
+            let mut retries = Vec::new();
             match due.segment.kind {
-                SegmentKind::Opening { .. } => self.retry_opening(now_ms, view, &due, &mut own),
-                SegmentKind::Later => self.retry_search(now_ms, view, &due, &mut own),
+                SegmentKind::Opening { .. } => self.retry_opening(now_ms, view, &due, &mut retries),
+                SegmentKind::Later => self.retry_search(now_ms, view, &due, &mut retries),
                 SegmentKind::Reset => {}
             }
-            self.note_requests(now_ms, view, due.segment.flow, &own);
-            actions.extend(own.into_iter().map(|action| (Arc::clone(&due.packet), action)));
+            self.note_requests(now_ms, view, due.segment.flow, &retries);
+            actions.extend(retries.into_iter().map(|action| (Arc::clone(&due.packet), action)));
         }
         self.flows.expire(now_ms);
     }
 
-    /// Agents that are to be asked whether they live, since they owe a word.
+    /// Agents to ping now, because replies from them are missing.
     pub fn take_pings(&mut self, now_ms: Millis, view: &View) -> Vec<Ipv4Addr> {
         if self.policy.pings { self.reach.take_pings(now_ms, view) } else { Vec::new() }
     }
 
-    /// After a pause of the process, packets that have waited come before any news: upstreams may have
-    /// started meanwhile, and entries gone. Nothing is proven until the view was confirmed again.
+    /// Detects a pause of the process. Afterwards, queued packets are read before any update of the
+    /// view, so upstreams may have started and entries may have lapsed unnoticed. Until the view is
+    /// confirmed again, no flow counts as lost.
     fn detect_pause(&mut self, now_ms: Millis) {
         if now_ms.saturating_sub(self.last_called_ms) >= PAUSE_THRESHOLD_MS {
             self.resumed_ms = now_ms;
@@ -214,25 +217,25 @@
         self.flows.len()
     }
 
-    /// Bytes of packets that are kept to be sent once more.
+    /// Bytes of the packets kept for retransmission.
     pub fn kept_bytes(&self) -> usize {
         self.pending.bytes()
     }
 
-    /// Whether silence says nothing now, since the answers may wait where this process has not read
-    /// yet.
+    /// Whether missing replies mean nothing at present, since they may still wait unread in this
+    /// process.
     ///
-    /// Repetitions and searches for words that are only late would make the backlog longer.
+    /// Retransmissions and searches for replies that are only late would lengthen the backlog.
     fn is_lagging(&mut self, now_ms: Millis) -> bool {
         self.policy.lag && self.lag.value_ms(now_ms) >= LAG_THRESHOLD_MS
     }
 
-    /// How far this process is behind the packets that come to it.
+    /// Delay with which this process reads its packets.
     pub fn lag_ms(&mut self, now_ms: Millis) -> Millis {
         self.lag.value_ms(now_ms)
     }
 
-    /// What this balancer has done so far.
+    /// What this balancer has done since its start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
--- a/crates/steering/src/edge/openings.rs
+++ b/crates/steering/src/edge/openings.rs
@@ -1,5 +1,5 @@
-//! New flows: where their openings go, once more when nobody answers, and elsewhere when one is
-//! returned.
+//! New flows: where their openings are sent, when they are retransmitted, and where they go after a
+//! denial.
 
 use super::flows::Entry;
 use super::pending::Due;
@@ -10,7 +10,7 @@
 use crate::view::View;
 use std::net::Ipv4Addr;
 
-/// When a caller repeats an opening; any balancer may get the copy.
+/// When a caller retransmits an opening; any balancer may receive the copy.
 const CALLER_RETRANSMIT_MS: Millis = 200;
 
 impl Edge {
@@ -35,13 +35,13 @@
         let entry = self.flows.entry(segment.flow, now_ms);
         if entry.sequence != Some(segment.sequence) {
             entry.reset_for_opening(segment.sequence);
-            let waited =
+            let queued =
                 self.resumed_ms > 0 && now_ms.saturating_sub(self.resumed_ms) < BACKLOG_DRAIN_MS;
             let first = segment.kind == SegmentKind::Opening { copy: 0 };
-            let in_time = first && !waited && !lagging;
+            let in_time = first && !queued && !lagging;
             entry.resettable_until_ms = if in_time { now_ms + CALLER_RETRANSMIT_MS } else { 0 };
         }
-        let copied = entry.target.is_some();
+        let already_sent = entry.target.is_some();
         if let (Some(to), true) = (entry.target, entry.confirmed) {
             let to = Destination::of(now_ms, view, segment.flow, to, service);
             actions.push(Action::Forward { to, ask: true, reason: Reason::Known });
@@ -59,9 +59,9 @@
                 return;
             }
         };
-        let reason = if copied { Reason::Replaced } else { Reason::Placed };
+        let reason = if already_sent { Reason::Replaced } else { Reason::Placed };
         entry.ask(now_ms, to);
-        if !copied {
+        if !already_sent {
             entry.await_first_reply(now_ms, to);
         }
         self.loads.record_placement(now_ms, view, to);
@@ -84,8 +84,8 @@
         let Some(service) = service_of(view, flow) else { return };
         let Some(entry) = self.flows.get(flow) else { return };
         entry.resettable_until_ms = 0;
-        if let Some(silent) = entry.target {
-            self.loads.record_no_reply(now_ms, view, silent);
+        if let Some(unresponsive) = entry.target {
+            self.loads.record_no_reply(now_ms, view, unresponsive);
         }
         let placement = Placement { now_ms, view, loads: &self.loads };
         let Ok(to) = placement.place(service, flow, entry) else { return };
@@ -105,7 +105,7 @@
     ) {
         let flow = segment.flow;
         let entry = self.flows.entry(flow, now_ms);
-        // An upstream that holds the flow takes no second opening of it.
+        // An upstream that holds the flow does not accept a second opening of it.
         if entry.confirmed {
             return;
         }
@@ -129,14 +129,15 @@
     }
 }
 
-/// Whether an opening that cannot be placed for this reason is rejected without asking any upstream.
+/// Whether an opening that cannot be placed for this reason is rejected without asking any
+/// upstream.
 fn is_final(reason: Reason) -> bool {
     matches!(reason, Reason::ZoneClosed | Reason::ColdLimit | Reason::RegionNotAllowed)
 }
 
-/// The answer to an opening that no upstream takes. Only a first copy that came in time and was not
-/// sent on after a silence is reset, and only until its caller repeats it: the flow of any other may be open
-/// by now.
+/// The action for an opening that no upstream takes. A reset is sent only for the first copy of an
+/// opening, if it arrived in time and this balancer did not retransmit it, and only until the
+/// caller does. In all other cases the flow may be open by now.
 fn reject(now_ms: Millis, entry: &mut Entry, reason: Reason) -> Action {
     if now_ms < std::mem::take(&mut entry.resettable_until_ms) {
         return Action::Reset { reason };
--- a/crates/steering/src/edge/pending.rs
+++ b/crates/steering/src/edge/pending.rs
@@ -1,22 +1,23 @@
-//! Packets that no upstream has answered yet, kept so that they can be sent once more.
+//! Packets that no upstream has answered yet, kept for retransmission.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::flow::{FlowKey, Millis, Segment, SegmentKind};
 
-/// First pause before a packet goes to another upstream. A calm round trip takes under 5 ms; the
-/// rest is room for a busy instance. Callers repeat after 200 ms, most of the time that they have.
+/// Time before a packet is first retransmitted to another upstream. An unloaded round trip takes
+/// under 5 ms; the rest is a margin for a busy instance. Waiting for the caller's own
+/// retransmission after 200 ms would use up most of the caller's time.
 pub const RETRANSMIT_AFTER_MS: Millis = 60;
-/// The same for data: an upstream that holds the flow says nothing before its answer, which takes most
-/// of this time or less.
+/// The same for data. An upstream that holds the flow sends nothing before its answer, which
+/// usually takes less than this.
 const RETRANSMIT_DATA_AFTER_MS: Millis = 150;
-/// Longest pause: each repetition doubles it up to here.
+/// Longest time between retransmissions; it doubles from one to the next up to here.
 const RETRANSMIT_MAX_MS: Millis = 120;
-/// A caller gives an opening up after this time, and repeats data with longer and longer pauses.
+/// After this time callers give up an opening, and retransmit data at ever longer intervals.
 const PENDING_TTL_MS: Millis = 1_400;
-/// Bytes kept at most. A request has some hundred bytes, so this is room for about a thousand;
-/// further packets are repeated by their callers only.
+/// Maximum number of bytes kept. A request has a few hundred bytes, so this is room for about a
+/// thousand; further packets are retransmitted only by their callers.
 pub const PENDING_BYTES_MAX: usize = 256 << 10;
 
 #[derive(Debug)]
@@ -28,14 +29,14 @@
     expires_ms: Millis,
 }
 
-/// A packet that is to be sent once more.
+/// A packet that is due for retransmission.
 #[derive(Debug)]
 pub(super) struct Due {
     pub(super) packet: Arc<[u8]>,
     pub(super) segment: Segment,
 }
 
-/// One packet a flow.
+/// The pending packets, at most one for each flow.
 #[derive(Debug, Default)]
 pub(super) struct PendingTable {
     packets: HashMap<FlowKey, Pending>,
@@ -43,8 +44,8 @@
 }
 
 impl PendingTable {
-    /// Keeps a packet until its flow is answered. One that waits already stays: it is the older one,
-    /// and the newer ones are of no use before it.
+    /// Keeps a packet until its flow is answered. A packet that is already pending stays, since it
+    /// is the older one and newer ones are of no use without it.
     pub(super) fn insert(&mut self, now_ms: Millis, segment: &Segment, packet: &[u8]) {
         if self.packets.contains_key(&segment.flow) || self.bytes + packet.len() > PENDING_BYTES_MAX
         {
@@ -70,14 +71,14 @@
         self.bytes
     }
 
-    /// Forgets the packet of a flow that was answered or given up.
+    /// Removes the packet of a flow that was answered or given up.
     pub(super) fn remove(&mut self, flow: FlowKey) {
         if let Some(pending) = self.packets.remove(&flow) {
             self.bytes -= pending.packet.len();
         }
     }
 
-    /// The packets whose time has come; those that are too old are forgotten.
+    /// The packets that are due; those that are too old are removed.
     pub(super) fn take_due(&mut self, now_ms: Millis) -> Vec<Due> {
         if self.packets.is_empty() {
             return Vec::new();
@@ -98,7 +99,7 @@
                 Due { packet: Arc::clone(&pending.packet), segment: pending.segment }
             })
             .collect();
-        // The table's own order changes from run to run.
+        // The iteration order of the map varies between runs.
         due.sort_by_key(|due| due.segment.flow);
         due
     }
--- a/crates/steering/src/edge/placement.rs
+++ b/crates/steering/src/edge/placement.rs
@@ -1,4 +1,4 @@
-//! Where a new flow goes.
+//! Chooses the upstream of a new flow.
 
 use std::cmp::Reverse;
 use std::net::Ipv4Addr;
@@ -11,8 +11,9 @@
 use crate::rank;
 use crate::view::{ServiceStamp, Standing, Upstream, View};
 
-/// Upstreams of the first ranks among which load decides. More would spread flows further from
-/// their first rank, and a balancer without memory would ask longer.
+/// Number of first-ranked upstreams among which the load decides. With more, flows would be spread
+/// further from their first rank, and a balancer without an entry would need more queries to find
+/// them.
 pub(super) const PLACEMENT_RANKS: usize = 3;
 
 /// The service of a flow's endpoint.
@@ -20,7 +21,7 @@
     view.routes.find(flow.endpoint)?.service_of(flow)
 }
 
-/// What a placement goes by, besides the flow.
+/// What a placement depends on, besides the flow.
 pub(super) struct Placement<'a> {
     pub(super) now_ms: Millis,
     pub(super) view: &'a View,
@@ -28,8 +29,8 @@
 }
 
 impl Placement<'_> {
-    /// Chooses the upstream of a new flow among those that did not deny it; one that was asked before
-    /// comes only after all others. Where there is none, the reason.
+    /// Chooses the upstream of a new flow among those that did not deny it; upstreams that were
+    /// already asked come after all others. If there is none, returns the reason.
     pub(super) fn place(
         &self,
         service: ServiceStamp,
@@ -57,8 +58,8 @@
         best.map(|upstream| upstream.address).ok_or(Reason::Unknown)
     }
 
-    /// Upstreams that may take the flow now. Each step leaves out some; the first that leaves none
-    /// is the reason.
+    /// Upstreams that may take the flow at present. Each step removes some; the first step that
+    /// removes all of them determines the reason.
     fn eligible_upstreams(
         &self,
         service: ServiceStamp,
@@ -80,8 +81,8 @@
         keep_or_reason(free, Reason::Refused, |upstream| !entry.has_denied(upstream.address))
     }
 
-    /// Those that are ready. All entries of a service go at once only when the list itself had a
-    /// fault: then the ones that went without notice.
+    /// The ready upstreams; if there are none, those whose entries lapsed without a drain. All
+    /// entries of a service lapse at once only if the list itself is at fault.
     fn ready_or_missing<'a>(&self, upstreams: Vec<&'a Upstream>) -> Vec<&'a Upstream> {
         let (ready, others): (Vec<&Upstream>, Vec<&Upstream>) =
             upstreams.into_iter().partition(|upstream| upstream.standing == Standing::Ready);
@@ -95,7 +96,7 @@
     }
 }
 
-/// Leaves out some upstreams; if these were all there were, that is the reason for placing nothing.
+/// Removes some upstreams; if none is left, returns the reason why nothing can be placed.
 fn keep_or_reason(
     upstreams: Vec<&Upstream>,
     reason: Reason,
--- a/crates/steering/src/edge/reach.rs
+++ b/crates/steering/src/edge/reach.rs
@@ -1,14 +1,14 @@
-//! Which agents say anything at all.
+//! Detects agents that do not reply at all.
 //!
-//! Load pattern: all instances lose power, and some do not come back. Their entries stay listed
-//! until they lapse, eight seconds later. Until then, every flow that is lost might live there: no
-//! search ends, each is begun anew with every repetition, and callers wait for a word until their
-//! time is up.
+//! If all instances lose power and some do not come back, their entries stay listed until they
+//! lapse eight seconds later. Until then every lost flow could be at one of them, so that no search
+//! would end, each retransmission would start another one, and callers would wait until their
+//! timeout.
 //!
-//! An agent that lives answers every packet that wants a word within 100 ms, also where its
-//! upstream is dead or at work for long. What is learnt from one flow's silence is used for all: an
-//! agent that owes a word is pinged, one that is quiet gets one packet now and then in place of every
-//! flow's, and after a while counts as out of reach.
+//! A running agent replies within 100 ms to every packet that asks for a reply, even if its
+//! upstream is dead or busy for long. A missing reply on one flow is therefore evidence for all
+//! flows: an agent that owes replies is pinged; an unresponsive one gets only a single packet from
+//! time to time instead of those of every flow, and after a while counts as unreachable.
 
 use std::net::Ipv4Addr;
 
@@ -16,52 +16,56 @@
 use crate::rank;
 use crate::view::View;
 
-/// Flows without a word before an agent is quiet: packets get lost, and an upstream that is at work
-/// for one flow may hold up that flow's word.
+/// Flows without a reply from which an agent counts as unresponsive: packets get lost, and an
+/// upstream that is busy with one flow may delay the reply on it.
 const UNANSWERED_FLOWS_MIN: usize = 4;
-/// Time without a word before an agent is quiet. It answers within a few milliseconds; the rest is
-/// room for an instance with a small share of a processor.
+/// Time without a reply after which an agent counts as unresponsive. It replies within a few
+/// milliseconds; the rest is a margin for an instance with a small share of a processor.
 const UNRESPONSIVE_AFTER_MS: Millis = 150;
-/// Pause between two packets for a quiet agent. One that is back is noticed that much later.
+/// Interval between two packets to an unresponsive agent, which bounds the delay until its return
+/// is noticed.
 const PROBE_INTERVAL_MS: Millis = 100;
-/// Time without a word before an agent is out of reach. One that is stopped and started again is back
+/// Time without a reply after which an agent counts as unreachable. A restarted agent is back
 /// within half a second, and callers of long flows wait for a few seconds.
 const UNREACHABLE_AFTER_MS: Millis = 1_000;
-/// Time in which an agent that lives says something.
+/// Time in which a running agent replies.
 const REPLY_TIMEOUT_MS: Millis = 60;
-/// A packet without a word that went out before this time proves nothing: the agent may be back.
+/// Unanswered packets older than this are no evidence: the agent may have come back since.
 const EVIDENCE_MAX_AGE_MS: Millis = 500;
-/// After this time without a packet to it, an agent is judged anew. Callers repeat after 1.6 s at
-/// the latest.
+/// The record of an agent is discarded if no packet was sent to it for this long. Callers
+/// retransmit after at most 1.6 s.
 const RECORD_TTL_MS: Millis = 1_700;
-/// Pings without a word that count as much as that many flows: agents answer them at once, whatever
-/// their upstream is doing.
+/// Unanswered pings that count as much as that many flows: agents answer pings at once, whatever
+/// their upstream does.
 const UNANSWERED_PINGS_MIN: u32 = 3;
-/// Pause between two pings of an agent that owes a word, and of one that is out of reach.
+/// Interval between two pings to an agent that owes a reply, and to an unreachable one.
 const PING_INTERVAL_MS: Millis = 100;
 const PING_UNREACHABLE_INTERVAL_MS: Millis = 400;
-/// Pings sent at a time. Ticks come every 20 ms; a hundred pings a second cost a balancer 6.4 KB.
+/// Maximum number of pings for each tick. Ticks come every 20 ms; a hundred pings a second cost a
+/// balancer 6.4 KB.
 const PINGS_PER_TICK: usize = 2;
-/// Of so many agents, one may be out of reach without putting this balancer's own way in doubt.
+/// One agent out of this many may be unreachable; if more are, this balancer's own connection is
+/// suspected.
 const AGENTS_PER_UNREACHABLE: usize = 3;
 
 #[derive(Clone, Copy, Debug)]
 struct Agent {
     address: Ipv4Addr,
-    /// The life of the upstream beside it: a new one starts with its instance.
+    /// The incarnation of its upstream; it changes when the instance restarts.
     born_ms: u64,
-    /// Hashes of flows whose packets are without a word.
+    /// Hashes of flows with unanswered packets.
     unanswered: [u64; UNANSWERED_FLOWS_MIN],
     unanswered_count: usize,
-    /// Since when there are so many flows without a word that something is wrong.
+    /// When the latest of these flows was added.
     since_ms: Millis,
-    /// Pings without a word, and since when there is one.
+    /// Number of unanswered pings, and the time of the first of them.
     unanswered_pings: u32,
     first_ping_ms: Millis,
     last_ping_ms: Millis,
-    /// When it was asked last.
+    /// When the latest packet was sent to it.
     last_request_ms: Millis,
-    /// The first time it was asked of those that are not overdue yet, and the one before that.
+    /// Start of the current round of packets, which lasts for the reply timeout, and of the
+    /// previous one.
     round_ms: Millis,
     previous_round_ms: Millis,
 }
@@ -120,14 +124,15 @@
     }
 }
 
-/// Agents that owe a word, by address.
+/// Agents with missing replies, sorted by address.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Reach {
     agents: Vec<Agent>,
 }
 
 impl Reach {
-    /// Notes that a packet of this flow that wants a word went to the agent at `address`.
+    /// Records that a packet of this flow, which asks for a reply, was sent to the agent at
+    /// `address`.
     pub(super) fn record_request(
         &mut self,
         now_ms: Millis,
@@ -164,14 +169,14 @@
         agent.record_unanswered(now_ms, rank::flow_hash(flow));
     }
 
-    /// Notes that the agent at `address` has said something.
+    /// Records a reply of the agent at `address`.
     pub(super) fn record_reply(&mut self, address: Ipv4Addr) {
         if let Ok(index) = self.find(address) {
             self.agents.remove(index);
         }
     }
 
-    /// Agents to be pinged now: those that have owed a word for a while, in turn.
+    /// Agents to ping now, those with the oldest ping first.
     pub(super) fn take_pings(&mut self, now_ms: Millis, view: &View) -> Vec<Ipv4Addr> {
         let is_listed = |agent: &Agent| {
             let upstream = view.upstream_at(agent.address);
@@ -186,31 +191,33 @@
         due.into_iter().map(|agent| agent.address).collect()
     }
 
-    /// Forgets all silence: this process was paused, and words may wait unread.
+    /// Forgets all missing replies: this process was paused, and replies may wait unread.
     pub(super) fn clear(&mut self) {
         self.agents.clear();
     }
 
-    /// Whether the agent at `address` leaves packets without a word.
+    /// Whether the agent at `address` leaves packets unanswered.
     pub(super) fn is_unresponsive(&self, now_ms: Millis, address: Ipv4Addr) -> bool {
         let for_ms = self.agent(address).and_then(|agent| agent.unresponsive_for(now_ms));
         for_ms.is_some_and(|for_ms| for_ms >= UNRESPONSIVE_AFTER_MS)
     }
 
-    /// Whether the agent at `address` has been quiet for so long that its upstream answers nobody.
+    /// Whether the agent at `address` has been unresponsive for so long that its upstream serves
+    /// nobody.
     pub(super) fn is_unreachable(&self, now_ms: Millis, address: Ipv4Addr) -> bool {
         self.agent(address).is_some_and(|agent| agent.is_unreachable(now_ms))
     }
 
-    /// Whether a quiet agent may get a packet now.
+    /// Whether a packet may be sent to an unresponsive agent now.
     pub(super) fn may_probe(&self, now_ms: Millis, address: Ipv4Addr) -> bool {
         let agent = self.agent(address);
         agent.is_some_and(|agent| now_ms.saturating_sub(agent.last_request_ms) >= PROBE_INTERVAL_MS)
     }
 
-    /// Whether so few of these agents are out of reach that it is they who are gone.
+    /// Whether so few of these agents are unreachable that the fault is on their side.
     ///
-    /// Where many are, this balancer is cut off, and their flows live on through its neighbours.
+    /// If many are unreachable, this balancer is cut off, and their flows continue through its
+    /// neighbours.
     pub(super) fn is_small_share(unreachable: usize, all: usize) -> bool {
         unreachable * AGENTS_PER_UNREACHABLE <= all
     }
--- a/crates/steering/src/edge/search.rs
+++ b/crates/steering/src/edge/search.rs
@@ -1,9 +1,9 @@
-//! Packets of open flows: where they go, how their upstream is looked for, and when a flow counts
+//! Packets of open flows: where they go, how their upstream is searched for, and when a flow counts
 //! as lost.
 //!
-//! Every upstream that may hold the flow is asked, one after the other, until one answers. A flow is lost
-//! when each of them has denied it, or is out of reach for all flows; the proof is a [`Step`], and
-//! nothing else leads to a reset.
+//! Every upstream that may hold the flow is asked, one after the other, until one answers. A flow
+//! is lost when each of them has denied it or is unreachable for all flows. [`Step::Absent`] is the
+//! proof, and nothing else leads to a reset.
 
 use std::net::Ipv4Addr;
 
@@ -17,29 +17,30 @@
 use crate::flow::{FlowKey, Millis, Segment};
 use crate::view::{Upstream, View};
 
-/// Copies of a repeated packet that go to further upstreams at once.
+/// Maximum number of upstreams that get a copy of a retransmitted packet at once.
 const COPIES_MAX: usize = 3;
-/// Upstreams up to which all packets of a flow follow the search. Most flows live at one of the
-/// first ranks, and what is dropped on the way there comes again 200 ms later; further on, each
-/// packet would be a search of its own.
+/// Number of asked upstreams up to which every denied packet of a flow is forwarded to the current
+/// target. Most flows are at one of the first ranks, and a packet dropped on the way there would be
+/// retransmitted only 200 ms later. Beyond the first ranks, forwarding each packet would amount to
+/// a separate search for each.
 const FORWARDED_WITHIN: u64 = 3;
 
-/// Upstreams that are asked one after the other. Nearly all flows live at one of these.
+/// Number of upstreams that are asked one at a time. Nearly all flows are at one of these.
 const SEQUENTIAL_ASKS: u64 = 6;
-/// Most upstreams that are asked at once by a search that has gone on for longer: in so few packets, it
-/// leaves room on a thin link.
+/// Maximum number of upstreams that a longer search asks at once; so few packets do not fill a slow
+/// link.
 const PARALLEL_ASKS_MAX: u64 = 16;
 
-/// What a search does next.
+/// Next step of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// This upstream is asked.
+    /// Ask this upstream.
     Ask(Ipv4Addr),
-    /// This quiet upstream is asked on behalf of all flows.
+    /// Probe this unresponsive upstream on behalf of all flows.
     Probe(Ipv4Addr),
-    /// All that are left are quiet, and were asked lately.
+    /// Wait: all remaining upstreams were asked recently or are unresponsive.
     Wait,
-    /// Nobody holds the flow, as far as the list names all upstreams.
+    /// No upstream holds the flow, provided that the list is complete.
     Absent,
 }
 
@@ -47,20 +48,21 @@
 #[derive(Clone, Copy, Debug)]
 struct LaterPacket {
     flow: FlowKey,
-    /// Whether the caller has sent it before, and nobody has answered.
+    /// Whether the caller has sent it before without an answer.
     repeated: bool,
 }
 
-/// Where a flow is looked for.
+/// A search for the upstream of a flow.
 struct Search<'a> {
     now_ms: Millis,
-    /// Upstreams that may hold the flow, best guess first.
+    /// Upstreams that may hold the flow, most likely first.
     candidates: Vec<Upstream>,
     reach: &'a Reach,
-    /// Whether silence may stand for a denial: this process is not behind, and the flow's caller
-    /// asks anew after a reset.
+    /// Whether a missing reply may count as a denial: this process does not lag, and the flow's
+    /// caller repeats its request after a reset.
     ///
-    /// A request that must not be sent twice may have run at an upstream that comes back.
+    /// Otherwise a request that must not run twice could already have run at an upstream that comes
+    /// back.
     treats_no_reply_as_denial: bool,
 }
 
@@ -71,9 +73,10 @@
         Self { now_ms, candidates, reach, treats_no_reply_as_denial: repeatable && !lagging }
     }
 
-    /// What becomes of a packet that may have a target already.
+    /// The next step for a packet whose flow may have a target.
     ///
-    /// A target that is lost may have held the flow half open only, so that all others are asked first.
+    /// If the target is unreachable, the flow may have been only half open there, so all others are
+    /// asked first.
     fn step(&self, entry: &Entry) -> Step {
         match entry.target {
             Some(target) if !self.is_unreachable(target) => Step::Ask(target),
@@ -81,8 +84,8 @@
         }
     }
 
-    /// The same for a packet of the caller's own: where one that may hold the flow is heard, the packet
-    /// goes there although it was asked a moment ago.
+    /// The step for a packet that came from the caller: it is sent to a responsive upstream that
+    /// may hold the flow, even if that upstream was asked a moment ago.
     fn step_for_caller(&self, entry: &Entry, step: Step) -> Step {
         if step != Step::Wait {
             return step;
@@ -95,7 +98,7 @@
             .map_or(step, |upstream| Step::Ask(upstream.address))
     }
 
-    /// Upstreams that may hold the flow: those that are quiet, and those that are heard.
+    /// Upstreams that may hold the flow: the unresponsive and the responsive ones.
     fn undenied(&self, entry: &Entry) -> (Vec<&Upstream>, Vec<&Upstream>) {
         let open = self.candidates.iter().filter(|upstream| !entry.has_denied(upstream.address));
         open.partition(|upstream| self.reach.is_unresponsive(self.now_ms, upstream.address))
@@ -123,8 +126,8 @@
             .map_or(Step::Wait, |upstream| Step::Probe(upstream.address))
     }
 
-    /// Upstreams that are asked beside the one at `to`: the next ones of a search that has asked many,
-    /// and one that should have answered.
+    /// Upstreams to ask in parallel with the one at `to`: the next ones if the search has already
+    /// asked many, and one whose reply is overdue.
     fn parallel_asks(&self, entry: &Entry, to: Ipv4Addr) -> (Vec<Ipv4Addr>, Option<Ipv4Addr>) {
         let is_open = |upstream: &&Upstream| {
             may_be_copied(self.now_ms, upstream, Some(to), entry, self.reach)
@@ -137,7 +140,8 @@
         (next, overdue)
     }
 
-    /// Whether the upstream at this address is out of reach, and it is not this balancer that is.
+    /// Whether the upstream at this address is unreachable, and the fault is not on this balancer's
+    /// side.
     fn is_unreachable(&self, address: Ipv4Addr) -> bool {
         let is_unreachable = |address| self.reach.is_unreachable(self.now_ms, address);
         if !self.treats_no_reply_as_denial || !is_unreachable(address) {
@@ -166,14 +170,15 @@
         let repeated = entry.record_packet(now_ms, segment);
         entry.drop_unlisted_target(|address| view.upstream_at(address).is_some());
         let step = match entry.target {
-            // Most packets go where the last one went; ranking all upstreams is for the others.
+            // Most packets go to the same target as the previous one, so that upstreams need not be
+            // ranked.
             Some(target) if !repeated => Step::Ask(target),
             _ => {
                 entry.forget_old_denials(now_ms);
                 let search = Search::new(now_ms, view, flow, &self.reach, lagging);
-                // No copies may be sent: the caller's own repetitions look for the flow instead.
-                let copies_fail = !entry.confirmed && self.budget.is_low();
-                let step = if copies_fail { search.next_step(entry) } else { search.step(entry) };
+                // No copies may be sent, so the caller's own retransmissions advance the search.
+                let no_copies = !entry.confirmed && self.budget.is_low();
+                let step = if no_copies { search.next_step(entry) } else { search.step(entry) };
                 search.step_for_caller(entry, step)
             }
         };
@@ -185,7 +190,8 @@
             Step::Wait => actions.push(Action::Drop { reason: Reason::Unknown }),
             Step::Absent => return self.reset_if_proven_lost(now_ms, view, flow, actions),
         }
-        // Copies of a known flow's packets would find nothing: its upstream is slow, or dead with it.
+        // Copies are useless once the flow's upstream is known: it is slow, or has died with the
+        // flow.
         let confirmed = self.flows.get(flow).is_some_and(|entry| entry.confirmed);
         if repeated && !confirmed && !lagging {
             self.send_copies(now_ms, view, flow, actions);
@@ -221,11 +227,11 @@
         actions.push(Action::Forward { to, ask, reason });
     }
 
-    /// The upstream that is asked is silent: it is down, starts just now, is at work, or its agent
-    /// is one of these. The search goes on to one that was not asked yet, and whose denial leads to
-    /// the next; the silent ones get copies from time to time. Asked again soon, the flow is found
-    /// or proven lost as soon as they answer; the caller's own repetition may come a second later,
-    /// too late for its request.
+    /// Advances the search for a flow whose target does not reply: the upstream or its agent is
+    /// down, starting or busy. The search continues with an upstream that was not asked yet, whose
+    /// denial leads to the next one; the unresponsive ones get copies from time to time. With such
+    /// early retries, the flow is found or proven lost as soon as they reply. The caller's own
+    /// retransmission may come a second later, too late for its request.
     pub(super) fn retry_search(
         &mut self,
         now_ms: Millis,
@@ -242,8 +248,8 @@
         } else {
             search.next_step(entry)
         };
-        // A flow is given up also where nothing more may be sent for it. Probes have a bound of
-        // their own.
+        // A flow can be given up even if the budget is spent. Probes have a rate limit of their
+        // own.
         match step {
             Step::Absent => self.reset_if_proven_lost(now_ms, view, flow, actions),
             Step::Ask(to) if entry.take_search_credit() || self.try_spend_budget() => {
@@ -259,9 +265,10 @@
         }
     }
 
-    /// One search at a time: only a denial of the upstream that is asked leads to the next. Denials of
-    /// copies are noted; if each led on, searches would multiply, and packets wander away from an
-    /// upstream that holds the flow and is at work.
+    /// Handles a denial of an open flow's packet. There is one search at a time: only a denial by
+    /// the current target leads to the next upstream, and denials of copies are only recorded. If
+    /// each of them advanced the search, searches would multiply, and packets would move away from
+    /// an upstream that holds the flow and is busy.
     pub(super) fn on_later_denied(
         &mut self,
         now_ms: Millis,
@@ -314,10 +321,10 @@
         actions.push(Action::Forward { to, ask: true, reason: Reason::Asked });
     }
 
-    /// Sends copies of a packet that nobody answers to upstreams that did not deny the flow, but
-    /// for the one that is asked: the flow's upstream may be behind an agent or a link that is
-    /// dead, or the entry may be wrong. One that should have answered comes first, since packets get lost;
-    /// then those that never got one, and those that got theirs longest ago.
+    /// Sends copies of an unanswered packet to upstreams that did not deny the flow, other than the
+    /// target: the flow's upstream may be behind a dead agent or link, or the entry may be wrong.
+    /// An upstream whose reply is overdue comes first, since packets get lost; then those that
+    /// never got a packet, and then those whose latest packet is the oldest.
     fn send_copies(
         &mut self,
         now_ms: Millis,
@@ -371,7 +378,7 @@
     }
 }
 
-/// Whether a copy of a packet that goes to `target` may go to this upstream as well.
+/// Whether this upstream may get a copy of a packet that goes to `target`.
 fn may_be_copied(
     now_ms: Millis,
     upstream: &Upstream,
@@ -383,9 +390,10 @@
     Some(address) != target && !entry.has_denied(address) && !reach.is_unresponsive(now_ms, address)
 }
 
-/// The upstream to ask next. If the flow's opening went through here, it lives at one of those that
-/// got a copy; otherwise those that were asked have not answered, and others come first, before all
-/// those that got nothing yet. Of those that were asked there is none while they have time to answer.
+/// The most likely upstream to ask next. If this balancer sent the flow's opening, the flow is at
+/// one of the upstreams that got it. Otherwise those that were asked have not answered, and the
+/// others come first, beginning with those that got no packet at all. Upstreams that were asked and
+/// still have time to reply are not returned in that case.
 fn likeliest<'a>(open: &[&'a Upstream], entry: &Entry) -> Option<&'a Upstream> {
     let asked = |upstream: &&&Upstream| entry.visits.has_asked(upstream.address);
     let untried = |upstream: &&&Upstream| entry.visits.last_sent_ms(upstream.address).is_none();
--- a/crates/steering/src/edge/types.rs
+++ b/crates/steering/src/edge/types.rs
@@ -1,53 +1,55 @@
-//! What goes in and out of a balancer's decisions.
+//! Inputs and outputs of a balancer's decisions.
 
 use std::net::Ipv4Addr;
 
 use crate::flow::{FlowKey, Millis};
 use crate::view::{ServiceStamp, View};
 
-/// A view that nobody has confirmed for this long proves nothing by what it lacks: this balancer may
-/// be cut off, and flows may live at upstreams that it has never heard of. A reader hears from the
-/// configuration service every 2.5 s, all others from a reader twice a second.
+/// What is missing from a view that has not been confirmed for this long proves nothing: this
+/// balancer may be cut off, and flows may be open at upstreams that it does not know. Balancers
+/// that read the configuration service get an update from it every 2.5 s; all others get one from a
+/// reader twice a second.
 const CONFIRMED_MS: Millis = 5_000;
 
-/// What an agent says about a packet that it got.
+/// An agent's reply about a packet that it received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The upstream answers on this flow; `busy` requests are at work there.
+    /// The upstream answers on this flow and has `busy` requests in progress.
     Held {
-        /// Requests at work.
+        /// Requests in progress.
         busy: u8,
-        /// The number with which the upstream has answered an opening, if that is what it did.
+        /// The sequence number with which the upstream answered an opening, if it answered one.
         opening_sequence: Option<u32>,
     },
-    /// The agent lives, and has handed on what it got; its upstream has not answered yet.
+    /// The agent is alive and has delivered the packet; its upstream has not answered yet.
     Alive,
     /// The upstream does not hold the flow, or cannot take it.
     Denied,
-    /// The packet was meant for another service than the one whose upstream is there; it got nothing.
+    /// The packet was addressed to another service than the upstream's, and was not delivered.
     WrongService {
-        /// The service that it runs.
+        /// The service that the upstream runs.
         service: ServiceStamp,
     },
-    /// The upstream is cold and has taken as many openings as it bears.
+    /// The upstream is cold and has taken as many openings as its limit allows.
     RateLimited {
-        /// How long to send it no further one.
+        /// How long to send it no further opening.
         for_ms: Millis,
     },
-    /// The upstream has answered nothing for that long; the packet went to it all the same.
+    /// The upstream has not answered anything for this long; the packet was delivered nevertheless.
     Unresponsive {
-        /// How long it has been silent.
+        /// How long it has been unresponsive.
         for_ms: Millis,
     },
 }
 
-/// How far the list of upstreams can be trusted to name all that may hold a flow.
+/// How far the list of upstreams can be trusted to contain all that may hold a flow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Trust {
-    /// When the view was last confirmed by whoever reads the configuration service.
+    /// When the view was last confirmed by a balancer that reads the configuration service.
     pub confirmed_ms: Millis,
-    /// From when on the list counts as whole: right after an outage of the configuration service, and
-    /// until other balancers could tell of one, it may lack upstreams that live.
+    /// From when on the list counts as complete. Right after an outage of the configuration
+    /// service, and until other balancers could have reported one, running upstreams may be missing
+    /// from it.
     pub complete_from_ms: Millis,
 }
 
@@ -58,60 +60,60 @@
     }
 }
 
-/// A verdict and the instance whose agent gave it.
+/// An agent's verdict, and the instance that the agent runs on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgentReply {
     /// Address of the agent's instance.
     pub from: Ipv4Addr,
-    /// What it says.
+    /// The verdict.
     pub verdict: Verdict,
 }
 
-/// Why something was done, for logs and metrics.
+/// Why an action was taken, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
     /// A new flow was placed.
     Placed,
-    /// An opening went to another upstream, since one denied it or stayed silent.
+    /// An opening went to another upstream, because one denied it or did not reply.
     Replaced,
     /// The flow's upstream is known.
     Known,
-    /// The flow's upstream is being looked for.
+    /// The flow's upstream is being searched for.
     Asked,
-    /// No route leads from the endpoint.
+    /// No route exists for the endpoint.
     NoRoute,
     /// All upstreams deny the opening.
     Refused,
     /// All upstreams that are ready are in closed availability zones.
     ZoneClosed,
-    /// All upstreams that could take the opening are cold, and have taken as many as they bear.
+    /// All upstreams that could take the opening are cold and have reached their limit.
     ColdLimit,
     /// No upstream is in a region that the route allows.
     RegionNotAllowed,
-    /// All upstreams deny the flow.
+    /// Every upstream that may hold the flow denies it or is unreachable.
     Lost,
-    /// Nothing is known about routes or upstreams, or a proof is missing.
+    /// Neither routes nor upstreams are known, or the proof for a reset is incomplete.
     Unknown,
 }
 
-/// An agent and what it is told with a packet.
+/// An agent, and what the balancer passes to it with a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Destination {
     /// Address of the agent's instance.
     pub address: Ipv4Addr,
-    /// The service whose upstream may take the packet.
+    /// The service whose upstream may receive the packet.
     pub service: ServiceStamp,
-    /// Requests that the upstream works on at a time; zero if not known.
+    /// Requests that the upstream processes at a time; zero if not known.
     pub slots: u8,
-    /// Time within which the flow's caller wants an answer; zero if not known.
+    /// Time within which the flow's caller expects an answer; zero if not known.
     pub slo_ms: u32,
-    /// How many of these times the caller waits, one of [`crate::view::WAIT_STEPS_SLOS`].
+    /// How many times that long the caller waits, one of [`crate::view::WAIT_STEPS_SLOS`].
     pub wait_slos: u8,
-    /// Whether the flow's requests go before others.
+    /// Whether the flow's requests have priority over others.
     pub urgent: bool,
     /// Whether this balancer knows that the upstream takes no new flows.
     pub turns_away: bool,
-    /// Openings that a cold upstream bears in a thousand seconds; zero if they are not limited.
+    /// Openings that a cold upstream takes in a thousand seconds; zero if they are not limited.
     pub limit_per_ks: u32,
     /// Whether this balancer knows that the upstream is cold.
     pub cold: bool,
@@ -145,41 +147,41 @@
     }
 }
 
-/// What is to be done.
+/// What the caller of the core is to do with a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send the packet at hand to the agent at `to`.
+    /// Send the current packet to the agent at `to`.
     Forward {
         /// The agent.
         to: Destination,
-        /// Whether the agent is to say so when its upstream answers.
+        /// Whether the agent is to report when its upstream answers.
         ask: bool,
         /// Why.
         reason: Reason,
     },
-    /// Tell the caller that the flow does not exist.
+    /// Reset the flow at the caller: it does not exist.
     Reset {
         /// Why.
         reason: Reason,
     },
-    /// Nothing more is done with the packet.
+    /// Drop the packet.
     Drop {
         /// Why.
         reason: Reason,
     },
 }
 
-/// What the balancer has done since its start, for its metrics.
+/// Counts since the start, for the metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Flows without memory that were found.
+    /// Flows without an entry in the table that were found.
     pub flows_found: u64,
-    /// Upstreams that were asked one after the other until these were found.
+    /// Upstreams that were asked until these flows were found.
     pub upstreams_asked: u64,
-    /// Copies of unanswered packets beside the upstream that is asked.
+    /// Copies of unanswered packets that were sent to further upstreams.
     pub copies: u64,
-    /// Packets that were not sent once more, since too many had been.
+    /// Retransmissions that the budget did not allow.
     pub suppressed: u64,
-    /// Packets that came back from upstreams that do not hold their flows.
+    /// Packets that were returned because the upstream does not hold the flow.
     pub denials: u64,
 }
--- a/crates/steering/src/edge/visits.rs
+++ b/crates/steering/src/edge/visits.rs
@@ -1,30 +1,30 @@
-//! Which upstreams a search for a flow has been at, and when one may get a packet once more.
+//! Which upstreams a search has sent packets to, and when each may get another one.
 
 use std::net::Ipv4Addr;
 
 use crate::flow::Millis;
 
-/// First and longest pause before an upstream that has not answered is asked once more by a search that
-/// has gone on: it denies or returns within a few milliseconds, and packets get lost.
+/// First and longest time before a search that has moved on asks an unresponsive upstream again. An
+/// upstream denies or returns a packet within a few milliseconds, and packets get lost.
 const RETRY_MS: Millis = 100;
 const RETRY_MAX_MS: Millis = 400;
 
-/// An upstream that got a packet of the search.
+/// An upstream to which the search has sent a packet.
 #[derive(Clone, Copy, Debug)]
 struct Visit {
     address: Ipv4Addr,
-    /// Whether the search waited for its word, not for another's only.
+    /// Whether the search asked it, rather than only sending it a copy.
     asked: bool,
     /// Whether it got a copy and has not denied the flow since.
     copied: bool,
-    /// When it got the last packet.
+    /// When the latest packet was sent to it.
     last_sent_ms: Millis,
-    /// When it may get another one, if it has not answered.
+    /// When it may get another packet if it has not replied.
     retry_at_ms: Millis,
     pause_ms: Millis,
 }
 
-/// Upstreams that got packets of a search, by address.
+/// Upstreams that got packets of a search, sorted by address.
 #[derive(Debug, Default)]
 pub(super) struct Visits {
     visits: Vec<Visit>,
@@ -32,13 +32,13 @@
 }
 
 impl Visits {
-    /// Notes that the upstream at `address` is asked.
+    /// Records that the upstream at `address` is asked.
     pub(super) fn ask(&mut self, now_ms: Millis, address: Ipv4Addr) {
         let first = !std::mem::replace(&mut self.record(now_ms, address).asked, true);
         self.asked += u64::from(first);
     }
 
-    /// Notes that the upstream at `address` is asked beside another one.
+    /// Records that the upstream at `address` is asked in parallel with another one.
     pub(super) fn ask_in_parallel(&mut self, now_ms: Millis, address: Ipv4Addr) {
         let visit = self.record(now_ms, address);
         visit.copied = true;
@@ -46,12 +46,12 @@
         self.asked += u64::from(first);
     }
 
-    /// Notes that the upstream at `address` gets a copy beside the one that is asked.
+    /// Records that the upstream at `address` gets a copy.
     pub(super) fn copy(&mut self, now_ms: Millis, address: Ipv4Addr) {
         self.record(now_ms, address).copied = true;
     }
 
-    /// Whether the upstream at `address` got a copy; it counts once.
+    /// Whether the upstream at `address` got a copy since the last call.
     pub(super) fn take_copied(&mut self, address: Ipv4Addr) -> bool {
         let index = self.find(address);
         index.is_ok_and(|index| std::mem::take(&mut self.visits[index].copied))
@@ -67,12 +67,12 @@
         self.get(address).is_some_and(|visit| visit.asked)
     }
 
-    /// Whether the upstream at `address` has had its time to answer a packet.
+    /// Whether the upstream at `address` has exceeded its time to reply to a packet.
     pub(super) fn is_overdue(&self, now_ms: Millis, address: Ipv4Addr) -> bool {
         self.get(address).is_some_and(|visit| visit.retry_at_ms <= now_ms)
     }
 
-    /// When the upstream at `address` got its last packet; nothing if it never got one.
+    /// When the latest packet was sent to the upstream at `address`; `None` if there was none.
     pub(super) fn last_sent_ms(&self, address: Ipv4Addr) -> Option<Millis> {
         self.get(address).map(|visit| visit.last_sent_ms)
     }
