--- a/crates/fuzzing/src/direct/world/packets.rs
+++ b/crates/fuzzing/src/direct/world/packets.rs
@@ -64,9 +64,12 @@
             match action {
                 Action::Forward { reason: Reason::Asked, .. }
                     if self.mutant == Some(Mutant::NeverAsked) => {}
-                Action::Forward { to, ask, .. } => {
+                Action::Forward { to, wants_report, .. } => {
                     let delay_ms = self.hop();
-                    self.at(delay_ms, Event::ToAgent { balancer, packet, to, report: ask });
+                    self.at(
+                        delay_ms,
+                        Event::ToAgent { balancer, packet, to, report: wants_report },
+                    );
                 }
                 Action::Reset { .. } => self.reset(balancer, packet),
                 Action::Drop { .. } if self.mutant == Some(Mutant::ResetWithoutProof) => {
--- a/crates/steering/src/edge/mod.rs
+++ b/crates/steering/src/edge/mod.rs
@@ -171,7 +171,7 @@
             return;
         }
         for action in actions {
-            if let Action::Forward { to, ask: true, .. } = action {
+            if let Action::Forward { to, wants_report: true, .. } = action {
                 self.reach.record_request(now_ms, view, to.address, flow);
             }
         }
--- a/crates/steering/src/edge/openings.rs
+++ b/crates/steering/src/edge/openings.rs
@@ -44,7 +44,7 @@
         let already_sent = entry.target.is_some();
         if let (Some(to), true) = (entry.target, entry.confirmed) {
             let to = Destination::of(now_ms, view, segment.flow, to, service);
-            actions.push(Action::Forward { to, ask: true, reason: Reason::Known });
+            actions.push(Action::Forward { to, wants_report: true, reason: Reason::Known });
             return;
         }
         let placement = Placement { now_ms, view, loads: &self.loads };
@@ -66,7 +66,7 @@
         }
         self.loads.record_placement(now_ms, view, to);
         let to = Destination::of(now_ms, view, segment.flow, to, service);
-        actions.push(Action::Forward { to, ask: true, reason });
+        actions.push(Action::Forward { to, wants_report: true, reason });
         self.pending.insert(now_ms, segment, bytes);
     }
 
@@ -92,7 +92,7 @@
         entry.ask(now_ms, to);
         self.loads.record_placement(now_ms, view, to);
         let to = Destination::of(now_ms, view, flow, to, service);
-        actions.push(Action::Forward { to, ask: true, reason: Reason::Replaced });
+        actions.push(Action::Forward { to, wants_report: true, reason: Reason::Replaced });
     }
 
     pub(super) fn on_opening_denied(
@@ -125,7 +125,7 @@
         entry.ask(now_ms, to);
         self.loads.record_placement(now_ms, view, to);
         let to = Destination::of(now_ms, view, flow, to, service);
-        actions.push(Action::Forward { to, ask: true, reason: Reason::Replaced });
+        actions.push(Action::Forward { to, wants_report: true, reason: Reason::Replaced });
     }
 }
 
--- a/crates/steering/src/edge/search.rs
+++ b/crates/steering/src/edge/search.rs
@@ -220,11 +220,11 @@
             return;
         };
         let entry = self.flows.entry(flow, now_ms);
-        let ask = !entry.confirmed || repeated;
+        let wants_report = !entry.confirmed || repeated;
         let reason = if entry.confirmed { Reason::Known } else { Reason::Asked };
         entry.ask(now_ms, to);
         let to = Destination::of(now_ms, view, flow, to, service);
-        actions.push(Action::Forward { to, ask, reason });
+        actions.push(Action::Forward { to, wants_report, reason });
     }
 
     /// Advances the search for a flow whose target does not reply: the upstream or its agent is
@@ -318,7 +318,7 @@
     ) {
         let Some(upstream) = view.upstream_at(to) else { return };
         let to = Destination::of(now_ms, view, flow, to, upstream.service);
-        actions.push(Action::Forward { to, ask: true, reason: Reason::Asked });
+        actions.push(Action::Forward { to, wants_report: true, reason: Reason::Asked });
     }
 
     /// Sends copies of an unanswered packet to upstreams that did not deny the flow, other than the
@@ -351,7 +351,7 @@
             }
             entry.visits.copy(now_ms, address);
             let to = Destination::of(now_ms, view, flow, address, service);
-            actions.push(Action::Forward { to, ask: true, reason: Reason::Asked });
+            actions.push(Action::Forward { to, wants_report: true, reason: Reason::Asked });
             self.counters.copies += 1;
         }
     }
--- a/crates/steering/src/edge/types.rs
+++ b/crates/steering/src/edge/types.rs
@@ -155,7 +155,7 @@
         /// The agent.
         to: Destination,
         /// Whether the agent is to report when its upstream answers.
-        ask: bool,
+        wants_report: bool,
         /// Why.
         reason: Reason,
     },
