--- a/crates/steering/src/edge/placement.rs
+++ b/crates/steering/src/edge/placement.rs
@@ -71,8 +71,8 @@
         let allowed = keep_or_reason(all, Reason::RegionNotAllowed, |upstream| {
             self.view.allows(route, upstream)
         })?;
-        let ready = self.ready_or_missing(allowed);
-        let open = keep_or_reason(ready, Reason::ZoneClosed, |upstream| {
+        let usable = self.ready_or_missing(allowed);
+        let open = keep_or_reason(usable, Reason::ZoneClosed, |upstream| {
             !self.view.is_closed(upstream.zone)
         })?;
         let free = keep_or_reason(open, Reason::ColdLimit, |upstream| {
--- a/crates/steering/src/edge/search.rs
+++ b/crates/steering/src/edge/search.rs
@@ -84,8 +84,8 @@
         }
     }
 
-    /// The step for a packet that came from the caller: it is sent to a responsive upstream that
-    /// may hold the flow, even if that upstream was asked a moment ago.
+    /// The step for a packet that came from the caller. Instead of waiting, a responsive upstream
+    /// that may hold the flow is asked, even if it was asked a moment ago.
     fn step_for_caller(&self, entry: &Entry, step: Step) -> Step {
         if step != Step::Wait {
             return step;
