--- a/crates/steering/src/edge/mod.rs
+++ b/crates/steering/src/edge/mod.rs
@@ -1,9 +1,9 @@
-//! A balancer's decisions: where each packet of a caller goes, and what follows when an agent
+//! Decisions of a balancer: where each packet of a caller goes, and what follows when an agent
 //! returns it.
 //!
-//! The table of flows is a shortcut only. A balancer without an entry asks the upstreams of the
-//! service one after the other, in an order that all balancers share; an upstream that does not
-//! hold the flow returns the packet, and the one that holds it says so once.
+//! The flow table is only a cache. A balancer without an entry asks the upstreams of the service
+//! one after the other, in a ranking that all balancers share. An upstream that does not hold the
+//! flow returns the packet; the agent of the one that holds it reports so once.
 
 mod budget;
 mod candidates;
@@ -26,27 +26,28 @@
 use crate::view::{View, ZoneStamp};
 
 use budget::Budget;
-use candidates::may_lead_to;
+use candidates::may_be_open_at;
 pub use flows::FLOWS_MAX;
 use flows::FlowTable;
 use lag::Lag;
 use loads::LoadTable;
 use pending::PendingTable;
-pub use pending::{PENDING_BYTES_MAX, REPEAT_AFTER_MS};
+pub use pending::{PENDING_BYTES_MAX, RETRANSMIT_AFTER_MS};
 use reach::Reach;
-pub use types::{Action, AgentReply, Destination, Reason, Tally, Trust, Verdict};
+pub use types::{Action, AgentReply, Counters, Destination, Reason, Trust, Verdict};
 
-/// A balancer looks after its flows at least every 60 ms; after this time without, it was paused.
-const PAUSE_MS: Millis = 300;
-/// Time in which a process that was paused works off the packets that have waited meanwhile: its socket
-/// holds some hundreds, and each takes well under 0.1 ms.
-const BACKLOG_MS: Millis = 100;
-/// Behind by this much, a balancer takes silence for its own backlog. A calm round trip takes under
-/// 5 ms, and the first repetition comes after 60.
-const BEHIND_MS: Millis = 40;
-/// An upstream that has been silent for this long, beside an agent that lives, counts as one that
-/// denies. Upstreams answer at once or return the packet.
-const SILENCE_PROVES_MS: Millis = 400;
+/// A balancer expires flows at least every 60 ms. A longer gap than this means that the process was
+/// paused.
+const PAUSE_THRESHOLD_MS: Millis = 300;
+/// Time that a paused process needs to work through the packets queued meanwhile: its socket holds
+/// a few hundred, and each takes well under 0.1 ms.
+const BACKLOG_DRAIN_MS: Millis = 100;
+/// From this lag on, a balancer attributes missing replies to its own backlog. An unloaded round
+/// trip takes under 5 ms, and the first retransmission follows after 60.
+const LAG_THRESHOLD_MS: Millis = 40;
+/// An upstream that has been unresponsive for this long, while its agent is alive, counts as one
+/// that denies the flow: upstreams answer at once or return the packet.
+const UNRESPONSIVE_AS_DENIAL_MS: Millis = 400;
 
 /// The state of a balancer.
 #[derive(Default)]
@@ -59,30 +60,30 @@
     budget: Budget,
     reach: Reach,
     trust: Trust,
-    called_ms: Millis,
-    woken_ms: Millis,
-    tally: Tally,
+    last_called_ms: Millis,
+    resumed_ms: Millis,
+    counters: Counters,
 }
 
 impl Edge {
-    /// A balancer with this policy.
-    pub fn with(policy: Policy) -> Self {
+    /// A balancer core with this policy.
+    pub fn with_policy(policy: Policy) -> Self {
         Self {
             policy,
-            loads: LoadTable::with(policy),
-            budget: Budget::with(policy),
+            loads: LoadTable::with_policy(policy),
+            budget: Budget::with_policy(policy),
             ..Self::default()
         }
     }
 
-    /// The same in this availability zone.
+    /// Sets the balancer's own availability zone.
     #[must_use]
     pub fn in_zone(mut self, zone: ZoneStamp) -> Self {
-        self.loads.prefer(zone);
+        self.loads.set_zone(zone);
         self
     }
 
-    /// Decides about a packet of a caller; `bytes` is the packet itself.
+    /// Decides about a caller's packet; `bytes` is the whole packet.
     pub fn on_packet(
         &mut self,
         now_ms: Millis,
@@ -91,24 +92,26 @@
         bytes: &[u8],
         actions: &mut Vec<Action>,
     ) {
-        self.wake(now_ms);
-        self.budget.earn();
+        self.detect_pause(now_ms);
+        self.budget.credit();
         let before = actions.len();
         match segment.kind {
-            SegmentKind::Opening { .. } => self.open(now_ms, view, segment, bytes, actions),
-            SegmentKind::Later => self.carry(now_ms, view, segment, bytes, actions),
-            SegmentKind::Reset => self.close(now_ms, view, segment, bytes, actions),
+            SegmentKind::Opening { .. } => {
+                self.handle_opening(now_ms, view, segment, bytes, actions)
+            }
+            SegmentKind::Later => self.handle_later(now_ms, view, segment, bytes, actions),
+            SegmentKind::Reset => self.handle_reset(now_ms, view, segment, bytes, actions),
         }
-        self.note_asked(now_ms, view, segment.flow, &actions[before..]);
+        self.note_requests(now_ms, view, segment.flow, &actions[before..]);
     }
 
-    /// Notes how far the list of upstreams can be trusted from now on.
-    pub fn trust(&mut self, trust: Trust) {
+    /// Sets how far the list of upstreams can be trusted from now on.
+    pub fn set_trust(&mut self, trust: Trust) {
         self.trust = trust;
     }
 
-    /// Takes what an agent says about a packet; the packet itself comes along.
-    pub fn on_verdict(
+    /// Handles an agent's reply about a packet; the reply carries the packet itself.
+    pub fn on_agent_reply(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -116,95 +119,97 @@
         segment: &Segment,
         actions: &mut Vec<Action>,
     ) {
-        self.wake(now_ms);
+        self.detect_pause(now_ms);
         let before = actions.len();
         let AgentReply { from, verdict } = reply;
-        self.reach.heard(from);
+        self.reach.record_reply(from);
         let entry = self.flows.get(segment.flow);
         if let Some(round_trip_ms) = entry.and_then(|entry| entry.take_round_trip(now_ms, from)) {
-            self.lag.note(now_ms, round_trip_ms);
+            self.lag.record(now_ms, round_trip_ms);
         }
         match verdict {
             Verdict::Held { busy, opening_sequence } => {
-                self.loads.report(now_ms, view, from, busy);
-                self.held(now_ms, from, opening_sequence, segment.flow);
+                self.loads.record_report(now_ms, view, from, busy);
+                self.on_held(now_ms, from, opening_sequence, segment.flow);
             }
             Verdict::Alive => {}
             Verdict::Denied => {
-                self.denied(now_ms, view, from, segment, actions);
+                self.on_denied(now_ms, view, from, segment, actions);
             }
-            Verdict::Foreign { service } => {
+            Verdict::WrongService { service } => {
                 let later = segment.kind == SegmentKind::Later;
-                if later && may_lead_to(view, segment.flow, service, now_ms) {
-                    self.flows.entry(segment.flow, now_ms).mislead(from, now_ms);
+                if later && may_be_open_at(view, segment.flow, service, now_ms) {
+                    self.flows.entry(segment.flow, now_ms).record_wrong_service(from, now_ms);
                 }
-                self.denied(now_ms, view, from, segment, actions);
+                self.on_denied(now_ms, view, from, segment, actions);
             }
-            Verdict::Limited { for_ms } => {
-                self.loads.limited(now_ms, view, from, for_ms);
-                self.denied(now_ms, view, from, segment, actions);
+            Verdict::RateLimited { for_ms } => {
+                self.loads.record_rate_limit(now_ms, view, from, for_ms);
+                self.on_denied(now_ms, view, from, segment, actions);
             }
-            Verdict::Silent { for_ms } => {
-                self.loads.silent(now_ms, view, from);
-                if for_ms >= SILENCE_PROVES_MS || segment.kind != SegmentKind::Later {
-                    self.denied(now_ms, view, from, segment, actions);
+            Verdict::Unresponsive { for_ms } => {
+                self.loads.record_no_reply(now_ms, view, from);
+                if for_ms >= UNRESPONSIVE_AS_DENIAL_MS || segment.kind != SegmentKind::Later {
+                    self.on_denied(now_ms, view, from, segment, actions);
                 }
             }
         }
-        self.note_asked(now_ms, view, segment.flow, &actions[before..]);
+        self.note_requests(now_ms, view, segment.flow, &actions[before..]);
     }
 
-    /// Whether a packet of the own may be sent.
-    fn may_send_own(&mut self) -> bool {
-        let may = self.budget.spend();
-        self.tally.spared += u64::from(!may);
-        may
+    /// Whether the budget allows one more packet beyond the callers' own; if not, counts it as
+    /// suppressed.
+    fn try_spend_budget(&mut self) -> bool {
+        let allowed = self.budget.try_spend();
+        self.counters.suppressed += u64::from(!allowed);
+        allowed
     }
 
-    /// Notes who owes a word.
-    fn note_asked(&mut self, now_ms: Millis, view: &View, flow: FlowKey, actions: &[Action]) {
+    /// Records the agents from which a reply is expected.
+    fn note_requests(&mut self, now_ms: Millis, view: &View, flow: FlowKey, actions: &[Action]) {
         if !self.policy.reach {
             return;
         }
         for action in actions {
-            if let Action::Forward { to, ask: true, .. } = action {
-                self.reach.asked(now_ms, view, to.address, flow);
+            if let Action::Forward { to, wants_report: true, .. } = action {
+                self.reach.record_request(now_ms, view, to.address, flow);
             }
         }
     }
 
-    /// Repeats packets that nobody has answered, to other upstreams first, and forgets what is old.
-    /// Each action goes with the packet that it is about.
+    /// Retransmits packets that nobody has answered, to other upstreams first, and removes expired
+    /// flows. Each action is paired with the packet that it applies to.
     pub fn on_tick(&mut self, now_ms: Millis, view: &View, actions: &mut Vec<(Arc<[u8]>, Action)>) {
-        self.wake(now_ms);
-        let repeats = self.policy.repeats && !self.is_behind(now_ms);
+        self.detect_pause(now_ms);
+        let repeats = self.policy.repeats && !self.is_lagging(now_ms);
         let due = if repeats { self.pending.take_due(now_ms) } else { Vec::new() };
         for due in due {
-            let mut own = Vec::new();
+            let mut retries = Vec::new();
             match due.segment.kind {
-                SegmentKind::Opening { .. } => self.reopen(now_ms, view, &due, &mut own),
-                SegmentKind::Later => self.ask_again(now_ms, view, &due, &mut own),
+                SegmentKind::Opening { .. } => self.retry_opening(now_ms, view, &due, &mut retries),
+                SegmentKind::Later => self.retry_search(now_ms, view, &due, &mut retries),
                 SegmentKind::Reset => {}
             }
-            self.note_asked(now_ms, view, due.segment.flow, &own);
-            actions.extend(own.into_iter().map(|action| (Arc::clone(&due.packet), action)));
+            self.note_requests(now_ms, view, due.segment.flow, &retries);
+            actions.extend(retries.into_iter().map(|action| (Arc::clone(&due.packet), action)));
         }
         self.flows.expire(now_ms);
     }
 
-    /// Agents that are to be asked whether they live, since they owe a word.
+    /// Agents to ping now, because replies from them are missing.
     pub fn take_pings(&mut self, now_ms: Millis, view: &View) -> Vec<Ipv4Addr> {
         if self.policy.pings { self.reach.take_pings(now_ms, view) } else { Vec::new() }
     }
 
-    /// After a pause of the process, packets that have waited come before any news: upstreams may have
-    /// started meanwhile, and entries gone. Nothing is proven until the view was confirmed again.
-    fn wake(&mut self, now_ms: Millis) {
-        if now_ms.saturating_sub(self.called_ms) >= PAUSE_MS {
-            self.woken_ms = now_ms;
-            self.reach.forget();
+    /// Detects a pause of the process. Afterwards, queued packets are read before any update of the
+    /// view, so upstreams may have started and entries may have lapsed unnoticed. Until the view is
+    /// confirmed again, no flow counts as lost.
+    fn detect_pause(&mut self, now_ms: Millis) {
+        if now_ms.saturating_sub(self.last_called_ms) >= PAUSE_THRESHOLD_MS {
+            self.resumed_ms = now_ms;
+            self.reach.clear();
         }
-        self.called_ms = now_ms;
+        self.last_called_ms = now_ms;
     }
 
     /// Number of flows in the table.
@@ -212,30 +217,30 @@
         self.flows.len()
     }
 
-    /// Bytes of packets that are kept to be sent once more.
+    /// Bytes of the packets kept for retransmission.
     pub fn kept_bytes(&self) -> usize {
         self.pending.bytes()
     }
 
-    /// Whether silence says nothing now, since the answers may wait where this process has not read
-    /// yet.
+    /// Whether missing replies mean nothing at present, since they may still wait unread in this
+    /// process.
     ///
-    /// Repetitions and searches for words that are only late would make the backlog longer.
-    fn is_behind(&mut self, now_ms: Millis) -> bool {
-        self.policy.lag && self.lag.value_ms(now_ms) >= BEHIND_MS
+    /// Retransmissions and searches for replies that are only late would lengthen the backlog.
+    fn is_lagging(&mut self, now_ms: Millis) -> bool {
+        self.policy.lag && self.lag.value_ms(now_ms) >= LAG_THRESHOLD_MS
     }
 
-    /// How far this process is behind the packets that come to it.
+    /// Delay with which this process reads its packets.
     pub fn lag_ms(&mut self, now_ms: Millis) -> Millis {
         self.lag.value_ms(now_ms)
     }
 
-    /// What this balancer has done so far.
-    pub fn tally(&self) -> Tally {
-        self.tally
+    /// What this balancer has done since its start.
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
-    fn close(
+    fn handle_reset(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -243,12 +248,12 @@
         bytes: &[u8],
         actions: &mut Vec<Action>,
     ) {
-        self.carry(now_ms, view, segment, bytes, actions);
+        self.handle_later(now_ms, view, segment, bytes, actions);
         self.pending.remove(segment.flow);
-        self.flows.closing(segment.flow, now_ms);
+        self.flows.expire_soon(segment.flow, now_ms);
     }
 
-    fn held(
+    fn on_held(
         &mut self,
         now_ms: Millis,
         from: Ipv4Addr,
@@ -258,22 +263,22 @@
         self.pending.remove(flow);
         let entry = self.flows.entry(flow, now_ms);
         entry.clear_denials();
-        entry.end_doubt();
+        entry.clear_suspicion();
         if let Some(sequence) = opening_sequence {
-            entry.note_answer(from, sequence);
+            entry.record_answer(from, sequence);
             if entry.confirmed {
                 return;
             }
         }
         if !entry.confirmed && entry.sequence.is_none() {
-            self.tally.found += 1;
-            self.tally.asked += entry.visits.asked_count();
+            self.counters.flows_found += 1;
+            self.counters.upstreams_asked += entry.visits.asked_count();
         }
         entry.target = Some(from);
         entry.confirmed = true;
     }
 
-    fn denied(
+    fn on_denied(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -281,12 +286,12 @@
         segment: &Segment,
         actions: &mut Vec<Action>,
     ) {
-        self.tally.denials += 1;
+        self.counters.denials += 1;
         match segment.kind {
             SegmentKind::Opening { .. } => {
-                self.opening_denied(now_ms, view, from, segment, actions)
+                self.on_opening_denied(now_ms, view, from, segment, actions)
             }
-            SegmentKind::Later => self.later_denied(now_ms, view, from, segment, actions),
+            SegmentKind::Later => self.on_later_denied(now_ms, view, from, segment, actions),
             SegmentKind::Reset => {}
         }
     }
--- a/crates/steering/src/edge/openings.rs
+++ b/crates/steering/src/edge/openings.rs
@@ -1,20 +1,20 @@
-//! New flows: where their openings go, once more when nobody answers, and elsewhere when one is
-//! returned.
+//! New flows: where their openings are sent, when they are retransmitted, and where they go after a
+//! denial.
 
 use super::flows::Entry;
 use super::pending::Due;
 use super::placement::{Placement, service_of};
 use super::types::{Action, Destination, Reason};
-use super::{BACKLOG_MS, Edge};
+use super::{BACKLOG_DRAIN_MS, Edge};
 use crate::flow::{Millis, Segment, SegmentKind};
 use crate::view::View;
 use std::net::Ipv4Addr;
 
-/// When a caller repeats an opening; any balancer may get the copy.
-const CALLER_REPEATS_MS: Millis = 200;
+/// When a caller retransmits an opening; any balancer may receive the copy.
+const CALLER_RETRANSMIT_MS: Millis = 200;
 
 impl Edge {
-    pub(super) fn open(
+    pub(super) fn handle_opening(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -31,19 +31,20 @@
             });
             return;
         };
-        let behind = self.is_behind(now_ms);
+        let lagging = self.is_lagging(now_ms);
         let entry = self.flows.entry(segment.flow, now_ms);
         if entry.sequence != Some(segment.sequence) {
-            entry.restart(segment.sequence);
-            let waited = self.woken_ms > 0 && now_ms.saturating_sub(self.woken_ms) < BACKLOG_MS;
+            entry.reset_for_opening(segment.sequence);
+            let queued =
+                self.resumed_ms > 0 && now_ms.saturating_sub(self.resumed_ms) < BACKLOG_DRAIN_MS;
             let first = segment.kind == SegmentKind::Opening { copy: 0 };
-            let in_time = first && !waited && !behind;
-            entry.refusable_until_ms = if in_time { now_ms + CALLER_REPEATS_MS } else { 0 };
+            let in_time = first && !queued && !lagging;
+            entry.resettable_until_ms = if in_time { now_ms + CALLER_RETRANSMIT_MS } else { 0 };
         }
-        let copied = entry.target.is_some();
+        let already_sent = entry.target.is_some();
         if let (Some(to), true) = (entry.target, entry.confirmed) {
             let to = Destination::of(now_ms, view, segment.flow, to, service);
-            actions.push(Action::Forward { to, ask: true, reason: Reason::Known });
+            actions.push(Action::Forward { to, wants_report: true, reason: Reason::Known });
             return;
         }
         let placement = Placement { now_ms, view, loads: &self.loads };
@@ -58,43 +59,43 @@
                 return;
             }
         };
-        let reason = if copied { Reason::Replaced } else { Reason::Placed };
+        let reason = if already_sent { Reason::Replaced } else { Reason::Placed };
         entry.ask(now_ms, to);
-        if !copied {
-            entry.await_word(now_ms, to);
+        if !already_sent {
+            entry.await_first_reply(now_ms, to);
         }
-        self.loads.placed(now_ms, view, to);
+        self.loads.record_placement(now_ms, view, to);
         let to = Destination::of(now_ms, view, segment.flow, to, service);
-        actions.push(Action::Forward { to, ask: true, reason });
+        actions.push(Action::Forward { to, wants_report: true, reason });
         self.pending.insert(now_ms, segment, bytes);
     }
 
-    pub(super) fn reopen(
+    pub(super) fn retry_opening(
         &mut self,
         now_ms: Millis,
         view: &View,
         due: &Due,
         actions: &mut Vec<Action>,
     ) {
-        if !self.may_send_own() {
+        if !self.try_spend_budget() {
             return;
         }
         let flow = due.segment.flow;
         let Some(service) = service_of(view, flow) else { return };
         let Some(entry) = self.flows.get(flow) else { return };
-        entry.refusable_until_ms = 0;
-        if let Some(silent) = entry.target {
-            self.loads.silent(now_ms, view, silent);
+        entry.resettable_until_ms = 0;
+        if let Some(unresponsive) = entry.target {
+            self.loads.record_no_reply(now_ms, view, unresponsive);
         }
         let placement = Placement { now_ms, view, loads: &self.loads };
         let Ok(to) = placement.place(service, flow, entry) else { return };
         entry.ask(now_ms, to);
-        self.loads.placed(now_ms, view, to);
+        self.loads.record_placement(now_ms, view, to);
         let to = Destination::of(now_ms, view, flow, to, service);
-        actions.push(Action::Forward { to, ask: true, reason: Reason::Replaced });
+        actions.push(Action::Forward { to, wants_report: true, reason: Reason::Replaced });
     }
 
-    pub(super) fn opening_denied(
+    pub(super) fn on_opening_denied(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -104,11 +105,11 @@
     ) {
         let flow = segment.flow;
         let entry = self.flows.entry(flow, now_ms);
-        // An upstream that holds the flow takes no second opening of it.
+        // An upstream that holds the flow does not accept a second opening of it.
         if entry.confirmed {
             return;
         }
-        entry.deny_opening(from, now_ms);
+        entry.record_opening_denial(from, now_ms);
         let Some(service) = service_of(view, flow) else { return };
         let placement = Placement { now_ms, view, loads: &self.loads };
         let to = match placement.place(service, flow, entry) {
@@ -117,27 +118,28 @@
                 let reason = if is_final(reason) { reason } else { Reason::Refused };
                 actions.push(reject(now_ms, entry, reason));
                 self.pending.remove(flow);
-                self.flows.closing(flow, now_ms);
+                self.flows.expire_soon(flow, now_ms);
                 return;
             }
         };
         entry.ask(now_ms, to);
-        self.loads.placed(now_ms, view, to);
+        self.loads.record_placement(now_ms, view, to);
         let to = Destination::of(now_ms, view, flow, to, service);
-        actions.push(Action::Forward { to, ask: true, reason: Reason::Replaced });
+        actions.push(Action::Forward { to, wants_report: true, reason: Reason::Replaced });
     }
 }
 
-/// Whether an opening that cannot be placed for this reason is rejected without asking any upstream.
+/// Whether an opening that cannot be placed for this reason is rejected without asking any
+/// upstream.
 fn is_final(reason: Reason) -> bool {
     matches!(reason, Reason::ZoneClosed | Reason::ColdLimit | Reason::RegionNotAllowed)
 }
 
-/// The answer to an opening that no upstream takes. Only a first copy that came in time and was not
-/// sent on after a silence is reset, and only until its caller repeats it: the flow of any other may be open
-/// by now.
+/// The action for an opening that no upstream takes. A reset is sent only for the first copy of an
+/// opening, if it arrived in time and this balancer did not retransmit it, and only until the
+/// caller does. In all other cases the flow may be open by now.
 fn reject(now_ms: Millis, entry: &mut Entry, reason: Reason) -> Action {
-    if now_ms < std::mem::take(&mut entry.refusable_until_ms) {
+    if now_ms < std::mem::take(&mut entry.resettable_until_ms) {
         return Action::Reset { reason };
     }
     Action::Drop { reason: Reason::Unknown }
--- a/crates/steering/src/edge/placement.rs
+++ b/crates/steering/src/edge/placement.rs
@@ -1,4 +1,4 @@
-//! Where a new flow goes.
+//! Chooses the upstream of a new flow.
 
 use std::cmp::Reverse;
 use std::net::Ipv4Addr;
@@ -11,8 +11,9 @@
 use crate::rank;
 use crate::view::{ServiceStamp, Standing, Upstream, View};
 
-/// Upstreams of the first ranks among which load decides. More would spread flows further from
-/// their first rank, and a balancer without memory would ask longer.
+/// Number of first-ranked upstreams among which the load decides. With more, flows would be spread
+/// further from their first rank, and a balancer without an entry would need more queries to find
+/// them.
 pub(super) const PLACEMENT_RANKS: usize = 3;
 
 /// The service of a flow's endpoint.
@@ -20,7 +21,7 @@
     view.routes.find(flow.endpoint)?.service_of(flow)
 }
 
-/// What a placement goes by, besides the flow.
+/// What a placement depends on, besides the flow.
 pub(super) struct Placement<'a> {
     pub(super) now_ms: Millis,
     pub(super) view: &'a View,
@@ -28,15 +29,15 @@
 }
 
 impl Placement<'_> {
-    /// Chooses the upstream of a new flow among those that did not deny it; one that was asked before
-    /// comes only after all others. Where there is none, the reason.
+    /// Chooses the upstream of a new flow among those that did not deny it; upstreams that were
+    /// already asked come after all others. If there is none, returns the reason.
     pub(super) fn place(
         &self,
         service: ServiceStamp,
         flow: FlowKey,
         entry: &Entry,
     ) -> Result<Ipv4Addr, Reason> {
-        let open = self.open_upstreams(service, flow, entry)?;
+        let open = self.eligible_upstreams(service, flow, entry)?;
         let class = |upstream: &Upstream| {
             (entry.visits.has_asked(upstream.address), self.loads.is_suspect(self.now_ms, upstream))
         };
@@ -52,14 +53,14 @@
             .filter(|(class, _)| *class == first)
             .map(|(_, upstream)| upstream)
             .min_by_key(|upstream| {
-                (self.loads.load(self.now_ms, upstream), self.loads.is_far(upstream))
+                (self.loads.load(self.now_ms, upstream), self.loads.is_in_other_zone(upstream))
             });
         best.map(|upstream| upstream.address).ok_or(Reason::Unknown)
     }
 
-    /// Upstreams that may take the flow now. Each step leaves out some; the first that leaves none
-    /// is the reason.
-    fn open_upstreams(
+    /// Upstreams that may take the flow at present. Each step removes some; the first step that
+    /// removes all of them determines the reason.
+    fn eligible_upstreams(
         &self,
         service: ServiceStamp,
         flow: FlowKey,
@@ -67,31 +68,36 @@
     ) -> Result<Vec<&Upstream>, Reason> {
         let route = self.view.routes.find(flow.endpoint).ok_or(Reason::NoRoute)?;
         let all = self.view.upstreams_of(service).iter().collect();
-        let allowed =
-            narrow(all, Reason::RegionNotAllowed, |upstream| self.view.allows(route, upstream))?;
-        let listed = self.listed(allowed);
-        let open =
-            narrow(listed, Reason::ZoneClosed, |upstream| !self.view.is_closed(upstream.zone))?;
-        let free = narrow(open, Reason::ColdLimit, |upstream| {
-            !self.loads.is_limited(self.now_ms, upstream)
+        let allowed = keep_or_reason(all, Reason::RegionNotAllowed, |upstream| {
+            self.view.allows(route, upstream)
         })?;
-        narrow(free, Reason::Refused, |upstream| !entry.has_denied(upstream.address))
+        let usable = self.ready_or_missing(allowed);
+        let open = keep_or_reason(usable, Reason::ZoneClosed, |upstream| {
+            !self.view.is_closed(upstream.zone)
+        })?;
+        let free = keep_or_reason(open, Reason::ColdLimit, |upstream| {
+            !self.loads.is_rate_limited(self.now_ms, upstream)
+        })?;
+        keep_or_reason(free, Reason::Refused, |upstream| !entry.has_denied(upstream.address))
     }
 
-    /// Those that are ready. All entries of a service go at once only when the list itself had a
-    /// fault: then the ones that went without notice.
-    fn listed<'a>(&self, upstreams: Vec<&'a Upstream>) -> Vec<&'a Upstream> {
+    /// The ready upstreams; if there are none, those whose entries lapsed without a drain. All
+    /// entries of a service lapse at once only if the list itself is at fault.
+    fn ready_or_missing<'a>(&self, upstreams: Vec<&'a Upstream>) -> Vec<&'a Upstream> {
         let (ready, others): (Vec<&Upstream>, Vec<&Upstream>) =
             upstreams.into_iter().partition(|upstream| upstream.standing == Standing::Ready);
         if !ready.is_empty() {
             return ready;
         }
-        others.into_iter().filter(|upstream| is_silent(upstream, self.now_ms)).collect()
+        others
+            .into_iter()
+            .filter(|upstream| is_missing_unannounced(upstream, self.now_ms))
+            .collect()
     }
 }
 
-/// Leaves out some upstreams; if these were all there were, that is the reason for placing nothing.
-fn narrow(
+/// Removes some upstreams; if none is left, returns the reason why nothing can be placed.
+fn keep_or_reason(
     upstreams: Vec<&Upstream>,
     reason: Reason,
     keep: impl Fn(&Upstream) -> bool,
@@ -101,7 +107,7 @@
     if kept.is_empty() && !none_before { Err(reason) } else { Ok(kept) }
 }
 
-fn is_silent(upstream: &Upstream, now_ms: Millis) -> bool {
+fn is_missing_unannounced(upstream: &Upstream, now_ms: Millis) -> bool {
     let missing = matches!(upstream.standing, Standing::Missing { drained: false, .. });
     missing && !membership::is_gone(upstream.standing, now_ms)
 }
--- a/crates/steering/src/edge/search.rs
+++ b/crates/steering/src/edge/search.rs
@@ -1,14 +1,14 @@
-//! Packets of open flows: where they go, how their upstream is looked for, and when a flow counts
+//! Packets of open flows: where they go, how their upstream is searched for, and when a flow counts
 //! as lost.
 //!
-//! Every upstream that may hold the flow is asked, one after the other, until one answers. A flow is lost
-//! when each of them has denied it, or is out of reach for all flows; the proof is a [`Step`], and
-//! nothing else leads to a reset.
+//! Every upstream that may hold the flow is asked, one after the other, until one answers. A flow
+//! is lost when each of them has denied it or is unreachable for all flows. [`Step::Absent`] is the
+//! proof, and nothing else leads to a reset.
 
 use std::net::Ipv4Addr;
 
 use super::Edge;
-use super::candidates::{candidates, may_be_elsewhere};
+use super::candidates::{candidates, may_be_at_unrouted_service};
 use super::flows::Entry;
 use super::pending::Due;
 use super::placement::service_of;
@@ -17,134 +17,145 @@
 use crate::flow::{FlowKey, Millis, Segment};
 use crate::view::{Upstream, View};
 
-/// Copies of a repeated packet that go to further upstreams at once.
-const FAN_OUT: usize = 3;
-/// Upstreams up to which all packets of a flow follow the search. Most flows live at one of the
-/// first ranks, and what is dropped on the way there comes again 200 ms later; further on, each
-/// packet would be a search of its own.
-const FOLLOWED: u64 = 3;
+/// Maximum number of upstreams that get a copy of a retransmitted packet at once.
+const COPIES_MAX: usize = 3;
+/// Number of asked upstreams up to which every denied packet of a flow is forwarded to the current
+/// target. Most flows are at one of the first ranks, and a packet dropped on the way there would be
+/// retransmitted only 200 ms later. Beyond the first ranks, forwarding each packet would amount to
+/// a separate search for each.
+const FORWARDED_WITHIN: u64 = 3;
 
-/// Upstreams that are asked one after the other. Nearly all flows live at one of these.
-const ALONE: u64 = 6;
-/// Most upstreams that are asked at once by a search that has gone on for longer: in so few packets, it
-/// leaves room on a thin link.
-const AT_ONCE_MAX: u64 = 16;
+/// Number of upstreams that are asked one at a time. Nearly all flows are at one of these.
+const SEQUENTIAL_ASKS: u64 = 6;
+/// Maximum number of upstreams that a longer search asks at once; so few packets do not fill a slow
+/// link.
+const PARALLEL_ASKS_MAX: u64 = 16;
 
-/// What a search does next.
+/// Next step of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// This upstream is asked.
+    /// Ask this upstream.
     Ask(Ipv4Addr),
-    /// This quiet upstream is asked on behalf of all flows.
+    /// Probe this unresponsive upstream on behalf of all flows.
     Probe(Ipv4Addr),
-    /// All that are left are quiet, and were asked lately.
+    /// Wait: all remaining upstreams were asked recently or are unresponsive.
     Wait,
-    /// Nobody holds the flow, as far as the list names all upstreams.
+    /// No upstream holds the flow, provided that the list is complete.
     Absent,
 }
 
 /// A packet of an open flow.
 #[derive(Clone, Copy, Debug)]
-struct Carried {
+struct LaterPacket {
     flow: FlowKey,
-    /// Whether the caller has sent it before, and nobody has answered.
+    /// Whether the caller has sent it before without an answer.
     repeated: bool,
 }
 
-/// Where a flow is looked for.
+/// A search for the upstream of a flow.
 struct Search<'a> {
     now_ms: Millis,
-    /// Upstreams that may hold the flow, best guess first.
+    /// Upstreams that may hold the flow, most likely first.
     candidates: Vec<Upstream>,
     reach: &'a Reach,
-    /// Whether silence may stand for a denial: this process is not behind, and the flow's caller
-    /// asks anew after a reset.
+    /// Whether a missing reply may count as a denial: this process does not lag, and the flow's
+    /// caller repeats its request after a reset.
     ///
-    /// A request that must not be sent twice may have run at an upstream that comes back.
-    trusts_silence: bool,
+    /// Otherwise a request that must not run twice could already have run at an upstream that comes
+    /// back.
+    treats_no_reply_as_denial: bool,
 }
 
 impl<'a> Search<'a> {
-    fn new(now_ms: Millis, view: &View, flow: FlowKey, reach: &'a Reach, behind: bool) -> Self {
+    fn new(now_ms: Millis, view: &View, flow: FlowKey, reach: &'a Reach, lagging: bool) -> Self {
         let repeatable = view.routes.find(flow.endpoint).is_some_and(|route| route.repeatable);
         let candidates = candidates(view, flow, now_ms);
-        Self { now_ms, candidates, reach, trusts_silence: repeatable && !behind }
+        Self { now_ms, candidates, reach, treats_no_reply_as_denial: repeatable && !lagging }
     }
 
-    /// What becomes of a packet that may have a target already.
+    /// The next step for a packet whose flow may have a target.
     ///
-    /// A target that is lost may have held the flow half open only, so that all others are asked first.
+    /// If the target is unreachable, the flow may have been only half open there, so all others are
+    /// asked first.
     fn step(&self, entry: &Entry) -> Step {
         match entry.target {
-            Some(target) if !self.is_lost(target) => Step::Ask(target),
-            _ => self.next(entry),
+            Some(target) if !self.is_unreachable(target) => Step::Ask(target),
+            _ => self.next_step(entry),
         }
     }
 
-    /// The same for a packet of the caller's own: where one that may hold the flow is heard, the packet
-    /// goes there although it was asked a moment ago.
-    fn step_of_caller(&self, entry: &Entry, step: Step) -> Step {
+    /// The step for a packet that came from the caller. Instead of waiting, a responsive upstream
+    /// that may hold the flow is asked, even if it was asked a moment ago.
+    fn step_for_caller(&self, entry: &Entry, step: Step) -> Step {
         if step != Step::Wait {
             return step;
         }
-        let (_, heard) = self.open(entry);
-        let last_ms = |upstream: &&&Upstream| entry.visits.last_ms(upstream.address);
-        heard.iter().min_by_key(last_ms).map_or(step, |upstream| Step::Ask(upstream.address))
+        let (_, responsive) = self.undenied(entry);
+        let last_sent_ms = |upstream: &&&Upstream| entry.visits.last_sent_ms(upstream.address);
+        responsive
+            .iter()
+            .min_by_key(last_sent_ms)
+            .map_or(step, |upstream| Step::Ask(upstream.address))
     }
 
-    /// Upstreams that may hold the flow: those that are quiet, and those that are heard.
-    fn open(&self, entry: &Entry) -> (Vec<&Upstream>, Vec<&Upstream>) {
+    /// Upstreams that may hold the flow: the unresponsive and the responsive ones.
+    fn undenied(&self, entry: &Entry) -> (Vec<&Upstream>, Vec<&Upstream>) {
         let open = self.candidates.iter().filter(|upstream| !entry.has_denied(upstream.address));
-        open.partition(|upstream| self.reach.is_quiet(self.now_ms, upstream.address))
+        open.partition(|upstream| self.reach.is_unresponsive(self.now_ms, upstream.address))
     }
 
-    fn next(&self, entry: &Entry) -> Step {
-        let (quiet, heard) = self.open(entry);
-        if let Some(next) = likeliest(&heard, entry) {
+    fn next_step(&self, entry: &Entry) -> Step {
+        let (unresponsive, responsive) = self.undenied(entry);
+        if let Some(next) = likeliest(&responsive, entry) {
             return Step::Ask(next.address);
         }
         let is_due = |upstream: &&&Upstream| entry.visits.is_overdue(self.now_ms, upstream.address);
-        if let Some(next) = heard.iter().find(is_due) {
+        if let Some(next) = responsive.iter().find(is_due) {
             return Step::Ask(next.address);
         }
-        if !heard.is_empty() {
+        if !responsive.is_empty() {
             return Step::Wait;
         }
-        if quiet.iter().all(|upstream| self.is_lost(upstream.address)) {
-            return if entry.is_misled() { Step::Wait } else { Step::Absent };
+        if unresponsive.iter().all(|upstream| self.is_unreachable(upstream.address)) {
+            return if entry.has_inconclusive_denial() { Step::Wait } else { Step::Absent };
         }
         let may_probe = |upstream: &&&Upstream| self.reach.may_probe(self.now_ms, upstream.address);
-        quiet.iter().find(may_probe).map_or(Step::Wait, |upstream| Step::Probe(upstream.address))
+        unresponsive
+            .iter()
+            .find(may_probe)
+            .map_or(Step::Wait, |upstream| Step::Probe(upstream.address))
     }
 
-    /// Upstreams that are asked beside the one at `to`: the next ones of a search that has asked many,
-    /// and one that should have answered.
-    fn beside(&self, entry: &Entry, to: Ipv4Addr) -> (Vec<Ipv4Addr>, Option<Ipv4Addr>) {
+    /// Upstreams to ask in parallel with the one at `to`: the next ones if the search has already
+    /// asked many, and one whose reply is overdue.
+    fn parallel_asks(&self, entry: &Entry, to: Ipv4Addr) -> (Vec<Ipv4Addr>, Option<Ipv4Addr>) {
         let is_open = |upstream: &&Upstream| {
             may_be_copied(self.now_ms, upstream, Some(to), entry, self.reach)
         };
         let open = || self.candidates.iter().filter(is_open).map(|upstream| upstream.address);
         let asked = entry.visits.asked_count();
-        let more = (asked.saturating_sub(ALONE) / 2).min(AT_ONCE_MAX - 1) as usize;
+        let more = (asked.saturating_sub(SEQUENTIAL_ASKS) / 2).min(PARALLEL_ASKS_MAX - 1) as usize;
         let next = open().filter(|address| !entry.visits.has_asked(*address)).take(more).collect();
         let overdue = open().find(|address| entry.visits.is_overdue(self.now_ms, *address));
         (next, overdue)
     }
 
-    /// Whether the upstream at this address is out of reach, and it is not this balancer that is.
-    fn is_lost(&self, address: Ipv4Addr) -> bool {
-        let is_lost = |address| self.reach.is_lost(self.now_ms, address);
-        if !self.trusts_silence || !is_lost(address) {
+    /// Whether the upstream at this address is unreachable, and the fault is not on this balancer's
+    /// side.
+    fn is_unreachable(&self, address: Ipv4Addr) -> bool {
+        let is_unreachable = |address| self.reach.is_unreachable(self.now_ms, address);
+        if !self.treats_no_reply_as_denial || !is_unreachable(address) {
             return false;
         }
-        let lost = self.candidates.iter().filter(|upstream| is_lost(upstream.address)).count();
-        Reach::are_few(lost, self.candidates.len())
+        let unreachable =
+            self.candidates.iter().filter(|upstream| is_unreachable(upstream.address)).count();
+        Reach::is_small_share(unreachable, self.candidates.len())
     }
 }
 
 impl Edge {
     /// Decides about a packet of an open flow.
-    pub(super) fn carry(
+    pub(super) fn handle_later(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -152,108 +163,113 @@
         bytes: &[u8],
         actions: &mut Vec<Action>,
     ) {
-        let (flow, behind) = (segment.flow, self.is_behind(now_ms));
+        let (flow, lagging) = (segment.flow, self.is_lagging(now_ms));
         let entry = self.flows.entry(flow, now_ms);
-        entry.forget_opening();
-        entry.settle(segment.acknowledged);
-        let repeated = entry.note_packet(now_ms, segment);
-        entry.leave_unlisted(|address| view.upstream_at(address).is_some());
+        entry.forget_opening_denials();
+        entry.resolve_answers(segment.acknowledged);
+        let repeated = entry.record_packet(now_ms, segment);
+        entry.drop_unlisted_target(|address| view.upstream_at(address).is_some());
         let step = match entry.target {
-            // Most packets go where the last one went; ranking all upstreams is for the others.
+            // Most packets go to the same target as the previous one, so that upstreams need not be
+            // ranked.
             Some(target) if !repeated => Step::Ask(target),
             _ => {
                 entry.forget_old_denials(now_ms);
-                let search = Search::new(now_ms, view, flow, &self.reach, behind);
-                // No copies may be sent: the caller's own repetitions look for the flow instead.
-                let copies_fail = !entry.confirmed && self.budget.is_low();
-                let step = if copies_fail { search.next(entry) } else { search.step(entry) };
-                search.step_of_caller(entry, step)
+                let search = Search::new(now_ms, view, flow, &self.reach, lagging);
+                // No copies may be sent, so the caller's own retransmissions advance the search.
+                let no_copies = !entry.confirmed && self.budget.is_low();
+                let step = if no_copies { search.next_step(entry) } else { search.step(entry) };
+                search.step_for_caller(entry, step)
             }
         };
-        entry.doubt_if_mute();
+        entry.suspect_if_unresponsive();
         match step {
             Step::Ask(to) | Step::Probe(to) => {
-                self.pass_on(now_ms, view, Carried { flow, repeated }, to, actions);
+                self.forward(now_ms, view, LaterPacket { flow, repeated }, to, actions);
             }
             Step::Wait => actions.push(Action::Drop { reason: Reason::Unknown }),
-            Step::Absent => return self.give_up(now_ms, view, flow, actions),
+            Step::Absent => return self.reset_if_proven_lost(now_ms, view, flow, actions),
         }
-        // Copies of a known flow's packets would find nothing: its upstream is slow, or dead with it.
+        // Copies are useless once the flow's upstream is known: it is slow, or has died with the
+        // flow.
         let confirmed = self.flows.get(flow).is_some_and(|entry| entry.confirmed);
-        if repeated && !confirmed && !behind {
-            self.copy_to_others(now_ms, view, flow, actions);
+        if repeated && !confirmed && !lagging {
+            self.send_copies(now_ms, view, flow, actions);
         }
-        let quiet =
-            matches!(step, Step::Ask(to) | Step::Probe(to) if self.reach.is_quiet(now_ms, to));
-        if !confirmed || (quiet && segment.wants_answer()) {
+        let unresponsive = matches!(
+            step,
+            Step::Ask(to) | Step::Probe(to) if self.reach.is_unresponsive(now_ms, to)
+        );
+        if !confirmed || (unresponsive && segment.wants_answer()) {
             self.pending.insert(now_ms, segment, bytes);
         }
     }
 
-    fn pass_on(
+    fn forward(
         &mut self,
         now_ms: Millis,
         view: &View,
-        carried: Carried,
+        packet: LaterPacket,
         to: Ipv4Addr,
         actions: &mut Vec<Action>,
     ) {
-        let Carried { flow, repeated } = carried;
+        let LaterPacket { flow, repeated } = packet;
         let service = view.upstream_at(to).map(|upstream| upstream.service);
         let Some(service) = service.or_else(|| service_of(view, flow)) else {
             actions.push(Action::Drop { reason: Reason::NoRoute });
             return;
         };
         let entry = self.flows.entry(flow, now_ms);
-        let ask = !entry.confirmed || repeated;
+        let wants_report = !entry.confirmed || repeated;
         let reason = if entry.confirmed { Reason::Known } else { Reason::Asked };
         entry.ask(now_ms, to);
         let to = Destination::of(now_ms, view, flow, to, service);
-        actions.push(Action::Forward { to, ask, reason });
+        actions.push(Action::Forward { to, wants_report, reason });
     }
 
-    /// The upstream that is asked is silent: it is down, starts just now, is at work, or its agent
-    /// is one of these. The search goes on to one that was not asked yet, and whose denial leads to
-    /// the next; the silent ones get copies from time to time. Asked again soon, the flow is found
-    /// or proven lost as soon as they answer; the caller's own repetition may come a second later,
-    /// too late for its request.
-    pub(super) fn ask_again(
+    /// Advances the search for a flow whose target does not reply: the upstream or its agent is
+    /// down, starting or busy. The search continues with an upstream that was not asked yet, whose
+    /// denial leads to the next one; the unresponsive ones get copies from time to time. With such
+    /// early retries, the flow is found or proven lost as soon as they reply. The caller's own
+    /// retransmission may come a second later, too late for its request.
+    pub(super) fn retry_search(
         &mut self,
         now_ms: Millis,
         view: &View,
         due: &Due,
         actions: &mut Vec<Action>,
     ) {
-        let (flow, behind) = (due.segment.flow, self.is_behind(now_ms));
+        let (flow, lagging) = (due.segment.flow, self.is_lagging(now_ms));
         let Some(entry) = self.flows.get(flow) else { return };
         entry.forget_old_denials(now_ms);
-        let search = Search::new(now_ms, view, flow, &self.reach, behind);
+        let search = Search::new(now_ms, view, flow, &self.reach, lagging);
         let step = if entry.is_opened_here() || entry.confirmed {
             search.step(entry)
         } else {
-            search.next(entry)
+            search.next_step(entry)
         };
-        // A flow is given up also where nothing more may be sent for it. Probes have a bound of
-        // their own.
+        // A flow can be given up even if the budget is spent. Probes have a rate limit of their
+        // own.
         match step {
-            Step::Absent => self.give_up(now_ms, view, flow, actions),
-            Step::Ask(to) if entry.take_credit() || self.may_send_own() => {
+            Step::Absent => self.reset_if_proven_lost(now_ms, view, flow, actions),
+            Step::Ask(to) if entry.take_search_credit() || self.try_spend_budget() => {
                 self.flows.entry(flow, now_ms).ask(now_ms, to);
-                self.ask_listed(now_ms, view, flow, to, actions);
-                self.copy_to_others(now_ms, view, flow, actions);
+                self.forward_search(now_ms, view, flow, to, actions);
+                self.send_copies(now_ms, view, flow, actions);
             }
             Step::Probe(to) => {
                 self.flows.entry(flow, now_ms).ask(now_ms, to);
-                self.ask_listed(now_ms, view, flow, to, actions);
+                self.forward_search(now_ms, view, flow, to, actions);
             }
             Step::Ask(_) | Step::Wait => {}
         }
     }
 
-    /// One search at a time: only a denial of the upstream that is asked leads to the next. Denials of
-    /// copies are noted; if each led on, searches would multiply, and packets wander away from an
-    /// upstream that holds the flow and is at work.
-    pub(super) fn later_denied(
+    /// Handles a denial of an open flow's packet. There is one search at a time: only a denial by
+    /// the current target leads to the next upstream, and denials of copies are only recorded. If
+    /// each of them advanced the search, searches would multiply, and packets would move away from
+    /// an upstream that holds the flow and is busy.
+    pub(super) fn on_later_denied(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -261,38 +277,38 @@
         segment: &Segment,
         actions: &mut Vec<Action>,
     ) {
-        let (flow, behind) = (segment.flow, self.is_behind(now_ms));
+        let (flow, lagging) = (segment.flow, self.is_lagging(now_ms));
         let entry = self.flows.entry(flow, now_ms);
         let copied = entry.visits.take_copied(from);
-        entry.deny(from, now_ms);
+        entry.record_denial(from, now_ms);
         if let Some(target) = entry.target {
-            let follows = entry.confirmed || entry.visits.asked_count() <= FOLLOWED;
-            if follows && !copied && segment.wants_answer() {
-                self.ask_listed(now_ms, view, flow, target, actions);
+            let forwards = entry.confirmed || entry.visits.asked_count() <= FORWARDED_WITHIN;
+            if forwards && !copied && segment.wants_answer() {
+                self.forward_search(now_ms, view, flow, target, actions);
             }
             return;
         }
-        let search = Search::new(now_ms, view, flow, &self.reach, behind);
-        let asked: Vec<Ipv4Addr> = match search.next(entry) {
+        let search = Search::new(now_ms, view, flow, &self.reach, lagging);
+        let asked: Vec<Ipv4Addr> = match search.next_step(entry) {
             Step::Ask(to) => {
                 entry.ask(now_ms, to);
-                let (next, overdue) = search.beside(entry, to);
-                let overdue = overdue.filter(|_| self.budget.spend());
-                let beside: Vec<Ipv4Addr> = next.into_iter().chain(overdue).collect();
-                beside.iter().for_each(|address| entry.visits.ask_beside(now_ms, *address));
-                [to].into_iter().chain(beside).collect()
+                let (next, overdue) = search.parallel_asks(entry, to);
+                let overdue = overdue.filter(|_| self.budget.try_spend());
+                let parallel: Vec<Ipv4Addr> = next.into_iter().chain(overdue).collect();
+                parallel.iter().for_each(|address| entry.visits.ask_in_parallel(now_ms, *address));
+                [to].into_iter().chain(parallel).collect()
             }
             Step::Probe(to) => {
                 entry.ask(now_ms, to);
                 vec![to]
             }
             Step::Wait => Vec::new(),
-            Step::Absent => return self.give_up(now_ms, view, flow, actions),
+            Step::Absent => return self.reset_if_proven_lost(now_ms, view, flow, actions),
         };
-        asked.into_iter().for_each(|to| self.ask_listed(now_ms, view, flow, to, actions));
+        asked.into_iter().for_each(|to| self.forward_search(now_ms, view, flow, to, actions));
     }
 
-    fn ask_listed(
+    fn forward_search(
         &self,
         now_ms: Millis,
         view: &View,
@@ -302,14 +318,14 @@
     ) {
         let Some(upstream) = view.upstream_at(to) else { return };
         let to = Destination::of(now_ms, view, flow, to, upstream.service);
-        actions.push(Action::Forward { to, ask: true, reason: Reason::Asked });
+        actions.push(Action::Forward { to, wants_report: true, reason: Reason::Asked });
     }
 
-    /// Sends copies of a packet that nobody answers to upstreams that did not deny the flow, but
-    /// for the one that is asked: the flow's upstream may be behind an agent or a link that is
-    /// dead, or the entry may be wrong. One that should have answered comes first, since packets get lost;
-    /// then those that never got one, and those that got theirs longest ago.
-    fn copy_to_others(
+    /// Sends copies of an unanswered packet to upstreams that did not deny the flow, other than the
+    /// target: the flow's upstream may be behind a dead agent or link, or the entry may be wrong.
+    /// An upstream whose reply is overdue comes first, since packets get lost; then those that
+    /// never got a packet, and then those whose latest packet is the oldest.
+    fn send_copies(
         &mut self,
         now_ms: Millis,
         view: &View,
@@ -326,37 +342,43 @@
             .find(|upstream| entry.visits.is_overdue(now_ms, upstream.address))
             .map(|upstream| upstream.address);
         others.sort_by_key(|Upstream { address, .. }| {
-            (Some(*address) != overdue, entry.visits.last_ms(*address))
+            (Some(*address) != overdue, entry.visits.last_sent_ms(*address))
         });
-        others.truncate(FAN_OUT);
+        others.truncate(COPIES_MAX);
         for Upstream { address, service, .. } in others {
-            if !self.budget.spend_on_copy() {
+            if !self.budget.try_spend_on_copy() {
                 break;
             }
             entry.visits.copy(now_ms, address);
             let to = Destination::of(now_ms, view, flow, address, service);
-            actions.push(Action::Forward { to, ask: true, reason: Reason::Asked });
-            self.tally.copies += 1;
+            actions.push(Action::Forward { to, wants_report: true, reason: Reason::Asked });
+            self.counters.copies += 1;
         }
     }
 
-    fn give_up(&mut self, now_ms: Millis, view: &View, flow: FlowKey, actions: &mut Vec<Action>) {
-        let informed = self.trust.confirmed_ms >= self.woken_ms;
-        let proven = informed
+    fn reset_if_proven_lost(
+        &mut self,
+        now_ms: Millis,
+        view: &View,
+        flow: FlowKey,
+        actions: &mut Vec<Action>,
+    ) {
+        let confirmed_since_pause = self.trust.confirmed_ms >= self.resumed_ms;
+        let proven = confirmed_since_pause
             && self.trust.proves_absence(now_ms)
-            && !may_be_elsewhere(view, flow, now_ms)
+            && !may_be_at_unrouted_service(view, flow, now_ms)
             && !candidates(view, flow, now_ms).is_empty();
         if !proven {
             actions.push(Action::Drop { reason: Reason::Unknown });
             return;
         }
-        self.flows.closing(flow, now_ms);
+        self.flows.expire_soon(flow, now_ms);
         self.pending.remove(flow);
         actions.push(Action::Reset { reason: Reason::Lost });
     }
 }
 
-/// Whether a copy of a packet that goes to `target` may go to this upstream as well.
+/// Whether this upstream may get a copy of a packet that goes to `target`.
 fn may_be_copied(
     now_ms: Millis,
     upstream: &Upstream,
@@ -365,15 +387,16 @@
     reach: &Reach,
 ) -> bool {
     let address = upstream.address;
-    Some(address) != target && !entry.has_denied(address) && !reach.is_quiet(now_ms, address)
+    Some(address) != target && !entry.has_denied(address) && !reach.is_unresponsive(now_ms, address)
 }
 
-/// The upstream to ask next. If the flow's opening went through here, it lives at one of those that
-/// got a copy; otherwise those that were asked have not answered, and others come first, before all
-/// those that got nothing yet. Of those that were asked there is none while they have time to answer.
+/// The most likely upstream to ask next. If this balancer sent the flow's opening, the flow is at
+/// one of the upstreams that got it. Otherwise those that were asked have not answered, and the
+/// others come first, beginning with those that got no packet at all. Upstreams that were asked and
+/// still have time to reply are not returned in that case.
 fn likeliest<'a>(open: &[&'a Upstream], entry: &Entry) -> Option<&'a Upstream> {
     let asked = |upstream: &&&Upstream| entry.visits.has_asked(upstream.address);
-    let untried = |upstream: &&&Upstream| entry.visits.last_ms(upstream.address).is_none();
+    let untried = |upstream: &&&Upstream| entry.visits.last_sent_ms(upstream.address).is_none();
     let likely =
         if entry.is_opened_here() { open.iter().find(asked) } else { open.iter().find(untried) };
     likely.or(open.iter().find(|upstream| !asked(upstream))).copied()
