--- a/crates/fuzzing/src/direct/world/changes.rs
+++ b/crates/fuzzing/src/direct/world/changes.rs
@@ -5,7 +5,7 @@
 use steering::edge::{Trust, Verdict};
 use steering::history::History;
 use steering::membership::{Membership, SILENT_LINGER_MS, UpstreamRecord};
-use steering::side::Side;
+use steering::side::AgentCore;
 use steering::view::{Route, RouteTable, Standing, Upstream as Listed, View};
 
 use super::{
@@ -243,7 +243,7 @@
     pub(super) fn start_agent(&mut self, upstream: usize) {
         let away_until_ms = &mut self.away_until_ms[upstream];
         *away_until_ms = (*away_until_ms).max(self.now_ms);
-        self.agents[upstream] = Some(Side::new(SERVICES[self.upstreams[upstream].service]));
+        self.agents[upstream] = Some(AgentCore::new(SERVICES[self.upstreams[upstream].service]));
     }
 
     pub(super) fn start_upstream(&mut self, upstream: usize, service: usize) {
--- a/crates/fuzzing/src/direct/world/mod.rs
+++ b/crates/fuzzing/src/direct/world/mod.rs
@@ -14,7 +14,7 @@
 use steering::flow::{FlowKey, Segment, SegmentKind};
 use steering::history::History;
 use steering::membership::{Membership, UpstreamRecord};
-use steering::side::Side;
+use steering::side::AgentCore;
 use steering::view::{Regions, RouteTable, Service, View};
 
 pub use layout::Size;
@@ -138,7 +138,7 @@
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     balancers: Vec<Balancer>,
-    agents: Vec<Option<Side>>,
+    agents: Vec<Option<AgentCore>>,
     /// Until when each agent was or will be out of reach last.
     away_until_ms: Vec<u64>,
     upstreams: Vec<Upstream>,
--- a/crates/fuzzing/src/direct/world/packets.rs
+++ b/crates/fuzzing/src/direct/world/packets.rs
@@ -5,7 +5,7 @@
 use rand::RngExt as _;
 use steering::edge::{Action, AgentReply, Destination, Reason, Verdict};
 use steering::flow::{FlowKey, Segment};
-use steering::side::{Answer, Ask, Delivery, Report};
+use steering::side::{Answer, Delivery, ForwardMetadata, Report};
 
 use super::{
     BLANK, Balancer, CALM_MS, COLD_OPENINGS_MAX, Event, IN_FORCE_MS, LIMITED, PASSED_OVER_MAX,
@@ -101,7 +101,7 @@
         balancer: usize,
         packet: Packet,
         to: Destination,
-        report: bool,
+        wants_report: bool,
     ) {
         let upstream = upstream_of(to.address);
         if self.is_cut(upstream) {
@@ -110,15 +110,15 @@
         let own = SERVICES[self.upstreams[upstream].service];
         let unchecked = self.mutant == Some(Mutant::ServiceNotChecked);
         let Some(side) = &mut self.agents[upstream] else { return };
-        let ask = Ask {
+        let ask = ForwardMetadata {
             balancer: balancer_address(balancer),
             service: if unchecked { own } else { to.service },
             slots: 0,
             slo_ms: 0,
             wait_slos: 0,
             urgent: false,
-            report,
-            turns_away: to.turns_away,
+            wants_report,
+            refuses_new_flows: to.turns_away,
             limit_per_ks: to.limit_per_ks,
             cold: to.cold,
         };
@@ -128,28 +128,28 @@
         }
         match received.delivery {
             Delivery::Deliver => self.at_upstream(upstream, balancer, packet),
-            Delivery::DeliverSilent { for_ms } => {
+            Delivery::DeliverUnresponsive { for_ms } => {
                 self.at_upstream(upstream, balancer, packet);
                 self.say(balancer, upstream, Verdict::Silent { for_ms }, packet);
             }
             Delivery::Foreign { service } => {
                 self.say(balancer, upstream, Verdict::Foreign { service }, packet);
             }
-            Delivery::Denied | Delivery::TurnedAway => {
+            Delivery::NotHeld | Delivery::NotAccepting => {
                 self.say(balancer, upstream, Verdict::Denied, packet);
             }
-            Delivery::Limited { for_ms } => {
+            Delivery::RateLimited { for_ms } => {
                 self.say(balancer, upstream, Verdict::Limited { for_ms }, packet);
             }
             // Without known slots nothing waits.
-            Delivery::Wait => {}
+            Delivery::Queued => {}
         }
     }
 
     /// An agent that is there says so.
     pub(super) fn at_pinged(&mut self, balancer: usize, upstream: usize) {
         if let Some(side) = &mut self.agents[upstream] {
-            side.on_given_back(balancer_address(balancer));
+            side.note_reply_sent(balancer_address(balancer));
             self.say(balancer, upstream, Verdict::Alive, BLANK);
         }
     }
@@ -184,7 +184,7 @@
             Reaction::Return => {
                 if let Some(side) = &mut self.agents[upstream] {
                     side.on_returned(self.now_ms, flow);
-                    side.on_given_back(balancer_address(balancer));
+                    side.note_reply_sent(balancer_address(balancer));
                 }
                 self.say(balancer, upstream, Verdict::Denied, packet);
             }
--- a/crates/steering/src/side/flow.rs
+++ b/crates/steering/src/side/flow.rs
@@ -7,9 +7,9 @@
 
 /// How far apart two packets of an upstream may be that follow each other: 16 may be under way, one
 /// that is sent again may be as far behind the first of these, and one more ends the flow.
-const UNDER_WAY_BYTES: u32 = 2 * 16 * 1_200 + 1;
+const IN_FLIGHT_BYTES: u32 = 2 * 16 * 1_200 + 1;
 /// When callers send their openings: the first one, and its copies.
-const OPENINGS_MS: [Millis; 3] = [0, 200, 600];
+const OPENING_OFFSETS_MS: [Millis; 3] = [0, 200, 600];
 
 #[derive(Debug, Default)]
 pub(super) struct Flow {
@@ -19,7 +19,7 @@
     /// Whether its requests go before others.
     pub(super) urgent: bool,
     /// What the upstream has sent on it; nothing if it may not hold it.
-    pub(super) sent: Option<Sent>,
+    pub(super) sent: Option<SentRange>,
     /// When it last answered a request on it.
     pub(super) answered_ms: Option<Millis>,
     /// Number after the last data seen.
@@ -37,19 +37,19 @@
 }
 
 impl Opening {
-    pub(super) fn spent_ms(self, now_ms: Millis) -> Millis {
+    pub(super) fn elapsed_ms(self, now_ms: Millis) -> Millis {
         now_ms.saturating_sub(self.seen_ms) + self.age_ms
     }
 }
 
 /// Numbers of what an upstream has sent on a flow.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Sent {
+pub(super) struct SentRange {
     first: u32,
     next: u32,
 }
 
-impl Sent {
+impl SentRange {
     /// Whether this is the number of something that was sent, or of what comes next.
     pub(super) fn covers(self, acknowledged: u32) -> bool {
         acknowledged.wrapping_sub(self.first) <= self.next.wrapping_sub(self.first)
@@ -63,14 +63,14 @@
     pub(super) fn note_sent(&mut self, answer: &Answer) {
         let counted = u32::from(answer.data_bytes) + u32::from(answer.opening || answer.last);
         let next = answer.sequence.wrapping_add(counted);
-        let opened_anew = |sent: &Sent| answer.opening && sent.first != answer.sequence;
-        match self.sent.as_mut().filter(|sent| !opened_anew(sent)) {
+        let is_reopened = |sent: &SentRange| answer.opening && sent.first != answer.sequence;
+        match self.sent.as_mut().filter(|sent| !is_reopened(sent)) {
             Some(sent) if (next.wrapping_sub(sent.next) as i32) > 0 => sent.next = next,
             Some(_) => {}
             None => {
-                let under_way = if answer.opening { 0 } else { UNDER_WAY_BYTES };
-                let first = answer.sequence.wrapping_sub(under_way);
-                self.sent = Some(Sent { first, next: next.wrapping_add(under_way) });
+                let in_flight = if answer.opening { 0 } else { IN_FLIGHT_BYTES };
+                let first = answer.sequence.wrapping_sub(in_flight);
+                self.sent = Some(SentRange { first, next: next.wrapping_add(in_flight) });
             }
         }
     }
@@ -82,13 +82,13 @@
             .is_some_and(|next| (segment.next_sequence().wrapping_sub(next) as i32) <= 0)
     }
 
-    pub(super) fn see(&mut self, segment: &Segment) {
+    pub(super) fn record_data(&mut self, segment: &Segment) {
         self.next_sequence = Some(segment.next_sequence());
     }
 }
 
 /// How long ago a caller has sent the first of its openings, going by the copy that has come.
 pub(super) fn opening_age_ms(copy: u32) -> Millis {
-    let last = OPENINGS_MS.len() - 1;
-    OPENINGS_MS[usize::try_from(copy).map_or(last, |copy| copy.min(last))]
+    let last = OPENING_OFFSETS_MS.len() - 1;
+    OPENING_OFFSETS_MS[usize::try_from(copy).map_or(last, |copy| copy.min(last))]
 }
--- a/crates/steering/src/side/mod.rs
+++ b/crates/steering/src/side/mod.rs
@@ -17,84 +17,86 @@
 use crate::view::ServiceStamp;
 use admission::{Admission, Refusal};
 use flow::{Flow, Opening, opening_age_ms};
-pub use pace::{Pace, PaceChange};
+pub use pace::{SlowdownChange, SlowdownDetector};
 use pending_replies::PendingReplies;
 use queue::{Queue, Times};
-pub use types::{Answer, Answered, Ask, Delivery, Received, Released, Report};
-use work::Work;
+pub use types::{
+    Answer, AnswerOutcome, Delivery, ForwardMetadata, PacketOutcome, Released, Report,
+};
+use work::ServiceTime;
 
 /// An upstream that has left packets unanswered for this long, without any packet of its own, counts
 /// as silent. It answers or returns a packet within a millisecond when it lives.
-pub const SILENT_MS: Millis = 100;
+pub const UNRESPONSIVE_MS: Millis = 100;
 /// Openings that must be unanswered before an upstream counts as silent: one may get lost. Only an
 /// opening is answered or returned at once; an answer to data may take the whole time of the work.
-const SILENT_OPENINGS: u32 = 2;
+const UNRESPONSIVE_OPENINGS: u32 = 2;
 /// A pause of this process longer than this proves nothing about the upstream.
 const PAUSE_MS: Millis = 80;
 /// Flows remembered at most. An upstream holds 2,000.
 const FLOWS_MAX: usize = 16_384;
 /// An upstream that lives keeps a flow for longer than this after its last packet on it; idle flows are
 /// closed after many seconds.
-const KEEPS_MS: Millis = 1_000;
+const FLOW_KEPT_MIN_MS: Millis = 1_000;
 /// A flow without packets for this long is forgotten.
-const IDLE_MS: Millis = 20_000;
+const FLOW_IDLE_MS: Millis = 20_000;
 /// A request counts as at work for this long at most; answers that were lost must not stay counted.
-const BUSY_MS: Millis = 3_000;
+const BUSY_MAX_MS: Millis = 3_000;
 /// Pause between two looks for flows to forget.
 const SWEEP_MS: Millis = 1_000;
 /// Requests handed to the upstream beyond its slots, so that a slot never waits for the next one.
-const AHEAD: u32 = 1;
+const REQUESTS_BEYOND_SLOTS: u32 = 1;
 /// Data bytes of a full packet. More of the same request follows one, with round trips between, and
 /// the upstream begins its work with the last packet only.
-const FULL_BYTES: u16 = 1_200;
+const FULL_PACKET_BYTES: u16 = 1_200;
 /// Time that callers give an answer where nobody says so: the shortest that is known of any.
 const SLO_DEFAULT_MS: Millis = 150;
 /// How many times that time callers wait where nobody says so.
 const WAIT_DEFAULT_SLOS: u8 = 6;
 /// Usual times of work left for a request that is handed on last: one that its caller gives up takes a
 /// slot for nothing.
-const ROOM_WORKS: Millis = 3;
+const RESERVED_SERVICE_TIMES: Millis = 3;
 /// The way of an answer to its caller.
-const WAY_MS: Millis = 3;
+const NETWORK_DELAY_MS: Millis = 3;
 
 /// The state of an agent.
-pub struct Side {
+pub struct AgentCore {
     service: ServiceStamp,
     policy: Policy,
     flows: HashMap<FlowKey, Flow>,
     queue: Queue,
-    work: Work,
+    service_time: ServiceTime,
     pending_replies: PendingReplies,
     admission: Admission,
     slots: u8,
     busy: u32,
     unanswered: u32,
     unanswered_since_ms: Millis,
-    awake_ms: Millis,
+    last_running_ms: Millis,
     swept_ms: Millis,
 }
 
-impl Side {
+impl AgentCore {
     /// An agent beside an upstream of this service.
     pub fn new(service: ServiceStamp) -> Self {
-        Self::with(service, Policy::default())
+        Self::with_policy(service, Policy::default())
     }
 
     /// The same with another policy.
-    pub fn with(service: ServiceStamp, policy: Policy) -> Self {
+    pub fn with_policy(service: ServiceStamp, policy: Policy) -> Self {
         Self {
             service,
             policy,
             flows: HashMap::new(),
             queue: Queue::default(),
-            work: Work::default(),
+            service_time: ServiceTime::default(),
             pending_replies: PendingReplies::default(),
             admission: Admission::default(),
             slots: 0,
             busy: 0,
             unanswered: 0,
             unanswered_since_ms: 0,
-            awake_ms: 0,
+            last_running_ms: 0,
             swept_ms: 0,
         }
     }
@@ -106,60 +108,71 @@
         now_ms: Millis,
         segment: &Segment,
         bytes: &[u8],
-        ask: Ask,
-    ) -> Received {
-        self.wake(now_ms);
-        if ask.service != self.service {
-            return Received {
+        metadata: ForwardMetadata,
+    ) -> PacketOutcome {
+        self.note_running(now_ms);
+        if metadata.service != self.service {
+            return PacketOutcome {
                 delivery: Delivery::Foreign { service: self.service },
                 report: None,
             };
         }
-        if ask.slots > 0 {
-            self.slots = ask.slots;
+        if metadata.slots > 0 {
+            self.slots = metadata.slots;
         }
-        self.admission.hear(now_ms, &ask);
-        if let Err(refusal) = self.admit(now_ms, segment, &ask) {
-            self.pending_replies.sent(ask.balancer);
-            return Received { delivery: refusal.into(), report: None };
+        self.admission.record_acceptance_vote(now_ms, &metadata);
+        if let Err(refusal) = self.admit(now_ms, segment, &metadata) {
+            self.pending_replies.resolve(metadata.balancer);
+            return PacketOutcome { delivery: refusal.into(), report: None };
         }
-        let held = self.holds(segment);
+        let held = self.is_held_by_upstream(segment);
         if held == Some(false) {
-            self.pending_replies.sent(ask.balancer);
-            return Received { delivery: Delivery::Denied, report: None };
+            self.pending_replies.resolve(metadata.balancer);
+            return PacketOutcome { delivery: Delivery::NotHeld, report: None };
         }
-        self.note_packet(now_ms, segment, ask);
-        let delivery = self.deliver(now_ms, segment, bytes, &ask);
-        let silent = matches!(delivery, Delivery::DeliverSilent { .. });
+        self.note_packet(now_ms, segment, metadata);
+        let delivery = self.deliver(now_ms, segment, bytes, &metadata);
+        let silent = matches!(delivery, Delivery::DeliverUnresponsive { .. });
         let report = if held.is_some() && !silent { self.take_report(segment.flow) } else { None };
         if report.is_some() || silent {
-            self.pending_replies.sent(ask.balancer);
-        } else if ask.report {
-            self.pending_replies.expect(now_ms, ask.balancer);
+            self.pending_replies.resolve(metadata.balancer);
+        } else if metadata.wants_report {
+            self.pending_replies.expect(now_ms, metadata.balancer);
         }
-        Received { delivery, report }
+        PacketOutcome { delivery, report }
     }
 
     /// Whether a packet may go to the upstream as far as it opens a flow; a copy of an opening that the
     /// upstream has answered opens none.
-    fn admit(&mut self, now_ms: Millis, segment: &Segment, ask: &Ask) -> Result<(), Refusal> {
+    fn admit(
+        &mut self,
+        now_ms: Millis,
+        segment: &Segment,
+        metadata: &ForwardMetadata,
+    ) -> Result<(), Refusal> {
         let is_opening = matches!(segment.kind, SegmentKind::Opening { .. });
         let is_held = self.flows.get(&segment.flow).is_some_and(|flow| flow.sent.is_some());
         if !is_opening || is_held {
             return Ok(());
         }
-        self.admission.admit(now_ms, ask)
+        self.admission.admit(now_ms, metadata)
     }
 
-    fn deliver(&mut self, now_ms: Millis, segment: &Segment, bytes: &[u8], ask: &Ask) -> Delivery {
-        if let Some(for_ms) = self.silence(now_ms, segment.kind) {
-            self.start(now_ms, segment);
-            return Delivery::DeliverSilent { for_ms };
+    fn deliver(
+        &mut self,
+        now_ms: Millis,
+        segment: &Segment,
+        bytes: &[u8],
+        metadata: &ForwardMetadata,
+    ) -> Delivery {
+        if let Some(for_ms) = self.note_unanswered(now_ms, segment.kind) {
+            self.start_request(now_ms, segment);
+            return Delivery::DeliverUnresponsive { for_ms };
         }
-        if self.must_wait(now_ms, segment, bytes, ask) {
-            return Delivery::Wait;
+        if self.enqueue_if_no_slot(now_ms, segment, bytes, metadata) {
+            return Delivery::Queued;
         }
-        self.start(now_ms, segment);
+        self.start_request(now_ms, segment);
         Delivery::Deliver
     }
 
@@ -168,10 +181,10 @@
     /// The caller acknowledges a number of the upstream that it has chosen; one that holds the flow half
     /// open takes its packets without a word. Closing packets go on in any case: they end what is known
     /// here of an upstream's numbers.
-    fn holds(&self, segment: &Segment) -> Option<bool> {
+    fn is_held_by_upstream(&self, segment: &Segment) -> Option<bool> {
         let sent = self.flows.get(&segment.flow)?.sent.filter(|_| self.policy.ownership_reply)?;
-        let tells = segment.kind == SegmentKind::Later && !segment.last;
-        tells.then(|| sent.covers(segment.acknowledged))
+        let is_conclusive = segment.kind == SegmentKind::Later && !segment.last;
+        is_conclusive.then(|| sent.covers(segment.acknowledged))
     }
 
     /// Packets of the request that may go to the upstream now, if one may.
@@ -179,7 +192,7 @@
         let closing = self.queue.take_closing(now_ms);
         let waiting = if let Some(closing) = closing {
             closing
-        } else if self.silent_for(now_ms).is_some() {
+        } else if self.unresponsive_for(now_ms).is_some() {
             // What is silent frees no slot: the packets go on, so that the balancers learn of it.
             self.queue.take_any()?
         } else if self.has_slot() {
@@ -203,7 +216,7 @@
 
     /// Packets of the oldest request that waits, if any, whatever the upstream is doing: a process
     /// that ends must not keep them.
-    pub fn release_any(&mut self) -> Option<Vec<Box<[u8]>>> {
+    pub fn take_any_queued(&mut self) -> Option<Vec<Box<[u8]>>> {
         self.queue.take_any().map(|waiting| waiting.packets)
     }
 
@@ -212,53 +225,53 @@
     /// An upstream keeps a flow whose request it has just answered: one that returns it has started
     /// anew, and nothing of its earlier life is at work. An answer to an opening says less.
     pub fn on_returned(&mut self, now_ms: Millis, flow: FlowKey) {
-        self.wake(now_ms);
-        self.end_silence(now_ms);
+        self.note_running(now_ms);
+        self.note_upstream_activity(now_ms);
         let answered_ms = self.flows.get(&flow).and_then(|flow| flow.answered_ms);
-        if answered_ms.is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < KEEPS_MS) {
+        if answered_ms.is_some_and(|at_ms| now_ms.saturating_sub(at_ms) < FLOW_KEPT_MIN_MS) {
             self.flows.clear();
             self.busy = 0;
-            self.admission.suspect(now_ms);
+            self.admission.suspect_restart(now_ms);
         }
         self.forget(flow);
     }
 
     /// Takes note of a packet that the upstream sends to a caller, and says who is told.
-    pub fn on_answer(&mut self, now_ms: Millis, answer: Answer) -> Answered {
-        self.wake(now_ms);
-        self.end_silence(now_ms);
-        let Some(flow) = self.flows.get_mut(&answer.flow) else { return Answered::default() };
+    pub fn on_answer(&mut self, now_ms: Millis, answer: Answer) -> AnswerOutcome {
+        self.note_running(now_ms);
+        self.note_upstream_activity(now_ms);
+        let Some(flow) = self.flows.get_mut(&answer.flow) else { return AnswerOutcome::default() };
         flow.seen_ms = now_ms;
         flow.note_sent(&answer);
         if answer.data_bytes > 0 {
             flow.answered_ms = Some(now_ms);
         }
         let started_ms = if answer.data_bytes > 0 { flow.busy_since_ms.take() } else { None };
-        let worked_ms = started_ms.map(|started_ms| now_ms.saturating_sub(started_ms));
-        if let Some(worked_ms) = worked_ms {
+        let service_time_ms = started_ms.map(|started_ms| now_ms.saturating_sub(started_ms));
+        if let Some(service_time_ms) = service_time_ms {
             flow.opening = None;
-            self.work.take(worked_ms);
+            self.service_time.record(service_time_ms);
             self.busy = self.busy.saturating_sub(1);
         }
         let balancer = flow.report_to.take();
-        balancer.into_iter().for_each(|balancer| self.pending_replies.sent(balancer));
+        balancer.into_iter().for_each(|balancer| self.pending_replies.resolve(balancer));
         if answer.last {
             self.forget(answer.flow);
         }
-        let busy = self.busy_in_short();
-        Answered {
+        let busy = self.busy_saturated();
+        AnswerOutcome {
             report: balancer.map(|balancer| Report {
                 balancer,
                 busy,
                 opening_sequence: answer.opening.then_some(answer.sequence),
             }),
-            worked_ms,
+            service_time_ms,
         }
     }
 
     /// Takes note that a packet goes back to this balancer.
-    pub fn on_given_back(&mut self, balancer: Ipv4Addr) {
-        self.pending_replies.sent(balancer);
+    pub fn note_reply_sent(&mut self, balancer: Ipv4Addr) {
+        self.pending_replies.resolve(balancer);
     }
 
     /// Balancers that have asked for a word a while ago, and are told now that this agent lives.
@@ -268,11 +281,11 @@
 
     /// Notes that the process runs.
     pub fn on_tick(&mut self, now_ms: Millis) {
-        self.wake(now_ms);
+        self.note_running(now_ms);
     }
 
     /// Whether something waits, so that the process must not sleep for long.
-    pub fn awaits_something(&self) -> bool {
+    pub fn has_pending_work(&self) -> bool {
         self.unanswered > 0 || self.queue.len() > 0 || !self.pending_replies.is_empty()
     }
 
@@ -288,12 +301,12 @@
 
     /// After a pause of the process, the upstream's answers may still wait unread, and the time that
     /// has passed says nothing about it.
-    fn wake(&mut self, now_ms: Millis) {
-        if now_ms.saturating_sub(self.awake_ms) >= PAUSE_MS {
+    fn note_running(&mut self, now_ms: Millis) {
+        if now_ms.saturating_sub(self.last_running_ms) >= PAUSE_MS {
             self.unanswered = 0;
         }
-        self.awake_ms = now_ms;
-        self.admission.wake(now_ms);
+        self.last_running_ms = now_ms;
+        self.admission.start_counting(now_ms);
         if now_ms.saturating_sub(self.swept_ms) >= SWEEP_MS {
             self.sweep(now_ms);
         }
@@ -303,10 +316,10 @@
     /// waiting beside an idle upstream.
     fn sweep(&mut self, now_ms: Millis) {
         self.swept_ms = now_ms;
-        self.queue.sweep(now_ms);
-        self.flows.retain(|_, flow| now_ms.saturating_sub(flow.seen_ms) < IDLE_MS);
+        self.queue.drop_abandoned(now_ms);
+        self.flows.retain(|_, flow| now_ms.saturating_sub(flow.seen_ms) < FLOW_IDLE_MS);
         for flow in self.flows.values_mut() {
-            if flow.busy_since_ms.is_some_and(|since| now_ms.saturating_sub(since) >= BUSY_MS) {
+            if flow.busy_since_ms.is_some_and(|since| now_ms.saturating_sub(since) >= BUSY_MAX_MS) {
                 flow.busy_since_ms = None;
             }
         }
@@ -315,44 +328,44 @@
     }
 
     /// How long the upstream has been silent, if it has.
-    fn silence(&mut self, now_ms: Millis, kind: SegmentKind) -> Option<Millis> {
+    fn note_unanswered(&mut self, now_ms: Millis, kind: SegmentKind) -> Option<Millis> {
         let opening = matches!(kind, SegmentKind::Opening { .. });
         if self.unanswered == 0 {
             self.unanswered_since_ms = now_ms;
         }
         self.unanswered = self.unanswered.saturating_add(u32::from(opening));
-        self.silent_for(now_ms)
+        self.unresponsive_for(now_ms)
     }
 
     /// What was silent and answers may have started anew.
-    fn end_silence(&mut self, now_ms: Millis) {
-        if self.silent_for(now_ms).is_some() {
-            self.admission.suspect(now_ms);
+    fn note_upstream_activity(&mut self, now_ms: Millis) {
+        if self.unresponsive_for(now_ms).is_some() {
+            self.admission.suspect_restart(now_ms);
         }
-        self.admission.hear_upstream(now_ms);
+        self.admission.note_upstream_activity(now_ms);
         self.unanswered = 0;
     }
 
-    fn silent_for(&self, now_ms: Millis) -> Option<Millis> {
+    fn unresponsive_for(&self, now_ms: Millis) -> Option<Millis> {
         let for_ms = now_ms.saturating_sub(self.unanswered_since_ms);
-        (self.unanswered >= SILENT_OPENINGS && for_ms >= SILENT_MS).then_some(for_ms)
+        (self.unanswered >= UNRESPONSIVE_OPENINGS && for_ms >= UNRESPONSIVE_MS).then_some(for_ms)
     }
 
-    fn note_packet(&mut self, now_ms: Millis, segment: &Segment, ask: Ask) {
+    fn note_packet(&mut self, now_ms: Millis, segment: &Segment, metadata: ForwardMetadata) {
         if self.flows.len() >= FLOWS_MAX && !self.flows.contains_key(&segment.flow) {
             self.flows = HashMap::new();
             self.busy = 0;
         }
         let flow = self.flows.entry(segment.flow).or_default();
         flow.seen_ms = now_ms;
-        if ask.report {
-            flow.report_to = Some(ask.balancer);
+        if metadata.wants_report {
+            flow.report_to = Some(metadata.balancer);
         }
         match segment.kind {
             SegmentKind::Opening { copy } => {
                 let opening = Opening { seen_ms: now_ms, age_ms: opening_age_ms(copy) };
                 flow.opening.get_or_insert(opening);
-                flow.urgent = ask.urgent && self.policy.priority;
+                flow.urgent = metadata.urgent && self.policy.priority;
                 flow.next_sequence = None;
             }
             SegmentKind::Later => {}
@@ -363,7 +376,13 @@
     }
 
     /// Whether data has to wait; if so, it was put into the queue.
-    fn must_wait(&mut self, now_ms: Millis, segment: &Segment, bytes: &[u8], ask: &Ask) -> bool {
+    fn enqueue_if_no_slot(
+        &mut self,
+        now_ms: Millis,
+        segment: &Segment,
+        bytes: &[u8],
+        metadata: &ForwardMetadata,
+    ) -> bool {
         if !self.policy.waiting || !self.is_request_data(segment) {
             return false;
         }
@@ -377,44 +396,46 @@
         if flow.is_none_or(|flow| flow.sent.is_none()) {
             return false;
         }
-        let at_work = flow.is_some_and(|flow| flow.busy_since_ms.is_some());
-        if at_work || self.has_slot() || !self.queue.has_room() {
+        let in_progress = flow.is_some_and(|flow| flow.busy_since_ms.is_some());
+        if in_progress || self.has_slot() || !self.queue.has_room() {
             return false;
         }
         let opening = flow.and_then(|flow| flow.opening);
-        let spent_ms = opening.map_or(0, |opening| opening.spent_ms(now_ms));
-        let slo_ms = if ask.slo_ms == 0 { SLO_DEFAULT_MS } else { Millis::from(ask.slo_ms) };
-        let wait_slos = if ask.wait_slos == 0 { WAIT_DEFAULT_SLOS } else { ask.wait_slos };
-        let needed_ms = self.work.usual_ms() + WAY_MS + spent_ms;
+        let elapsed_ms = opening.map_or(0, |opening| opening.elapsed_ms(now_ms));
+        let slo_ms =
+            if metadata.slo_ms == 0 { SLO_DEFAULT_MS } else { Millis::from(metadata.slo_ms) };
+        let wait_slos =
+            if metadata.wait_slos == 0 { WAIT_DEFAULT_SLOS } else { metadata.wait_slos };
+        let needed_ms = self.service_time.mean_or_zero_ms() + NETWORK_DELAY_MS + elapsed_ms;
         let start_by_ms = slo_ms.checked_sub(needed_ms).map(|left_ms| now_ms + left_ms);
-        let work_ms = ROOM_WORKS * self.work.usual_ms();
-        let left_ms = (slo_ms * Millis::from(wait_slos)).saturating_sub(spent_ms + work_ms);
+        let reserved_ms = RESERVED_SERVICE_TIMES * self.service_time.mean_or_zero_ms();
+        let left_ms = (slo_ms * Millis::from(wait_slos)).saturating_sub(elapsed_ms + reserved_ms);
         let urgent = flow.is_some_and(|flow| flow.urgent);
-        let times = Times { now_ms, start_by_ms, until_ms: now_ms + left_ms };
+        let times = Times { now_ms, start_by_ms, abandoned_from_ms: now_ms + left_ms };
         self.queue.push(segment, bytes, times, urgent);
         true
     }
 
     fn take_report(&mut self, key: FlowKey) -> Option<Report> {
         let balancer = self.flows.get_mut(&key)?.report_to.take()?;
-        Some(Report { balancer, busy: self.busy_in_short(), opening_sequence: None })
+        Some(Report { balancer, busy: self.busy_saturated(), opening_sequence: None })
     }
 
-    fn busy_in_short(&self) -> u8 {
+    fn busy_saturated(&self) -> u8 {
         u8::try_from(self.busy).unwrap_or(u8::MAX)
     }
 
     fn has_slot(&self) -> bool {
-        self.slots == 0 || self.busy < u32::from(self.slots) + AHEAD
+        self.slots == 0 || self.busy < u32::from(self.slots) + REQUESTS_BEYOND_SLOTS
     }
 
-    fn start(&mut self, now_ms: Millis, segment: &Segment) {
+    fn start_request(&mut self, now_ms: Millis, segment: &Segment) {
         let counts = self.is_request_data(segment);
         let Some(flow) = self.flows.get_mut(&segment.flow) else { return };
         if !counts || flow.has_seen(segment) {
             return;
         }
-        flow.see(segment);
+        flow.record_data(segment);
         if flow.busy_since_ms.is_none() {
             flow.busy_since_ms = Some(now_ms);
             self.busy += 1;
@@ -423,12 +444,12 @@
 
     /// Whether the upstream begins its work with this packet.
     fn is_request_data(&self, segment: &Segment) -> bool {
-        let goes_on = self.policy.upload_accounting && segment.data_bytes >= FULL_BYTES;
-        segment.kind == SegmentKind::Later && segment.data_bytes > 0 && !goes_on
+        let is_continued = self.policy.upload_accounting && segment.data_bytes >= FULL_PACKET_BYTES;
+        segment.kind == SegmentKind::Later && segment.data_bytes > 0 && !is_continued
     }
 
     fn forget(&mut self, key: FlowKey) {
-        self.queue.forget(key);
+        self.queue.remove_flow(key);
         let flow = self.flows.remove(&key);
         if flow.is_some_and(|flow| flow.busy_since_ms.is_some()) {
             self.busy = self.busy.saturating_sub(1);
@@ -439,8 +460,8 @@
 impl From<Refusal> for Delivery {
     fn from(refusal: Refusal) -> Self {
         match refusal {
-            Refusal::TurnedAway => Self::TurnedAway,
-            Refusal::Limited { for_ms } => Self::Limited { for_ms },
+            Refusal::NotAccepting => Self::NotAccepting,
+            Refusal::RateLimited { for_ms } => Self::RateLimited { for_ms },
         }
     }
 }
--- a/crates/steering/src/side/pace.rs
+++ b/crates/steering/src/side/pace.rs
@@ -16,7 +16,7 @@
 
 /// Times from a request to the first packet of its answer.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct SlowdownDetector {
     short_ms: f64,
     long_ms: f64,
     answers: u32,
@@ -25,28 +25,28 @@
 
 /// A change of pace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PaceChange {
+pub struct SlowdownChange {
     /// Whether the upstream is slow from now on.
     pub slow: bool,
     /// Mean of the latest answers.
-    pub now_ms: Millis,
+    pub recent_ms: Millis,
     /// Mean before.
     pub usual_ms: Millis,
 }
 
-impl Pace {
+impl SlowdownDetector {
     /// Takes the time of one answer, and tells when the upstream turns slow or is well again.
-    pub fn take(&mut self, worked_ms: Millis) -> Option<PaceChange> {
-        let worked_ms = worked_ms as f64;
+    pub fn record(&mut self, service_time_ms: Millis) -> Option<SlowdownChange> {
+        let service_time_ms = service_time_ms as f64;
         if self.answers == 0 {
-            (self.short_ms, self.long_ms) = (worked_ms, worked_ms);
+            (self.short_ms, self.long_ms) = (service_time_ms, service_time_ms);
         }
         self.answers = self.answers.saturating_add(1);
-        self.short_ms += (worked_ms - self.short_ms) * SHORT_WEIGHT;
+        self.short_ms += (service_time_ms - self.short_ms) * SHORT_WEIGHT;
         if !self.slow {
             // What is usual is learnt while the upstream is well.
             let weight = LONG_WEIGHT.max(1.0 / f64::from(self.answers));
-            self.long_ms += (worked_ms - self.long_ms) * weight;
+            self.long_ms += (service_time_ms - self.long_ms) * weight;
         }
         let factor = if self.slow { WELL_FACTOR } else { SLOW_FACTOR };
         let slow = self.short_ms > self.long_ms * factor;
@@ -54,6 +54,10 @@
             return None;
         }
         self.slow = slow;
-        Some(PaceChange { slow, now_ms: self.short_ms as Millis, usual_ms: self.long_ms as Millis })
+        Some(SlowdownChange {
+            slow,
+            recent_ms: self.short_ms as Millis,
+            usual_ms: self.long_ms as Millis,
+        })
     }
 }
--- a/crates/steering/src/side/pending_replies.rs
+++ b/crates/steering/src/side/pending_replies.rs
@@ -9,7 +9,7 @@
 
 /// Time without any word after which a balancer is told that this agent lives. Upstreams return at
 /// once what they do not hold, and balancers count an agent as quiet after three times as long.
-const TELL_AFTER_MS: Millis = 50;
+const REPLY_AFTER_MS: Millis = 50;
 /// Balancers remembered at most; the fleet is far smaller, and what is forged must cost no memory.
 const BALANCERS_MAX: usize = 4_096;
 
@@ -30,7 +30,7 @@
     }
 
     /// A balancer gets a word.
-    pub(super) fn sent(&mut self, balancer: Ipv4Addr) {
+    pub(super) fn resolve(&mut self, balancer: Ipv4Addr) {
         if let Ok(index) = self.find(balancer) {
             self.balancers.remove(index);
         }
@@ -39,7 +39,7 @@
     /// Takes the balancers that have waited for long enough.
     pub(super) fn take_due(&mut self, now_ms: Millis) -> Vec<Ipv4Addr> {
         let is_due = |(_, since_ms): &mut (Ipv4Addr, Millis)| {
-            now_ms.saturating_sub(*since_ms) >= TELL_AFTER_MS
+            now_ms.saturating_sub(*since_ms) >= REPLY_AFTER_MS
         };
         self.balancers.extract_if(.., is_due).map(|(balancer, _)| balancer).collect()
     }
--- a/crates/steering/src/side/queue.rs
+++ b/crates/steering/src/side/queue.rs
@@ -18,7 +18,7 @@
 
 /// A request with its packets in the order of arrival.
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct QueuedRequest {
     pub(super) flow: FlowKey,
     pub(super) packets: Vec<Box<[u8]>>,
     /// Number after the last data.
@@ -27,7 +27,7 @@
     /// Started later, it is late; `None` if it is late whatever happens.
     start_by_ms: Option<Millis>,
     /// From then on, its caller has given up.
-    until_ms: Millis,
+    abandoned_from_ms: Millis,
     /// Whether the caller has ended the flow with it.
     closing: bool,
     /// Whether it goes before others.
@@ -41,10 +41,10 @@
     /// Started later, it is late; `None` if it is late whatever happens.
     pub(super) start_by_ms: Option<Millis>,
     /// From then on, nobody awaits it.
-    pub(super) until_ms: Millis,
+    pub(super) abandoned_from_ms: Millis,
 }
 
-impl Waiting {
+impl QueuedRequest {
     /// How long it has waited.
     pub(super) fn waited_ms(&self, now_ms: Millis) -> Millis {
         now_ms.saturating_sub(self.since_ms)
@@ -54,7 +54,7 @@
 /// Requests by arrival.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    requests: Vec<Waiting>,
+    requests: Vec<QueuedRequest>,
 }
 
 impl Queue {
@@ -65,14 +65,14 @@
 
     /// Adds a request.
     pub(super) fn push(&mut self, segment: &Segment, packet: &[u8], times: Times, urgent: bool) {
-        let Times { now_ms, start_by_ms, until_ms } = times;
-        self.requests.push(Waiting {
+        let Times { now_ms, start_by_ms, abandoned_from_ms } = times;
+        self.requests.push(QueuedRequest {
             flow: segment.flow,
             packets: vec![packet.into()],
             next_sequence: segment.next_sequence(),
             since_ms: now_ms,
             start_by_ms,
-            until_ms,
+            abandoned_from_ms,
             closing: segment.last,
             urgent,
         });
@@ -85,8 +85,8 @@
         let Some(waiting) = requests.find(|waiting| waiting.flow == segment.flow) else {
             return false;
         };
-        let known = waiting.packets.iter().any(|kept| **kept == *packet);
-        if !known && waiting.packets.len() < PACKETS_MAX {
+        let is_kept = waiting.packets.iter().any(|kept| **kept == *packet);
+        if !is_kept && waiting.packets.len() < PACKETS_MAX {
             waiting.packets.push(packet.into());
             waiting.next_sequence = segment.next_sequence();
             waiting.closing |= segment.last;
@@ -96,15 +96,16 @@
 
     /// Takes the request to be worked on next: the newest that can be on time, else the oldest, and in
     /// both an urgent one if there is one.
-    pub(super) fn take_next(&mut self, now_ms: Millis) -> Option<Waiting> {
-        self.sweep(now_ms);
-        let hopeful = |waiting: &Waiting| waiting.start_by_ms.is_some_and(|by_ms| now_ms <= by_ms);
-        let urgent = |waiting: &Waiting| waiting.urgent;
+    pub(super) fn take_next(&mut self, now_ms: Millis) -> Option<QueuedRequest> {
+        self.drop_abandoned(now_ms);
+        let can_be_on_time =
+            |waiting: &QueuedRequest| waiting.start_by_ms.is_some_and(|by_ms| now_ms <= by_ms);
+        let urgent = |waiting: &QueuedRequest| waiting.urgent;
         let requests = &self.requests;
         let index = requests
             .iter()
-            .rposition(|waiting| hopeful(waiting) && urgent(waiting))
-            .or_else(|| requests.iter().rposition(hopeful))
+            .rposition(|waiting| can_be_on_time(waiting) && urgent(waiting))
+            .or_else(|| requests.iter().rposition(can_be_on_time))
             .or_else(|| requests.iter().position(urgent))
             .or_else(|| (!requests.is_empty()).then_some(0))?;
         Some(self.requests.remove(index))
@@ -113,24 +114,25 @@
     /// Takes a request whose caller has given up and ended the flow with it, if there is one.
     ///
     /// The upstream must learn of the end; it comes once for each flow.
-    pub(super) fn take_closing(&mut self, now_ms: Millis) -> Option<Waiting> {
-        let is_due = |waiting: &Waiting| waiting.closing && now_ms >= waiting.until_ms;
+    pub(super) fn take_closing(&mut self, now_ms: Millis) -> Option<QueuedRequest> {
+        let is_due =
+            |waiting: &QueuedRequest| waiting.closing && now_ms >= waiting.abandoned_from_ms;
         let index = self.requests.iter().position(is_due)?;
         Some(self.requests.remove(index))
     }
 
     /// Takes whatever waits, oldest first.
-    pub(super) fn take_any(&mut self) -> Option<Waiting> {
+    pub(super) fn take_any(&mut self) -> Option<QueuedRequest> {
         (!self.requests.is_empty()).then(|| self.requests.remove(0))
     }
 
     /// Forgets the requests whose callers must have given up, but for those that end their flows.
-    pub(super) fn sweep(&mut self, now_ms: Millis) {
-        self.requests.retain(|waiting| waiting.closing || now_ms < waiting.until_ms);
+    pub(super) fn drop_abandoned(&mut self, now_ms: Millis) {
+        self.requests.retain(|waiting| waiting.closing || now_ms < waiting.abandoned_from_ms);
     }
 
     /// Forgets the request of a flow whose caller has given up.
-    pub(super) fn forget(&mut self, flow: FlowKey) {
+    pub(super) fn remove_flow(&mut self, flow: FlowKey) {
         self.requests.retain(|waiting| waiting.flow != flow);
     }
 
--- a/crates/steering/src/side/types.rs
+++ b/crates/steering/src/side/types.rs
@@ -7,7 +7,7 @@
 
 /// What a balancer asks of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct ForwardMetadata {
     /// The balancer.
     pub balancer: Ipv4Addr,
     /// The service that the packet is meant for.
@@ -21,9 +21,9 @@
     /// Whether the requests of the flow that is opened go before others.
     pub urgent: bool,
     /// Whether the balancer wants to know when the upstream answers.
-    pub report: bool,
+    pub wants_report: bool,
     /// Whether the balancer knows that the upstream takes no new flows.
-    pub turns_away: bool,
+    pub refuses_new_flows: bool,
     /// Openings that a cold upstream bears in a thousand seconds; zero if they are not limited.
     pub limit_per_ks: u32,
     /// Whether the balancer knows that the upstream is cold.
@@ -36,7 +36,7 @@
     /// It goes to the upstream.
     Deliver,
     /// It goes to the upstream, and back to the balancer, since the upstream has been silent.
-    DeliverSilent {
+    DeliverUnresponsive {
         /// How long.
         for_ms: Millis,
     },
@@ -46,22 +46,22 @@
         service: ServiceStamp,
     },
     /// It goes back to the balancer: its caller has acknowledged a number of another upstream.
-    Denied,
+    NotHeld,
     /// It goes back to the balancer: it opens a flow, and the upstream takes no new ones.
-    TurnedAway,
+    NotAccepting,
     /// It goes back to the balancer: it opens a flow, and the upstream is cold and bears no further
     /// one for so long.
-    Limited {
+    RateLimited {
         /// How long.
         for_ms: Millis,
     },
     /// It waits here until the upstream has room.
-    Wait,
+    Queued,
 }
 
 /// What follows from a balancer's packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Received {
+pub struct PacketOutcome {
     /// What becomes of the packet.
     pub delivery: Delivery,
     /// The balancer that asked for the flow and is told at once that it is here.
@@ -85,11 +85,11 @@
 
 /// What follows from a packet of the upstream's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Answered {
+pub struct AnswerOutcome {
     /// Who is told.
     pub report: Option<Report>,
     /// If the packet begins the answer to a request: the time since that was handed on.
-    pub worked_ms: Option<Millis>,
+    pub service_time_ms: Option<Millis>,
 }
 
 /// A request that has waited and may go to the upstream now.
--- a/crates/steering/src/side/votes.rs
+++ b/crates/steering/src/side/votes.rs
@@ -35,7 +35,7 @@
     }
 
     /// Takes a balancer's vote.
-    pub(super) fn hear(&mut self, now_ms: Millis, balancer: Ipv4Addr, yes: bool) {
+    pub(super) fn record(&mut self, now_ms: Millis, balancer: Ipv4Addr, yes: bool) {
         let vote = Vote { balancer, yes, at_ms: now_ms };
         match self.votes.binary_search_by_key(&balancer, |vote| vote.balancer) {
             Ok(index) => self.votes[index] = vote,
--- a/crates/steering/src/side/work.rs
+++ b/crates/steering/src/side/work.rs
@@ -8,20 +8,20 @@
 
 /// Mean time from a request to the first packet of its answer.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Work {
+pub(super) struct ServiceTime {
     mean_ms: Option<f64>,
 }
 
-impl Work {
+impl ServiceTime {
     /// Takes the time of one answer.
-    pub(super) fn take(&mut self, worked_ms: Millis) {
-        let worked_ms = worked_ms as f64;
-        let mean_ms = self.mean_ms.get_or_insert(worked_ms);
-        *mean_ms += (worked_ms - *mean_ms) * WEIGHT;
+    pub(super) fn record(&mut self, service_time_ms: Millis) {
+        let service_time_ms = service_time_ms as f64;
+        let mean_ms = self.mean_ms.get_or_insert(service_time_ms);
+        *mean_ms += (service_time_ms - *mean_ms) * WEIGHT;
     }
 
     /// What to expect; zero before the first answer.
-    pub(super) fn usual_ms(&self) -> Millis {
+    pub(super) fn mean_or_zero_ms(&self) -> Millis {
         self.mean_ms.unwrap_or_default() as Millis
     }
 }
--- a/crates/steering/tests/common/agent.rs
+++ b/crates/steering/tests/common/agent.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use steering::flow::{Millis, Segment};
-use steering::side::{Answer, Ask, Delivery, Side};
+use steering::side::{AgentCore, Answer, Delivery, ForwardMetadata};
 
 use super::{SERVICE, flow, opening};
 
@@ -11,20 +11,20 @@
 pub(crate) const SLO_MS: u32 = 200;
 pub(crate) const BALANCER: Ipv4Addr = Ipv4Addr::new(10, 1, 0, 1);
 
-pub(crate) fn side() -> Side {
-    Side::new(SERVICE)
+pub(crate) fn side() -> AgentCore {
+    AgentCore::new(SERVICE)
 }
 
-pub(crate) fn ask(slots: u8) -> Ask {
-    Ask {
+pub(crate) fn ask(slots: u8) -> ForwardMetadata {
+    ForwardMetadata {
         balancer: BALANCER,
         service: SERVICE,
         slots,
         slo_ms: SLO_MS,
         wait_slos: 0,
         urgent: false,
-        report: false,
-        turns_away: false,
+        wants_report: false,
+        refuses_new_flows: false,
         limit_per_ks: 0,
         cold: false,
     }
@@ -38,13 +38,18 @@
     Answer { data_bytes: 0, opening: true, ..answer(number) }
 }
 
-pub(crate) fn deliver(side: &mut Side, now_ms: Millis, segment: &Segment, slots: u8) -> Delivery {
+pub(crate) fn deliver(
+    side: &mut AgentCore,
+    now_ms: Millis,
+    segment: &Segment,
+    slots: u8,
+) -> Delivery {
     let bytes = [segment.flow.caller.port() as u8, segment.sequence as u8];
     side.on_packet(now_ms, segment, &bytes, ask(slots)).delivery
 }
 
 /// The upstream has taken this flow.
-pub(crate) fn hold(side: &mut Side, now_ms: Millis, number: u16) {
+pub(crate) fn hold(side: &mut AgentCore, now_ms: Millis, number: u16) {
     deliver(side, now_ms, &opening(number, 0), 1);
     side.on_answer(now_ms, accepted(number));
 }
--- a/crates/steering/tests/side.rs
+++ b/crates/steering/tests/side.rs
@@ -6,7 +6,7 @@
 use common::{SERVICE, data, flow, opening};
 use rstest::rstest;
 use steering::flow::{Millis, Segment, SegmentKind};
-use steering::side::{Ask, Delivery, Pace, Received, Side};
+use steering::side::{AgentCore, Delivery, ForwardMetadata, PacketOutcome, SlowdownDetector};
 use steering::view::ServiceStamp;
 
 const OTHER_SERVICE: ServiceStamp = ServiceStamp(8);
@@ -16,8 +16,8 @@
 }
 
 /// One slot and one request ahead of it are taken by flows 1 and 2.
-fn busy_side(now_ms: Millis) -> Side {
-    let mut side = Side::new(SERVICE);
+fn busy_side(now_ms: Millis) -> AgentCore {
+    let mut side = AgentCore::new(SERVICE);
     for number in [1, 2] {
         assert_eq!(deliver(&mut side, now_ms, &data(number, 1), 1), Delivery::Deliver);
     }
@@ -25,7 +25,7 @@
 }
 
 /// The first bytes of the requests that are released one after the other as answers come.
-fn releases(side: &mut Side, now_ms: Millis) -> Vec<u8> {
+fn releases(side: &mut AgentCore, now_ms: Millis) -> Vec<u8> {
     let mut order = Vec::new();
     let mut answered = 1;
     loop {
@@ -56,7 +56,7 @@
     for &(number, copy, at_ms) in arrivals {
         deliver(&mut side, at_ms, &opening(number, copy), 1);
         side.on_answer(at_ms, accepted(number));
-        assert_eq!(deliver(&mut side, at_ms, &data(number, 2), 1), Delivery::Wait);
+        assert_eq!(deliver(&mut side, at_ms, &data(number, 2), 1), Delivery::Queued);
     }
     assert_eq!(releases(&mut side, at), order);
 }
@@ -74,8 +74,8 @@
     #[case] pause_ms: Millis,
     #[case] order: &[u8],
 ) {
-    let mut side = Side::new(SERVICE);
-    let ask = |slo_ms| Ask { slo_ms, ..ask(1) };
+    let mut side = AgentCore::new(SERVICE);
+    let ask = |slo_ms| ForwardMetadata { slo_ms, ..ask(1) };
     for number in [1, 2] {
         side.on_packet(0, &data(number, 1), &[], ask(slo_ms));
     }
@@ -85,7 +85,7 @@
         hold(&mut side, at_ms, number);
         let bytes = [number as u8];
         let received = side.on_packet(at_ms, &data(number, 2), &bytes, ask(slo_ms));
-        assert_eq!(received.delivery, Delivery::Wait);
+        assert_eq!(received.delivery, Delivery::Queued);
     }
     let at_ms = work_ms + pause_ms;
     hold(&mut side, at_ms, 6);
@@ -97,7 +97,7 @@
 /// work for seconds, and the agent would hold back requests beside an idle upstream.
 #[test]
 fn repeated_data_after_the_answer_is_not_at_work() {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     deliver(&mut side, 0, &data(1, 1), 1);
     side.on_answer(60, answer(1));
     assert_eq!(side.busy(), 0);
@@ -117,7 +117,7 @@
 #[case::ran_for_long(25_000, false, false)]
 #[case::holds_this_flow(25_000, true, true)]
 fn search_does_not_wait(#[case] at_ms: Millis, #[case] held: bool, #[case] waits: bool) {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     for now_ms in (0..=at_ms).step_by(50) {
         side.on_tick(now_ms);
     }
@@ -128,7 +128,7 @@
     if held {
         hold(&mut side, at_ms, 3);
     }
-    let expected = if waits { Delivery::Wait } else { Delivery::Deliver };
+    let expected = if waits { Delivery::Queued } else { Delivery::Deliver };
     assert_eq!(deliver(&mut side, at_ms, &data(3, 1), 1), expected);
 }
 
@@ -140,7 +140,7 @@
 fn travelling_bodies_are_not_at_work() {
     const SLOTS: u8 = 2;
     const PACKETS: u32 = 67;
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     for number in 1..=4 {
         hold(&mut side, 0, number);
     }
@@ -158,7 +158,7 @@
     }
     assert_eq!(side.busy(), 3, "two slots and one ahead");
     let last = data(3, 1 + (PACKETS - 1) * 1_200);
-    assert_eq!(deliver(&mut side, 4, &last, SLOTS), Delivery::Wait);
+    assert_eq!(deliver(&mut side, 4, &last, SLOTS), Delivery::Queued);
 }
 
 /// After an outage, openings come several at a time. Three that have no answer yet in the same
@@ -175,7 +175,7 @@
 ) {
     let mut side = busy_side(0);
     hold(&mut side, 0, 3);
-    assert_eq!(deliver(&mut side, 1, &data(3, 1), 1), Delivery::Wait);
+    assert_eq!(deliver(&mut side, 1, &data(3, 1), 1), Delivery::Queued);
     for number in [4, 5, 6] {
         deliver(&mut side, opened_ms, &opening(number, 0), 1);
     }
@@ -189,9 +189,9 @@
     let mut side = busy_side(0);
     hold(&mut side, 0, 3);
     for at_ms in [0, 200] {
-        assert_eq!(deliver(&mut side, at_ms, &data(3, 1), 1), Delivery::Wait);
+        assert_eq!(deliver(&mut side, at_ms, &data(3, 1), 1), Delivery::Queued);
     }
-    assert_eq!(deliver(&mut side, 201, &data(3, 101), 1), Delivery::Wait);
+    assert_eq!(deliver(&mut side, 201, &data(3, 101), 1), Delivery::Queued);
     side.on_answer(210, answer(1));
     let released = side.next_released(210).unwrap();
     assert_eq!(released.waited_ms, 210);
@@ -209,7 +209,7 @@
 fn wait_ends_with_a_slot_only(#[case] at_ms: Millis, #[case] waits: bool) {
     let mut side = busy_side(0);
     hold(&mut side, 0, 3);
-    assert_eq!(deliver(&mut side, 0, &data(3, 1), 1), Delivery::Wait);
+    assert_eq!(deliver(&mut side, 0, &data(3, 1), 1), Delivery::Queued);
     for now_ms in (0..=at_ms).step_by(50) {
         deliver(&mut side, now_ms, &opening(9, 0), 1);
         side.on_answer(now_ms, accepted(9));
@@ -223,7 +223,7 @@
 
 #[test]
 fn wait_needs_known_slots() {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     for number in 1..50 {
         assert_eq!(deliver(&mut side, 0, &data(number, 1), 0), Delivery::Deliver);
     }
@@ -247,7 +247,7 @@
 #[case::too_soon(&[0, 20], 90, false)]
 #[case::agent_was_paused(&[0, 20], 4_000, false)]
 fn silence(#[case] openings: &[Millis], #[case] at_ms: Millis, #[case] silent: bool) {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     for (number, &now_ms) in openings.iter().enumerate() {
         deliver(&mut side, now_ms, &opening(number as u16 + 1, 0), 7);
     }
@@ -255,14 +255,14 @@
         (0..at_ms).step_by(40).for_each(|tick_ms| side.on_tick(tick_ms));
     }
     let delivery = deliver(&mut side, at_ms, &data(90, 1), 7);
-    assert_eq!(matches!(delivery, Delivery::DeliverSilent { .. }), silent, "{delivery:?}");
+    assert_eq!(matches!(delivery, Delivery::DeliverUnresponsive { .. }), silent, "{delivery:?}");
 }
 
 #[rstest]
 #[case::returned(true)]
 #[case::answered(false)]
 fn silence_ends_with_any_packet(#[case] returned: bool) {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     for now_ms in [0, 40, 80, 110] {
         deliver(&mut side, now_ms, &opening(now_ms as u16 + 1, 0), 7);
     }
@@ -278,12 +278,12 @@
 /// of the old service must not reach the new one.
 #[test]
 fn foreign_service_is_given_back() {
-    let mut side = Side::new(SERVICE);
-    let ask = Ask { service: OTHER_SERVICE, ..ask(7) };
+    let mut side = AgentCore::new(SERVICE);
+    let ask = ForwardMetadata { service: OTHER_SERVICE, ..ask(7) };
     let received = side.on_packet(0, &opening(1, 0), &[], ask);
     assert_eq!(
         received,
-        Received { delivery: Delivery::Foreign { service: SERVICE }, report: None }
+        PacketOutcome { delivery: Delivery::Foreign { service: SERVICE }, report: None }
     );
     assert_eq!(side.flow_count(), 0);
 }
@@ -301,7 +301,7 @@
     #[case] answered: bool,
     #[case] busy: u32,
 ) {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     hold(&mut side, 0, 3);
     if answered {
         deliver(&mut side, 0, &data(3, 1), 7);
@@ -330,10 +330,10 @@
 
 #[test]
 fn answer_tells_how_long_the_work_took() {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     deliver(&mut side, 10, &data(1, 1), 7);
-    assert_eq!(side.on_answer(75, answer(1)).worked_ms, Some(65));
-    assert_eq!(side.on_answer(76, answer(1)).worked_ms, None);
+    assert_eq!(side.on_answer(75, answer(1)).service_time_ms, Some(65));
+    assert_eq!(side.on_answer(76, answer(1)).service_time_ms, None);
 }
 
 /// The on-call engineer finds late answers and nothing else in the logs: the upstream worked four
@@ -345,11 +345,11 @@
 #[case::slow_from_its_start(&[(30, 160), (200, 40)], &[])]
 #[case::slow_for_long(&[(200, 40), (900, 160)], &[true])]
 fn pace_changes(#[case] answers: &[(usize, Millis)], #[case] expected: &[bool]) {
-    let mut pace = Pace::default();
+    let mut pace = SlowdownDetector::default();
     let times =
         answers.iter().flat_map(|&(count, worked_ms)| std::iter::repeat_n(worked_ms, count));
     let changes: Vec<bool> =
-        times.filter_map(|worked_ms| pace.take(worked_ms)).map(|c| c.slow).collect();
+        times.filter_map(|worked_ms| pace.record(worked_ms)).map(|c| c.slow).collect();
     assert_eq!(changes, expected);
 }
 
@@ -361,7 +361,8 @@
         hold(&mut side, 0, number);
         deliver(&mut side, 0, &data(number, 1), 1);
     }
-    let released: Vec<u8> = std::iter::from_fn(|| side.release_any()).map(|p| p[0][0]).collect();
+    let released: Vec<u8> =
+        std::iter::from_fn(|| side.take_any_queued()).map(|p| p[0][0]).collect();
     assert_eq!(released, [3, 4]);
 }
 
@@ -376,7 +377,7 @@
     let mut side = busy_side(0);
     hold(&mut side, 0, 3);
     let request = Segment { last, ..data(3, 1) };
-    assert_eq!(deliver(&mut side, 0, &request, 1), Delivery::Wait);
+    assert_eq!(deliver(&mut side, 0, &request, 1), Delivery::Queued);
     let given_up_ms = 6 * Millis::from(SLO_MS);
     assert!(side.next_released(given_up_ms - 1).is_none());
     side.on_tick(given_up_ms);
@@ -403,9 +404,9 @@
     #[case] work_ms: Millis,
     #[case] expected_ms: Millis,
 ) {
-    let ask = Ask { wait_slos, ..ask(1) };
+    let ask = ForwardMetadata { wait_slos, ..ask(1) };
     let released_at = |at_ms: Millis| {
-        let mut side = Side::new(SERVICE);
+        let mut side = AgentCore::new(SERVICE);
         side.on_packet(0, &data(1, 1), &[1], ask);
         side.on_answer(work_ms, answer(1));
         hold(&mut side, work_ms, 3);
@@ -428,11 +429,11 @@
     let mut side = busy_side(0);
     for number in 3..=6 {
         let urgent = number == 4 || number == 5;
-        side.on_packet(0, &opening(number, 0), &[], Ask { urgent, ..ask(1) });
+        side.on_packet(0, &opening(number, 0), &[], ForwardMetadata { urgent, ..ask(1) });
         side.on_answer(0, accepted(number));
     }
     for number in 3..=6 {
-        assert_eq!(deliver(&mut side, 0, &data(number, 1), 1), Delivery::Wait);
+        assert_eq!(deliver(&mut side, 0, &data(number, 1), 1), Delivery::Queued);
     }
     assert_eq!(releases(&mut side, at_ms), expected);
 }
--- a/crates/steering/tests/side_admission.rs
+++ b/crates/steering/tests/side_admission.rs
@@ -9,28 +9,33 @@
 use common::{data, opening};
 use rstest::rstest;
 use steering::flow::{Millis, Segment};
-use steering::side::{Ask, Delivery, Side};
+use steering::side::{AgentCore, Delivery, ForwardMetadata};
 
 /// Time after which a fresh agent has seen what counts, and suspects nothing any more.
 const SETTLED_MS: Millis = 10_000;
 
-fn settled() -> Side {
+fn settled() -> AgentCore {
     let mut side = common::agent::side();
     side.on_tick(0);
     side.on_tick(SETTLED_MS);
     side
 }
 
-fn from(balancer: u8) -> Ask {
-    Ask { balancer: Ipv4Addr::new(10, 1, 0, balancer), ..ask(7) }
+fn from(balancer: u8) -> ForwardMetadata {
+    ForwardMetadata { balancer: Ipv4Addr::new(10, 1, 0, balancer), ..ask(7) }
 }
 
-fn take(side: &mut Side, now_ms: Millis, segment: &Segment, ask: Ask) -> Delivery {
+fn take(side: &mut AgentCore, now_ms: Millis, segment: &Segment, ask: ForwardMetadata) -> Delivery {
     side.on_packet(SETTLED_MS + now_ms, segment, &[0; 36], ask).delivery
 }
 
 /// The same beside an upstream that answers what it gets.
-fn take_answered(side: &mut Side, now_ms: Millis, number: u16, ask: Ask) -> Delivery {
+fn take_answered(
+    side: &mut AgentCore,
+    now_ms: Millis,
+    number: u16,
+    ask: ForwardMetadata,
+) -> Delivery {
     let delivery = take(side, now_ms, &opening(number, 0), ask);
     if delivery == Delivery::Deliver {
         side.on_answer(SETTLED_MS + now_ms, accepted(number));
@@ -51,9 +56,14 @@
 ) {
     let mut side = settled();
     for (balancer, turns_away) in words {
-        take(&mut side, 0, &data(9, 5), Ask { turns_away: *turns_away, ..from(*balancer) });
+        take(
+            &mut side,
+            0,
+            &data(9, 5),
+            ForwardMetadata { refuses_new_flows: *turns_away, ..from(*balancer) },
+        );
     }
-    let expected = if goes_back { Delivery::TurnedAway } else { Delivery::Deliver };
+    let expected = if goes_back { Delivery::NotAccepting } else { Delivery::Deliver };
     assert_eq!(take(&mut side, 5, &opening(1, 0), from(1)), expected);
 }
 
@@ -62,9 +72,14 @@
 fn words_on_new_flows_grow_old() {
     let mut side = settled();
     for balancer in 2..5 {
-        take(&mut side, 0, &data(9, 5), Ask { turns_away: true, ..from(balancer) });
+        take(
+            &mut side,
+            0,
+            &data(9, 5),
+            ForwardMetadata { refuses_new_flows: true, ..from(balancer) },
+        );
     }
-    assert_eq!(take(&mut side, 1_999, &opening(1, 0), from(1)), Delivery::TurnedAway);
+    assert_eq!(take(&mut side, 1_999, &opening(1, 0), from(1)), Delivery::NotAccepting);
     assert_eq!(take(&mut side, 2_000, &opening(1, 0), from(1)), Delivery::Deliver);
 }
 
@@ -75,15 +90,20 @@
     take(&mut side, 0, &opening(1, 0), from(1));
     side.on_answer(SETTLED_MS + 1, accepted(1));
     for balancer in 2..5 {
-        take(&mut side, 2, &data(9, 5), Ask { turns_away: true, ..from(balancer) });
+        take(
+            &mut side,
+            2,
+            &data(9, 5),
+            ForwardMetadata { refuses_new_flows: true, ..from(balancer) },
+        );
     }
     assert_eq!(take(&mut side, 200, &opening(1, 1), from(1)), Delivery::Deliver);
     assert_eq!(take(&mut side, 210, &data(1, 5), from(1)), Delivery::Deliver);
-    assert_eq!(take(&mut side, 210, &opening(2, 0), from(1)), Delivery::TurnedAway);
+    assert_eq!(take(&mut side, 210, &opening(2, 0), from(1)), Delivery::NotAccepting);
 }
 
-fn cold(balancer: u8, limit_per_ks: u32) -> Ask {
-    Ask { limit_per_ks, cold: true, ..from(balancer) }
+fn cold(balancer: u8, limit_per_ks: u32) -> ForwardMetadata {
+    ForwardMetadata { limit_per_ks, cold: true, ..from(balancer) }
 }
 
 /// All balancers see a cold zone come back at the same moment, and each sends an upstream there a flow every
@@ -130,7 +150,7 @@
             let flow = 100 + now_ms as u16 + u16::from(balancer) * 3_000;
             match take_answered(&mut side, now_ms, flow, cold(balancer, 10_000)) {
                 Delivery::Deliver => taken += 1,
-                Delivery::Limited { for_ms } => {
+                Delivery::RateLimited { for_ms } => {
                     given_back += 1;
                     *due_ms = now_ms + for_ms;
                 }
@@ -151,7 +171,7 @@
     let (mut taken, limit_per_ks) = (0, 5_000);
     for number in 0..20 {
         let balancer = number as u8 % (knowing + 1);
-        let word = Ask { cold: balancer < knowing, ..cold(balancer, limit_per_ks) };
+        let word = ForwardMetadata { cold: balancer < knowing, ..cold(balancer, limit_per_ks) };
         let flow = opening(100 + number, 0);
         taken += u32::from(take(&mut side, u64::from(number), &flow, word) == Delivery::Deliver);
     }
@@ -173,7 +193,7 @@
 ) {
     let mut side = common::agent::side();
     side.on_tick(SETTLED_MS);
-    let ask = Ask { cold: known, ..cold(1, 5_000) };
+    let ask = ForwardMetadata { cold: known, ..cold(1, 5_000) };
     let taken = (0..20)
         .filter(|n| take(&mut side, at_ms, &opening(100 + n, 0), ask) == Delivery::Deliver)
         .count();
@@ -191,7 +211,7 @@
 ) {
     let mut side = common::agent::side();
     side.on_tick(SETTLED_MS);
-    let warm = Ask { cold: false, ..cold(1, 5_000) };
+    let warm = ForwardMetadata { cold: false, ..cold(1, 5_000) };
     take(&mut side, 1_250, &opening(1, 0), warm);
     side.on_answer(SETTLED_MS + 1_300, accepted(1));
     let taken = (0..20)
@@ -204,7 +224,7 @@
 #[test]
 fn upstream_that_was_silent_is_suspected_to_be_cold() {
     let mut side = settled();
-    let warm = Ask { cold: false, ..cold(1, 5_000) };
+    let warm = ForwardMetadata { cold: false, ..cold(1, 5_000) };
     for number in 0..4 {
         take(&mut side, u64::from(number) * 60, &opening(100 + number, 0), warm);
     }
--- a/crates/steering/tests/side_words.rs
+++ b/crates/steering/tests/side_words.rs
@@ -6,12 +6,12 @@
 use common::{SERVICE, data, ending, opening};
 use rstest::rstest;
 use steering::flow::Segment;
-use steering::side::{Answer, Ask, Delivery, Side};
+use steering::side::{AgentCore, Answer, Delivery, ForwardMetadata};
 
 #[test]
 fn report_goes_once_to_the_balancer_that_asked() {
-    let mut side = Side::new(SERVICE);
-    side.on_packet(0, &opening(1, 0), &[], Ask { report: true, ..ask(7) });
+    let mut side = AgentCore::new(SERVICE);
+    side.on_packet(0, &opening(1, 0), &[], ForwardMetadata { wants_report: true, ..ask(7) });
     let report = side.on_answer(1, answer(1)).report.unwrap();
     assert_eq!((report.balancer, report.busy), (BALANCER, 0));
     assert!(side.on_answer(2, answer(1)).report.is_none());
@@ -23,21 +23,21 @@
 /// know the flow leaves it to the upstream.
 #[rstest]
 #[case::at_work(0, true, Delivery::Deliver)]
-#[case::waiting(2, true, Delivery::Wait)]
+#[case::waiting(2, true, Delivery::Queued)]
 #[case::new_here(2, false, Delivery::Deliver)]
 fn held_flow_is_reported_at_once(
     #[case] busy: u16,
     #[case] held: bool,
     #[case] expected: Delivery,
 ) {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     for number in 1..=busy {
         deliver(&mut side, 0, &data(number, 1), 1);
     }
     if held {
         hold(&mut side, 0, 3);
     }
-    let ask = Ask { report: true, ..ask(1) };
+    let ask = ForwardMetadata { wants_report: true, ..ask(1) };
     let received = side.on_packet(2, &data(3, 2), &[], ask);
     assert_eq!(received.delivery, expected);
     assert_eq!(received.report.map(|report| report.balancer), held.then_some(BALANCER));
@@ -53,13 +53,13 @@
 #[case::of_another(900_000, false)]
 #[case::of_another_before(900, false)]
 fn acknowledged_number_tells_the_holder(#[case] acknowledged: u32, #[case] held: bool) {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     deliver(&mut side, 0, &opening(1, 0), 7);
     side.on_answer(1, Answer { sequence: 1_000, ..accepted(1) });
     side.on_answer(2, Answer { sequence: 1_001, ..answer(1) });
-    let ask = Ask { report: true, ..ask(7) };
+    let ask = ForwardMetadata { wants_report: true, ..ask(7) };
     let received = side.on_packet(3, &Segment { acknowledged, ..data(1, 1) }, &[], ask);
-    let expected = if held { Delivery::Deliver } else { Delivery::Denied };
+    let expected = if held { Delivery::Deliver } else { Delivery::NotHeld };
     assert_eq!((received.delivery, received.report.is_some()), (expected, held));
 }
 
@@ -69,13 +69,14 @@
 #[case::of_this_upstream(1_501, true)]
 #[case::of_another(900_000, false)]
 fn bare_acknowledgement_tells_the_holder(#[case] acknowledged: u32, #[case] held: bool) {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     deliver(&mut side, 0, &opening(1, 0), 7);
     side.on_answer(1, Answer { sequence: 1_000, ..accepted(1) });
     side.on_answer(2, Answer { sequence: 1_001, ..answer(1) });
     let segment = Segment { acknowledged, data_bytes: 0, ..data(1, 1) };
-    let received = side.on_packet(3, &segment, &[], Ask { report: true, ..ask(7) });
-    let expected = if held { Delivery::Deliver } else { Delivery::Denied };
+    let received =
+        side.on_packet(3, &segment, &[], ForwardMetadata { wants_report: true, ..ask(7) });
+    let expected = if held { Delivery::Deliver } else { Delivery::NotHeld };
     assert_eq!((received.delivery, received.report.is_some()), (expected, held));
     let repeated = side.on_answer(200, Answer { sequence: 1_000, ..accepted(1) });
     assert_eq!(repeated.report, None, "an answer to the opening says nothing about this packet");
@@ -84,7 +85,7 @@
 /// The same port opens another flow: numbers of the first one say nothing about it.
 #[test]
 fn reopened_flow_counts_anew() {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     for sequence in [1_000, 70_000] {
         deliver(&mut side, 0, &opening(1, 0), 7);
         side.on_answer(1, Answer { sequence, ..accepted(1) });
@@ -92,7 +93,7 @@
         assert_eq!(deliver(&mut side, 2, &segment, 7), Delivery::Deliver);
     }
     let segment = Segment { acknowledged: 1_001, ..data(1, 1) };
-    assert_eq!(deliver(&mut side, 3, &segment, 7), Delivery::Denied);
+    assert_eq!(deliver(&mut side, 3, &segment, 7), Delivery::NotHeld);
 }
 
 /// An agent restarts while a flow is open and hears the upstream's next packets only. The caller still
@@ -103,7 +104,7 @@
 #[case::of_another(1_000, false)]
 #[case::of_another_far_ahead(95_000, false)]
 fn restarted_agent_allows_for_what_it_has_not_seen(#[case] acknowledged: u32, #[case] held: bool) {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     deliver(&mut side, 0, &data(1, 1), 7);
     side.on_answer(1, Answer { sequence: 50_000, ..answer(1) });
     let segment = Segment { acknowledged, ..data(1, 101) };
@@ -114,11 +115,12 @@
 /// that asks here first. This upstream takes the packet without a word, and so does its agent: the balancer goes on.
 #[test]
 fn ending_of_anothers_flow_gets_no_word() {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     deliver(&mut side, 0, &opening(1, 0), 7);
     side.on_answer(1, Answer { sequence: 1_000, ..accepted(1) });
     let segment = Segment { acknowledged: 900_000, ..ending(1, 1) };
-    let received = side.on_packet(3, &segment, &[], Ask { report: true, ..ask(7) });
+    let received =
+        side.on_packet(3, &segment, &[], ForwardMetadata { wants_report: true, ..ask(7) });
     assert_eq!((received.delivery, received.report), (Delivery::Deliver, None));
 }
 
@@ -129,13 +131,13 @@
 #[case::the_upstream_answers(Some(true), false)]
 #[case::the_upstream_returns_it(Some(false), false)]
 fn balancer_that_waits_learns_that_the_agent_lives(#[case] word: Option<bool>, #[case] told: bool) {
-    let mut side = Side::new(SERVICE);
-    let ask = Ask { report: true, ..ask(7) };
+    let mut side = AgentCore::new(SERVICE);
+    let ask = ForwardMetadata { wants_report: true, ..ask(7) };
     side.on_packet(0, &data(1, 1), &[], ask);
     side.on_packet(10, &data(2, 1), &[], ask);
     match word {
         Some(true) => drop(side.on_answer(20, answer(1))),
-        Some(false) => side.on_given_back(BALANCER),
+        Some(false) => side.note_reply_sent(BALANCER),
         None => {}
     }
     assert!(side.take_due_replies(40).is_empty());
@@ -147,8 +149,8 @@
 /// The balancer that asked about a flow is not told twice: it heard at once that the flow is here.
 #[test]
 fn balancer_that_was_told_waits_for_nothing() {
-    let mut side = Side::new(SERVICE);
-    let ask = Ask { report: true, ..ask(7) };
+    let mut side = AgentCore::new(SERVICE);
+    let ask = ForwardMetadata { wants_report: true, ..ask(7) };
     deliver(&mut side, 0, &opening(1, 0), 7);
     side.on_answer(1, accepted(1));
     assert!(
@@ -162,7 +164,7 @@
 /// service for three seconds.
 #[test]
 fn ending_after_an_answer_out_of_order_is_delivered() {
-    let mut side = Side::new(SERVICE);
+    let mut side = AgentCore::new(SERVICE);
     deliver(&mut side, 0, &opening(1, 0), 7);
     side.on_answer(1, Answer { sequence: 1_000, ..accepted(1) });
     deliver(&mut side, 2, &data(1, 1), 7);
