--- a/crates/fuzzing/src/direct/world/changes.rs
+++ b/crates/fuzzing/src/direct/world/changes.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use steering::edge::{Trust, Verdict};
 use steering::history::History;
-use steering::membership::{Membership, SILENT_LINGER_MS, UpstreamRecord};
+use steering::membership::{Membership, OUTAGE_LINGER_MS, UpstreamRecord};
 use steering::side::AgentCore;
 use steering::view::{Route, RouteTable, Standing, Upstream as Listed, View};
 
@@ -311,7 +311,7 @@
             }
         }
         for balancer in &mut self.balancers {
-            balancer.whole_from_ms = self.now_ms + SILENT_LINGER_MS;
+            balancer.whole_from_ms = self.now_ms + OUTAGE_LINGER_MS;
         }
         self.publish();
     }
@@ -413,7 +413,7 @@
         }
         let in_touch = |teller: &&Balancer| teller.up && teller.cut_until_ms <= self.now_ms;
         for teller in self.balancers.iter().filter(in_touch) {
-            if history.lacks(self.now_ms, teller.history.summary(self.now_ms)) {
+            if history.is_behind(self.now_ms, teller.history.summary(self.now_ms)) {
                 let told = teller.history.contents(self.now_ms, teller.routes.version);
                 history.merge(self.now_ms, current_until_ms, &self.routes, &told);
             }
--- a/crates/fuzzing/src/direct/world/mod.rs
+++ b/crates/fuzzing/src/direct/world/mod.rs
@@ -400,7 +400,7 @@
         let service = self.upstreams[upstream].service;
         let routed = self.led_until_ms.iter().any(|led| led[service] == u64::MAX);
         let knows = |balancer: &Balancer| {
-            let mut former = balancer.history.of(self.now_ms, flow.endpoint);
+            let mut former = balancer.history.former_services_of(self.now_ms, flow.endpoint);
             balancer.up && former.any(|known| known == SERVICES[service])
         };
         routed || self.balancers.iter().any(knows)
--- a/crates/steering/src/edge/candidates.rs
+++ b/crates/steering/src/edge/candidates.rs
@@ -32,8 +32,8 @@
         let Some(route) = view.routes.find(flow.endpoint) else { return Self::default() };
         let history = view.history();
         let current: Vec<ServiceStamp> = route.services().collect();
-        let former = without(history.of(now_ms, flow.endpoint), &current);
-        if history.is_whole(now_ms) {
+        let former = without(history.former_services_of(now_ms, flow.endpoint), &current);
+        if history.is_complete(now_ms) {
             return Self { current, former, ..Self::default() };
         }
         let known = [&current[..], &former[..]].concat();
--- a/crates/steering/src/edge/types.rs
+++ b/crates/steering/src/edge/types.rs
@@ -135,7 +135,7 @@
             slo_ms: route.map_or(0, |route| route.slo_ms),
             wait_slos: route.map_or(0, |route| route.wait_slos),
             urgent: route.is_some_and(|route| route.urgent),
-            turns_away: upstream.is_some_and(|upstream| view.turns_away(upstream)),
+            turns_away: upstream.is_some_and(|upstream| view.refuses_new_flows(upstream)),
             limit_per_ks: view
                 .routes
                 .service(service)
--- a/crates/steering/src/history/mod.rs
+++ b/crates/steering/src/history/mod.rs
@@ -14,7 +14,7 @@
 /// For so long after a route has left a service, balancers that hear nothing of it open flows there.
 pub const STALE_OPENINGS_MS: Millis = 30_000;
 /// A history that is whole so much sooner than another one tells more.
-const CLEARLY_SOONER_MS: Millis = 1_000;
+const SOONER_MARGIN_MS: Millis = 1_000;
 
 /// A service that a route has left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -29,13 +29,13 @@
 
 /// The same as a balancer keeps it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Kept {
+struct RetainedService {
     endpoint: SocketAddrV4,
     service: ServiceStamp,
     until_ms: Millis,
 }
 
-impl Kept {
+impl RetainedService {
     fn key(&self) -> (SocketAddrV4, ServiceStamp) {
         (self.endpoint, self.service)
     }
@@ -65,16 +65,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct History {
     /// By endpoint and service.
-    former: Vec<Kept>,
+    former: Vec<RetainedService>,
     version: u64,
-    whole_from_ms: Millis,
+    complete_from_ms: Millis,
     flow_ttl_ms: Millis,
 }
 
 impl Default for History {
     /// A history from the very beginning.
     fn default() -> Self {
-        Self { former: Vec::new(), version: 0, whole_from_ms: 0, flow_ttl_ms: FLOW_TTL_MS }
+        Self { former: Vec::new(), version: 0, complete_from_ms: 0, flow_ttl_ms: FLOW_TTL_MS }
     }
 }
 
@@ -83,7 +83,7 @@
     ///
     /// ```
     /// use steering::history::History;
-    /// assert!(History::from_first_start(60_000).is_whole(0));
+    /// assert!(History::from_first_start(60_000).is_complete(0));
     /// ```
     pub fn from_first_start(flow_ttl_ms: Millis) -> Self {
         Self { flow_ttl_ms, ..Self::default() }
@@ -94,8 +94,8 @@
     /// ```
     /// use steering::history::History;
     /// let history = History::from_now(1_000, 60_000);
-    /// assert!(!history.is_whole(90_999));
-    /// assert!(history.is_whole(91_000));
+    /// assert!(!history.is_complete(90_999));
+    /// assert!(history.is_complete(91_000));
     /// ```
     pub fn from_now(now_ms: Millis, flow_ttl_ms: Millis) -> Self {
         let mut history = Self::from_first_start(flow_ttl_ms);
@@ -109,12 +109,12 @@
             .retain(|former| former.until_ms > now_ms && new.find(former.endpoint).is_some());
         for route in old.routes() {
             let Some(next) = new.find(route.endpoint) else { continue };
-            for service in route.services().filter(|service| !leads_to(next, *service)) {
-                let until_ms = now_ms + self.kept_ms();
-                self.keep(Kept { endpoint: route.endpoint, service, until_ms });
+            for service in route.services().filter(|service| !routes_to(next, *service)) {
+                let until_ms = now_ms + self.retention_ms();
+                self.retain(RetainedService { endpoint: route.endpoint, service, until_ms });
                 self.version = new.version;
             }
-            if next.services().any(|service| !leads_to(route, service)) {
+            if next.services().any(|service| !routes_to(route, service)) {
                 self.version = new.version;
             }
         }
@@ -122,11 +122,11 @@
 
     /// Notes that versions may have been in force between the one known and the one that comes next.
     pub fn on_gap(&mut self, now_ms: Millis) {
-        self.whole_from_ms = now_ms + self.kept_ms();
+        self.complete_from_ms = now_ms + self.retention_ms();
     }
 
     /// Time for which a service that a route has left may have flows of it.
-    fn kept_ms(&self) -> Millis {
+    fn retention_ms(&self) -> Millis {
         self.flow_ttl_ms + STALE_OPENINGS_MS
     }
 
@@ -144,38 +144,38 @@
         for former in &theirs.former {
             let FormerService { endpoint, service, left_ms } = *former;
             if left_ms > 0 && routes.find(endpoint).is_some() {
-                let until_ms = now_ms + left_ms.min(self.kept_ms());
-                self.keep(Kept { endpoint, service, until_ms });
+                let until_ms = now_ms + left_ms.min(self.retention_ms());
+                self.retain(RetainedService { endpoint, service, until_ms });
             }
         }
         self.version = self.version.max(theirs.summary.version);
         if theirs.routes_version < routes.version {
             return;
         }
-        let whole_from_ms = now_ms + theirs.summary.whole_in_ms;
-        let joined = whole_from_ms <= current_until_ms + self.kept_ms();
-        self.whole_from_ms =
-            if joined { self.whole_from_ms.min(whole_from_ms) } else { whole_from_ms };
+        let complete_from_ms = now_ms + theirs.summary.whole_in_ms;
+        let joined = complete_from_ms <= current_until_ms + self.retention_ms();
+        self.complete_from_ms =
+            if joined { self.complete_from_ms.min(complete_from_ms) } else { complete_from_ms };
     }
 
     /// Whether another balancer's history tells what this one lacks.
-    pub fn lacks(&self, now_ms: Millis, theirs: HistorySummary) -> bool {
+    pub fn is_behind(&self, now_ms: Millis, theirs: HistorySummary) -> bool {
         let ours = self.summary(now_ms);
-        theirs.version > ours.version || theirs.whole_in_ms + CLEARLY_SOONER_MS < ours.whole_in_ms
+        theirs.version > ours.version || theirs.whole_in_ms + SOONER_MARGIN_MS < ours.whole_in_ms
     }
 
     /// The history in short.
     pub fn summary(&self, now_ms: Millis) -> HistorySummary {
-        let whole_in_ms = self.whole_from_ms.saturating_sub(now_ms);
+        let whole_in_ms = self.complete_from_ms.saturating_sub(now_ms);
         HistorySummary { version: self.version, whole_in_ms }
     }
 
-    /// What another balancer is told.
+    /// What another balancer is to_message.
     ///
     /// `routes_version` is in force here.
     pub fn contents(&self, now_ms: Millis, routes_version: u64) -> HistoryContents {
         let open = self.former.iter().filter(|former| former.until_ms > now_ms);
-        let told = |former: &Kept| FormerService {
+        let to_message = |former: &RetainedService| FormerService {
             endpoint: former.endpoint,
             service: former.service,
             left_ms: former.until_ms - now_ms,
@@ -183,12 +183,12 @@
         HistoryContents {
             summary: self.summary(now_ms),
             routes_version,
-            former: open.map(told).collect(),
+            former: open.map(to_message).collect(),
         }
     }
 
     /// Services that the route of an endpoint has left and at which its flows may be open.
-    pub fn of(
+    pub fn former_services_of(
         &self,
         now_ms: Millis,
         endpoint: SocketAddrV4,
@@ -200,17 +200,17 @@
     }
 
     /// Whether some route has left this service.
-    pub fn names(&self, service: ServiceStamp) -> bool {
+    pub fn contains_service(&self, service: ServiceStamp) -> bool {
         self.former.iter().any(|former| former.service == service)
     }
 
     /// Whether every service that a route has left is known.
-    pub fn is_whole(&self, now_ms: Millis) -> bool {
-        now_ms >= self.whole_from_ms
+    pub fn is_complete(&self, now_ms: Millis) -> bool {
+        now_ms >= self.complete_from_ms
     }
 
-    fn keep(&mut self, noted: Kept) {
-        match self.former.binary_search_by_key(&noted.key(), Kept::key) {
+    fn retain(&mut self, noted: RetainedService) {
+        match self.former.binary_search_by_key(&noted.key(), RetainedService::key) {
             Ok(index) => {
                 let known = &mut self.former[index];
                 known.until_ms = known.until_ms.max(noted.until_ms);
@@ -220,6 +220,6 @@
     }
 }
 
-fn leads_to(route: &Route, service: ServiceStamp) -> bool {
+fn routes_to(route: &Route, service: ServiceStamp) -> bool {
     route.services().any(|other| other == service)
 }
--- a/crates/steering/src/link/mod.rs
+++ b/crates/steering/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! What goes over a link that is full.
+//! What is_admitted over a link that is full.
 //!
 //! Load pattern: half of a zone's balancers stand still, and the rest gets their share; a thin link gets
 //! more than it takes, drops every other packet, openings and agents' words with bodies of uploads, and
@@ -10,7 +10,7 @@
 
 /// Share of the link that bodies may fill, in percent: the queue at a link holds some tens of milliseconds,
 /// and what is left of it is for all other packets.
-const BODIES_PERCENT: u64 = 85;
+const BODY_SHARE_PERCENT: u64 = 85;
 /// Time for which bodies may come at full speed, as bursts of a few callers do.
 const BURST_MS: u64 = 40;
 
@@ -26,7 +26,7 @@
 impl Link {
     /// A link of so many megabits a second; zero if not known, and never full.
     pub fn new(mbps: f64) -> Self {
-        let bytes_per_s = (mbps * 1e6 / 8.0) as u64 * BODIES_PERCENT / 100;
+        let bytes_per_s = (mbps * 1e6 / 8.0) as u64 * BODY_SHARE_PERCENT / 100;
         Self { bytes_per_s, credit: Self::full(bytes_per_s), at_ms: 0 }
     }
 
@@ -35,21 +35,21 @@
     /// ```
     /// use steering::link::Link;
     /// let mut link = Link::new(14.0);
-    /// let sent = (0..100).filter(|_| link.take(0, 1_264, true)).count();
+    /// let sent = (0..100).filter(|_| link.admit(0, 1_264, true)).count();
     /// assert!((40..60).contains(&sent));
-    /// assert!(link.take(0, 64, false));
+    /// assert!(link.admit(0, 64, false));
     /// ```
-    pub fn take(&mut self, now_ms: Millis, bytes: usize, body: bool) -> bool {
+    pub fn admit(&mut self, now_ms: Millis, bytes: usize, body: bool) -> bool {
         let passed_ms = now_ms.saturating_sub(self.at_ms);
         self.at_ms = now_ms;
         let gained = i64::try_from(passed_ms * self.bytes_per_s).unwrap_or(i64::MAX);
         let full = Self::full(self.bytes_per_s);
         self.credit = self.credit.saturating_add(gained).min(full);
-        let goes = self.bytes_per_s == 0 || !body || self.credit > 0;
-        if goes {
+        let is_admitted = self.bytes_per_s == 0 || !body || self.credit > 0;
+        if is_admitted {
             self.credit = (self.credit - 1_000 * bytes as i64).max(-full);
         }
-        goes
+        is_admitted
     }
 
     fn full(bytes_per_s: u64) -> i64 {
--- a/crates/steering/src/membership/mod.rs
+++ b/crates/steering/src/membership/mod.rs
@@ -14,7 +14,7 @@
 /// How long after an outage of the configuration service the list may lack upstreams that live:
 /// entries that expired meanwhile are published again within two seconds of its return, and the
 /// notice takes some time to come here.
-pub const SILENT_LINGER_MS: Millis = 2_500;
+pub const OUTAGE_LINGER_MS: Millis = 2_500;
 /// How long an upstream whose entry went without notice counts as one that may hold flows.
 /// Upstreams write their entries every 1.2 to 2.7 s; one that crashed and started again under its
 /// name loses the entry when the lease of its earlier life ends, and has it back with its next
@@ -234,11 +234,11 @@
     /// a service that the configuration does not name is of another writer; it names no upstream,
     /// and must not hide the one that has the address.
     pub fn view_since(&self, routes: Arc<RouteTable>, history: Arc<History>) -> View {
-        let named = |member: &&Member| {
+        let belongs_to_service = |member: &&Member| {
             let service = member.upstream.service;
-            routes.names(service) || history.names(service)
+            routes.contains_service(service) || history.contains_service(service)
         };
-        let mut users: Vec<&Member> = self.members.iter().filter(named).collect();
+        let mut users: Vec<&Member> = self.members.iter().filter(belongs_to_service).collect();
         users.sort_by_key(|member| {
             let Upstream { address, born_ms, standing, .. } = member.upstream;
             let is_missing = matches!(standing, Standing::Missing { .. });
@@ -302,17 +302,17 @@
 }
 
 /// For how much longer the list may lack upstreams that live, for other balancers: until
-/// `whole_from_ms`, and while the configuration service is `out_of_reach`, for as long as entries
+/// `complete_from_ms`, and while the configuration service is `store_unreachable`, for as long as entries
 /// take to come back.
 ///
 /// An outage counts from its end: a balancer that starts then has not seen it.
 ///
 /// ```
-/// use steering::membership::{SILENT_LINGER_MS, whole_in_ms};
+/// use steering::membership::{OUTAGE_LINGER_MS, whole_in_ms};
 /// assert_eq!(whole_in_ms(7_000, 8_000, false), 1_000);
-/// assert_eq!(whole_in_ms(7_000, 0, true), SILENT_LINGER_MS);
+/// assert_eq!(whole_in_ms(7_000, 0, true), OUTAGE_LINGER_MS);
 /// ```
-pub fn whole_in_ms(now_ms: Millis, whole_from_ms: Millis, out_of_reach: bool) -> Millis {
-    let known_ms = whole_from_ms.saturating_sub(now_ms);
-    if out_of_reach { known_ms.max(SILENT_LINGER_MS) } else { known_ms }
+pub fn whole_in_ms(now_ms: Millis, complete_from_ms: Millis, store_unreachable: bool) -> Millis {
+    let remaining_ms = complete_from_ms.saturating_sub(now_ms);
+    if store_unreachable { remaining_ms.max(OUTAGE_LINGER_MS) } else { remaining_ms }
 }
--- a/crates/steering/src/rotation/mod.rs
+++ b/crates/steering/src/rotation/mod.rs
@@ -14,30 +14,30 @@
 /// is two thirds full on average is over full in every other half second.
 const LINK_PERCENT_MAX: u64 = 70;
 /// Behind by this much, requests are late or repeated: callers repeat data after 200 ms.
-const LATE_MS: Millis = 100;
+const LAG_MAX_MS: Millis = 100;
 /// Time over which the traffic is taken: longer than a burst of a few bodies.
 const WINDOW_MS: Millis = 1_000;
 /// Windows one after the other in which it must be overloaded. A burst or a pause passes sooner.
-const WINDOWS: u32 = 3;
-/// First stay outside: long enough for the flows that moved to be worth it.
-const STAY_MS: Millis = 30_000;
-/// Longest stay outside; each one is twice as long as the one before, so that an instance that is too
+const OVERLOADED_WINDOWS: u32 = 3;
+/// First absence outside: long enough for the flows that moved to be worth it.
+const ABSENCE_MIN_MS: Millis = 30_000;
+/// Longest absence outside; each one is twice as long as the one before, so that an instance that is too
 /// weak for its share stops trying.
-const STAY_MAX_MS: Millis = 960_000;
+const ABSENCE_MAX_MS: Millis = 960_000;
 /// After this time outside, the fabric has missed two probes and sends nothing, unless it must.
 const SETTLED_MS: Millis = 1_600;
 /// Callers' packets that have come this lately show that the fabric sends.
-const RECENT_MS: Millis = 100;
+const RECENT_PACKET_MS: Millis = 100;
 
 /// What a balancer sees of its own load.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// How far it is behind.
+    /// How far it is lagged.
     pub lag_ms: Millis,
     /// Bytes that it has received so far.
     pub received_bytes: u64,
     /// Time since the last packet of a caller.
-    pub quiet_for_ms: Millis,
+    pub since_last_packet_ms: Millis,
 }
 
 /// Whether a balancer takes part.
@@ -45,31 +45,31 @@
 pub struct Rotation {
     /// Bytes that its link takes in a second; zero if not known.
     link_bytes_per_s: u64,
-    counted_ms: Millis,
-    counted_bytes: u64,
-    behind: bool,
+    window_start_ms: Millis,
+    window_start_bytes: u64,
+    lagged: bool,
     overloaded_windows: u32,
-    out: Option<Stay>,
-    stay_ms: Millis,
+    absence: Option<Absence>,
+    absence_ms: Millis,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Stay {
+struct Absence {
     since_ms: Millis,
     until_ms: Millis,
 }
 
 impl Rotation {
-    /// A balancer that takes part, behind a link of so many megabits a second; zero if not known.
+    /// A balancer that takes part, lagged a link of so many megabits a second; zero if not known.
     pub fn new(link_mbps: f64) -> Self {
         Self {
             link_bytes_per_s: (link_mbps * 1e6 / 8.0) as u64,
-            counted_ms: 0,
-            counted_bytes: 0,
-            behind: false,
+            window_start_ms: 0,
+            window_start_bytes: 0,
+            lagged: false,
             overloaded_windows: 0,
-            out: None,
-            stay_ms: 0,
+            absence: None,
+            absence_ms: 0,
         }
     }
 
@@ -78,44 +78,44 @@
     /// ```
     /// use steering::rotation::{Load, Rotation};
     /// let mut rotation = Rotation::new(14.0);
-    /// let full = |second| Load { lag_ms: 1, received_bytes: second * 1_700_000, quiet_for_ms: 0 };
-    /// let takes_part = [0, 1, 2, 3].map(|second| rotation.take(second * 1_000, full(second)));
+    /// let full = |second| Load { lag_ms: 1, received_bytes: second * 1_700_000, since_last_packet_ms: 0 };
+    /// let takes_part = [0, 1, 2, 3].map(|second| rotation.update(second * 1_000, full(second)));
     /// assert_eq!(takes_part, [true, true, true, false]);
     /// ```
-    pub fn take(&mut self, now_ms: Millis, load: Load) -> bool {
-        self.behind |= load.lag_ms >= LATE_MS;
-        self.count(now_ms, load.received_bytes);
-        match self.out {
-            Some(stay) => self.stay(now_ms, stay, load),
-            None if self.overloaded_windows >= WINDOWS => self.leave(now_ms),
+    pub fn update(&mut self, now_ms: Millis, load: Load) -> bool {
+        self.lagged |= load.lag_ms >= LAG_MAX_MS;
+        self.measure(now_ms, load.received_bytes);
+        match self.absence {
+            Some(absence) => self.consider_return(now_ms, absence, load),
+            None if self.overloaded_windows >= OVERLOADED_WINDOWS => self.leave(now_ms),
             None => {}
         }
-        self.out.is_none()
+        self.absence.is_none()
     }
 
-    fn count(&mut self, now_ms: Millis, received_bytes: u64) {
-        let passed_ms = now_ms.saturating_sub(self.counted_ms);
+    fn measure(&mut self, now_ms: Millis, received_bytes: u64) {
+        let passed_ms = now_ms.saturating_sub(self.window_start_ms);
         if passed_ms < WINDOW_MS {
             return;
         }
-        let bytes = received_bytes.saturating_sub(self.counted_bytes);
+        let bytes = received_bytes.saturating_sub(self.window_start_bytes);
         let bearable = self.link_bytes_per_s * passed_ms / 1_000 * LINK_PERCENT_MAX / 100;
         let full = self.link_bytes_per_s > 0 && bytes > bearable;
-        let overloaded = full || std::mem::take(&mut self.behind);
+        let overloaded = full || std::mem::take(&mut self.lagged);
         self.overloaded_windows = if overloaded { self.overloaded_windows + 1 } else { 0 };
-        (self.counted_ms, self.counted_bytes) = (now_ms, received_bytes);
+        (self.window_start_ms, self.window_start_bytes) = (now_ms, received_bytes);
     }
 
     fn leave(&mut self, now_ms: Millis) {
-        self.stay_ms = (self.stay_ms * 2).clamp(STAY_MS, STAY_MAX_MS);
-        self.out = Some(Stay { since_ms: now_ms, until_ms: now_ms + self.stay_ms });
+        self.absence_ms = (self.absence_ms * 2).clamp(ABSENCE_MIN_MS, ABSENCE_MAX_MS);
+        self.absence = Some(Absence { since_ms: now_ms, until_ms: now_ms + self.absence_ms });
     }
 
-    fn stay(&mut self, now_ms: Millis, stay: Stay, load: Load) {
-        let settled = now_ms.saturating_sub(stay.since_ms) >= SETTLED_MS;
-        let needed = settled && load.quiet_for_ms < RECENT_MS;
-        if needed || now_ms >= stay.until_ms {
-            self.out = None;
+    fn consider_return(&mut self, now_ms: Millis, absence: Absence, load: Load) {
+        let settled = now_ms.saturating_sub(absence.since_ms) >= SETTLED_MS;
+        let needed = settled && load.since_last_packet_ms < RECENT_PACKET_MS;
+        if needed || now_ms >= absence.until_ms {
+            self.absence = None;
             self.overloaded_windows = 0;
         }
     }
--- a/crates/steering/src/timeouts/mod.rs
+++ b/crates/steering/src/timeouts/mod.rs
@@ -23,11 +23,11 @@
 impl Timeouts {
     /// Waits that begin at another place for each caller, so that of many at least one makes a short
     /// call at any moment.
-    pub fn of(caller: Ipv4Addr) -> Self {
+    pub fn staggered(caller: Ipv4Addr) -> Self {
         Self { calls: caller.to_bits() % LONG_EVERY }
     }
 
-    /// The next wait; `informed` callers are not in a hurry.
+    /// The next wait; `has_view` callers are not in a hurry.
     ///
     /// ```
     /// use std::time::Duration;
@@ -37,8 +37,8 @@
     /// assert_eq!(waits, [150, 150, 600]);
     /// assert_eq!(timeouts.next(true).as_millis(), 600);
     /// ```
-    pub fn next(&mut self, informed: bool) -> Duration {
-        if informed {
+    pub fn next(&mut self, has_view: bool) -> Duration {
+        if has_view {
             self.calls = 0;
             return LONG;
         }
--- a/crates/steering/src/view/mod.rs
+++ b/crates/steering/src/view/mod.rs
@@ -215,7 +215,7 @@
 
     /// Whether no balancer with this view places a new flow on the upstream: it leaves, or its zone is
     /// closed. One whose entry went without notice is not known to leave.
-    pub fn turns_away(&self, upstream: &Upstream) -> bool {
+    pub fn refuses_new_flows(&self, upstream: &Upstream) -> bool {
         let leaves = matches!(
             upstream.standing,
             Standing::Draining | Standing::Missing { drained: true, .. }
--- a/crates/steering/src/view/routes.rs
+++ b/crates/steering/src/view/routes.rs
@@ -108,7 +108,7 @@
 
 impl RouteTable {
     /// A table of these routes, and the services that there are. Of two routes for one endpoint the
-    /// first is kept. Services that routes lead to need not be named; of two entries for one service
+    /// first is kept. Services that routes lead to need not be all_stamps; of two entries for one service
     /// the first is kept.
     pub fn new(
         version: u64,
@@ -120,19 +120,19 @@
         let mut routed: Vec<ServiceStamp> = routes.iter().flat_map(Route::services).collect();
         routed.sort_unstable();
         routed.dedup();
-        let led_to = routed.iter().copied().map(Service::unlimited);
-        let mut services: Vec<Service> = services.into_iter().chain(led_to).collect();
+        let routed_services = routed.iter().copied().map(Service::unlimited);
+        let mut services: Vec<Service> = services.into_iter().chain(routed_services).collect();
         services.sort_by_key(|service| service.stamp);
         services.dedup_by_key(|service| service.stamp);
-        let named = services.iter().map(|service| service.stamp);
-        let unrouted = named.filter(|stamp| routed.binary_search(stamp).is_err()).collect();
+        let all_stamps = services.iter().map(|service| service.stamp);
+        let unrouted = all_stamps.filter(|stamp| routed.binary_search(stamp).is_err()).collect();
         let mut hasher = SipHasher13::new();
         (&routes, &services).hash(&mut hasher);
         Self { version, routes, services: services.into(), unrouted, digest: hasher.finish() }
     }
 
     /// Whether there is such a service. Before a configuration is known, there may be any.
-    pub fn names(&self, service: ServiceStamp) -> bool {
+    pub fn contains_service(&self, service: ServiceStamp) -> bool {
         self.version == 0 || self.service(service).is_some()
     }
 
@@ -157,9 +157,9 @@
     /// ```
     /// use steering::view::RouteTable;
     /// let (old, new) = (RouteTable::new(1, vec![], []), RouteTable::new(2, vec![], []));
-    /// assert_eq!(old.patched(2, &new.since(&old)), Some(new));
+    /// assert_eq!(old.patched(2, &new.delta_from(&old)), Some(new));
     /// ```
-    pub fn since(&self, old: &Self) -> RoutesDelta {
+    pub fn delta_from(&self, old: &Self) -> RoutesDelta {
         let is_changed = |route: &&Route| old.find(route.endpoint) != Some(*route);
         let is_removed = |endpoint: &SocketAddrV4| self.find(*endpoint).is_none();
         RoutesDelta {
@@ -171,7 +171,7 @@
     }
 
     /// The table of this version that the changes make of this one; `None` if they were made for another.
-    /// Services that no route leads to any more stay named.
+    /// Services that no route leads to any more stay all_stamps.
     pub fn patched(&self, version: u64, delta: &RoutesDelta) -> Option<Self> {
         if (self.version, self.digest) != (delta.from_version, delta.from_digest) {
             return None;
@@ -185,7 +185,7 @@
 
     /// The same routes under another version.
     #[must_use]
-    pub fn renumbered(&self, version: u64) -> Self {
+    pub fn with_version(&self, version: u64) -> Self {
         Self { version, ..self.clone() }
     }
 
--- a/crates/steering/tests/history.rs
+++ b/crates/steering/tests/history.rs
@@ -47,7 +47,7 @@
 
 fn former(history: &History, now_ms: Millis) -> String {
     let letter = |service: ServiceStamp| char::from_u32(service.0).unwrap();
-    history.of(now_ms, endpoint()).map(letter).collect()
+    history.former_services_of(now_ms, endpoint()).map(letter).collect()
 }
 
 #[rstest]
@@ -79,11 +79,11 @@
 fn change_that_left_no_trace_is_learnt() {
     let told = history_of(&["a", "b", "a"]).contents(4_000, 3);
     let mut history = History::from_first_start(TTL_MS);
-    assert!(history.lacks(4_000, told.summary));
+    assert!(history.is_behind(4_000, told.summary));
     history.merge(4_000, 1_000, &table(3, "a"), &told);
     assert!(former(&history, 4_000).contains('b'));
-    assert!(!history.lacks(4_000, told.summary));
-    assert!(history.is_whole(4_000));
+    assert!(!history.is_behind(4_000, told.summary));
+    assert!(history.is_complete(4_000));
 }
 
 #[test]
@@ -105,10 +105,10 @@
     let summary = HistorySummary { version: 0, whole_in_ms };
     let told = HistoryContents { summary, routes_version: 1, former: Vec::new() };
     let mut history = History::from_now(0, TTL_MS);
-    assert!(!history.is_whole(100));
-    assert_eq!(history.lacks(100, summary), expected);
+    assert!(!history.is_complete(100));
+    assert_eq!(history.is_behind(100, summary), expected);
     history.merge(100, 0, &table(1, "a"), &told);
-    assert_eq!(history.is_whole(100), expected);
+    assert_eq!(history.is_complete(100), expected);
 }
 
 /// A whole list was read again, and another version with it: some may have gone by in between.
@@ -118,11 +118,11 @@
 fn gap_is_filled_in_by_others(#[case] whole_in_ms: Millis, #[case] expected: bool) {
     let mut history = History::from_first_start(TTL_MS);
     history.on_gap(5_000);
-    assert!(!history.is_whole(5_000));
+    assert!(!history.is_complete(5_000));
     let summary = HistorySummary { version: 0, whole_in_ms };
     let told = HistoryContents { summary, routes_version: 1, former: Vec::new() };
     history.merge(5_100, 4_000, &table(1, "a"), &told);
-    assert_eq!(history.is_whole(5_100), expected);
+    assert_eq!(history.is_complete(5_100), expected);
 }
 
 /// The one who tells has started after this one was last up to date.
@@ -132,7 +132,7 @@
     let told = HistoryContents { summary, routes_version: 1, former: Vec::new() };
     let mut history = History::from_first_start(TTL_MS);
     history.merge(10_000, 5_000, &table(1, "a"), &told);
-    assert!(!history.is_whole(10_000));
+    assert!(!history.is_complete(10_000));
 }
 
 /// The one who tells has an older version in force, and another one may have been in between.
@@ -147,8 +147,8 @@
     let told = HistoryContents { summary, routes_version, former: Vec::new() };
     let mut history = History::from_now(0, TTL_MS);
     history.merge(100, 0, &table(2, "a"), &told);
-    assert_eq!(history.is_whole(100), expected);
-    assert_eq!(history.lacks(100, summary), !expected);
+    assert_eq!(history.is_complete(100), expected);
+    assert_eq!(history.is_behind(100, summary), !expected);
 }
 
 #[test]
--- a/crates/steering/tests/leave.rs
+++ b/crates/steering/tests/leave.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use steering::flow::Millis;
-use steering::leave::{Departure, may_end};
+use steering::leave::{ShutdownProgress, may_exit};
 
 /// During a rolling restart a balancer must go on until the fabric has stopped sending, or callers'
 /// packets are lost; and no longer, or it is away together with the next one, the fabric takes the
@@ -14,10 +14,13 @@
 #[case::never_quiet(4_500, 9, 0, true)]
 #[case::never_probed(4_499, 0, 4_499, false)]
 fn may_end_after(
-    #[case] told_for_ms: Millis,
+    #[case] since_stop_request_ms: Millis,
     #[case] refused_probes: u32,
-    #[case] quiet_for_ms: Millis,
+    #[case] since_last_packet_ms: Millis,
     #[case] expected: bool,
 ) {
-    assert_eq!(may_end(Departure { told_for_ms, refused_probes, quiet_for_ms }), expected);
+    assert_eq!(
+        may_exit(ShutdownProgress { since_stop_request_ms, refused_probes, since_last_packet_ms }),
+        expected
+    );
 }
--- a/crates/steering/tests/link.rs
+++ b/crates/steering/tests/link.rs
@@ -20,11 +20,11 @@
     let (mut bodies, mut sent_bytes) = (0_u64, 0);
     for now_ms in 0..5_000 {
         for _ in 0..2 {
-            let goes = link.take(now_ms, BODY_BYTES, true);
+            let goes = link.admit(now_ms, BODY_BYTES, true);
             bodies += u64::from(goes);
             sent_bytes += if goes { BODY_BYTES } else { 0 };
         }
-        assert!(link.take(now_ms, SMALL_BYTES, false), "at {now_ms} ms");
+        assert!(link.admit(now_ms, SMALL_BYTES, false), "at {now_ms} ms");
         sent_bytes += SMALL_BYTES;
     }
     let yielded = 10_000 - bodies;
@@ -39,7 +39,7 @@
 fn bursts_go_at_full_speed() {
     let mut link = Link::new(14.0);
     for now_ms in [0, 100, 200, 300] {
-        let sent = (0..40).filter(|_| link.take(now_ms, BODY_BYTES, true)).count();
+        let sent = (0..40).filter(|_| link.admit(now_ms, BODY_BYTES, true)).count();
         assert_eq!(sent, 40, "at {now_ms} ms");
     }
 }
@@ -49,7 +49,7 @@
 fn debt_is_bounded() {
     const PAUSE_MS: Millis = 100;
     let mut link = Link::new(14.0);
-    (0..100_000).for_each(|_| assert!(link.take(0, SMALL_BYTES, false)));
-    assert!(!link.take(1, BODY_BYTES, true));
-    assert!(link.take(PAUSE_MS, BODY_BYTES, true));
+    (0..100_000).for_each(|_| assert!(link.admit(0, SMALL_BYTES, false)));
+    assert!(!link.admit(1, BODY_BYTES, true));
+    assert!(link.admit(PAUSE_MS, BODY_BYTES, true));
 }
--- a/crates/steering/tests/membership.rs
+++ b/crates/steering/tests/membership.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use steering::flow::Millis;
 use steering::membership::{
-    Change, DRAINED_LINGER_MS, Delta, LAPSED_LINGER_MS, Membership, SILENT_LINGER_MS,
+    Change, DRAINED_LINGER_MS, Delta, LAPSED_LINGER_MS, Membership, OUTAGE_LINGER_MS,
     UpstreamRecord, whole_in_ms,
 };
 use steering::view::{RouteTable, Service, ServiceStamp, Standing, ZoneStamp};
@@ -170,8 +170,8 @@
 #[rstest]
 #[case::calm(10_000, 9_000, false, 0)]
 #[case::after_an_outage(10_000, 11_500, false, 1_500)]
-#[case::in_an_outage(10_000, 0, true, SILENT_LINGER_MS)]
-#[case::in_the_next_outage(10_000, 10_200, true, SILENT_LINGER_MS)]
+#[case::in_an_outage(10_000, 0, true, OUTAGE_LINGER_MS)]
+#[case::in_the_next_outage(10_000, 10_200, true, OUTAGE_LINGER_MS)]
 fn whole_in(
     #[case] now_ms: Millis,
     #[case] whole_from_ms: Millis,
--- a/crates/steering/tests/peers.rs
+++ b/crates/steering/tests/peers.rs
@@ -4,7 +4,7 @@
 
 use rstest::rstest;
 use steering::flow::Millis;
-use steering::peers::{Comparison, Duty, Peers, READERS, Summary};
+use steering::peers::{Comparison, Peers, READERS, ReaderRole, Summary};
 
 const STEP_MS: Millis = 50;
 /// After this time a call that hangs has failed: the wait of a watch, and the time for its answer.
@@ -65,7 +65,7 @@
             if let Some(other) = self.reached(number, target) {
                 let list = self.peers[other].on_hello(now_ms, address(number));
                 self.peers[number].on_peers(now_ms, target, &list);
-                if self.peers[other].speaks_as_reader(now_ms) {
+                if self.peers[other].acts_as_reader(now_ms) {
                     let summary = Summary::default();
                     self.peers[number].on_beacon(now_ms, target, summary, summary);
                 }
@@ -87,7 +87,7 @@
 
     /// From now on, the calls of a reader hang.
     fn hang(&mut self, number: usize) {
-        let second = self.peers[number].duty(self.now_ms) == Duty::Second;
+        let second = self.peers[number].reader_role(self.now_ms) == ReaderRole::Secondary;
         let call_ms = if second { CALL_SECOND_MS } else { CALL_MS };
         self.hanging.push((number, self.now_ms + call_ms));
     }
@@ -149,7 +149,7 @@
 #[case::twice_the_fleet(608)]
 fn few_read_on_at_once_after_a_start(#[case] count: usize) {
     let held_back_ms: Vec<Millis> =
-        (0..count).map(|number| Peers::new(address(number)).hold_back_ms()).collect();
+        (0..count).map(|number| Peers::new(address(number)).initial_read_delay_ms()).collect();
     assert!(held_back_ms.iter().any(|for_ms| *for_ms < 50), "somebody reads on");
     let soon = held_back_ms.iter().filter(|for_ms| **for_ms < 250).count();
     assert!(soon <= count * 3 / 5, "{soon} of {count} read on within a quarter of a second");
@@ -199,9 +199,12 @@
 fn one_reader_watches_closely() {
     let mut fleet = Fleet::new(10);
     fleet.run(4_000);
-    let duties = fleet.peers.iter().map(|peers| peers.duty(fleet.now_ms));
+    let duties = fleet.peers.iter().map(|peers| peers.reader_role(fleet.now_ms));
     let count = |wanted| duties.clone().filter(|duty| *duty == wanted).count();
-    assert_eq!((count(Duty::First), count(Duty::Second), count(Duty::Listen)), (1, 1, 8));
+    assert_eq!(
+        (count(ReaderRole::Primary), count(ReaderRole::Secondary), count(ReaderRole::Follower)),
+        (1, 1, 8)
+    );
 }
 
 /// The fleet is split: each part needs readers of its own, and only two remain after it has healed.
@@ -238,9 +241,9 @@
 /// What a beacon leads to. A view may be old after a pause or a cut, so neither a lower revision nor
 /// an older version of the routes is ever taken, and equal contents are not fetched again.
 #[rstest]
-#[case::same_revision((5, 2, 1, 1), Comparison::Nothing)]
-#[case::behind((4, 2, 9, 9), Comparison::Nothing)]
-#[case::older_routes((6, 1, 9, 9), Comparison::Nothing)]
+#[case::same_revision((5, 2, 1, 1), Comparison::NotNewer)]
+#[case::behind((4, 2, 9, 9), Comparison::NotNewer)]
+#[case::older_routes((6, 1, 9, 9), Comparison::NotNewer)]
 #[case::new_upstreams((6, 2, 1, 9), Comparison::Fetch)]
 #[case::new_routes((6, 3, 9, 1), Comparison::Fetch)]
 #[case::new_version_same_routes((6, 3, 1, 1), Comparison::Same)]
--- a/crates/steering/tests/rotation.rs
+++ b/crates/steering/tests/rotation.rs
@@ -13,8 +13,8 @@
     let mut received_bytes = start_s * FULL_BYTES_PER_S;
     let mut outside = Vec::new();
     for (second, share) in (start_s..).zip(shares) {
-        let load = Load { lag_ms, received_bytes, quiet_for_ms: 5_000 };
-        if !rotation.take(second * 1_000, load) {
+        let load = Load { lag_ms, received_bytes, since_last_packet_ms: 5_000 };
+        if !rotation.update(second * 1_000, load) {
             outside.push(second);
         }
         received_bytes += FULL_BYTES_PER_S * share / 100;
@@ -64,12 +64,12 @@
 #[case::nothing_comes(2_000, 900, false)]
 fn needed_balancer_comes_back(
     #[case] after_ms: Millis,
-    #[case] quiet_for_ms: Millis,
+    #[case] since_last_packet_ms: Millis,
     #[case] comes_back: bool,
 ) {
     let mut rotation = Rotation::new(LINK_MBPS);
     assert_eq!(play(&mut rotation, 0, &[90; 4], 1), [3]);
     let received_bytes = 4 * FULL_BYTES_PER_S;
-    let load = Load { lag_ms: 1, received_bytes, quiet_for_ms };
-    assert_eq!(rotation.take(3_000 + after_ms, load), comes_back);
+    let load = Load { lag_ms: 1, received_bytes, since_last_packet_ms };
+    assert_eq!(rotation.update(3_000 + after_ms, load), comes_back);
 }
--- a/crates/steering/tests/routes.rs
+++ b/crates/steering/tests/routes.rs
@@ -31,7 +31,7 @@
     #[case] removed: usize,
 ) {
     let (old, new) = (table(4, old), table(7, new));
-    let delta = new.since(&old);
+    let delta = new.delta_from(&old);
     assert_eq!((delta.changed.len(), delta.removed.len()), (changed, removed));
     assert_eq!(old.patched(7, &delta), Some(new));
 }
@@ -41,7 +41,7 @@
 #[case::other_version(table(3, &[(80, 1)]))]
 #[case::other_routes(table(4, &[(80, 2)]))]
 fn changes_fit_the_table_that_they_were_made_for(#[case] ours: RouteTable) {
-    let delta = table(7, &[(80, 1), (81, 2)]).since(&table(4, &[(80, 1)]));
+    let delta = table(7, &[(80, 1), (81, 2)]).delta_from(&table(4, &[(80, 1)]));
     assert_eq!(ours.patched(7, &delta), None);
 }
 
@@ -53,6 +53,6 @@
     let routes: Vec<(u16, u32)> = (1..=count).map(|port| (port, 1)).collect();
     let mut moved = routes.clone();
     moved[3].1 = 2;
-    let delta = table(5, &moved).since(&table(4, &routes));
+    let delta = table(5, &moved).delta_from(&table(4, &routes));
     assert_eq!((delta.changed.len(), delta.removed.len()), (1, 0));
 }
--- a/crates/wire/src/peers/mod.rs
+++ b/crates/wire/src/peers/mod.rs
@@ -9,7 +9,7 @@
 
 use steering::history::{HistoryContents, HistorySummary};
 use steering::membership::{Delta, UpstreamRecord};
-use steering::peers::{NAMED_MAX, Summary};
+use steering::peers::{PEERS_PER_REPLY_MAX, Summary};
 use steering::view::{RouteTable, Service, ServiceStamp, ZoneStamp};
 
 use body::{MessageBody, RoutesBody, ViewBody};
@@ -19,7 +19,7 @@
 };
 
 /// Most balancers named in one message: they fit into a datagram of 1,300 bytes.
-pub const PEERS_MAX: usize = NAMED_MAX;
+pub const PEERS_MAX: usize = PEERS_PER_REPLY_MAX;
 /// Most changes in one message: at 45 bytes each they fit into a datagram with room for long names.
 pub const CHANGES_MAX: usize = 24;
 /// Most bytes of a message: what an Ethernet frame takes without being cut.
