--- a/crates/steering/src/history/mod.rs
+++ b/crates/steering/src/history/mod.rs
@@ -1,33 +1,34 @@
-//! Services that routes sent their flows to before.
+//! Services that routes previously pointed to.
 //!
-//! A new configuration leaves open flows where they are, so a flow may live at an upstream of a
-//! service that its route has left. Such a service is remembered for as long as a flow may be open,
-//! and handed from balancer to balancer.
+//! A new configuration leaves open flows in place, so a flow may be held by an upstream of a
+//! service that its route no longer points to. Such a service is remembered for as long as one of
+//! its flows may be open, and is passed from balancer to balancer.
 
 use std::net::SocketAddrV4;
 
 use crate::flow::Millis;
 use crate::view::{Route, RouteTable, ServiceStamp};
 
-/// Age at which a flow may be discarded, where the settings name none.
+/// Age at which a flow may be discarded if the settings state none.
 pub const FLOW_TTL_MS: Millis = 60_000;
-/// For so long after a route has left a service, balancers that hear nothing of it open flows there.
+/// How long after a route has left a service balancers that have not received the change may still
+/// open flows there.
 pub const STALE_OPENINGS_MS: Millis = 30_000;
-/// A history that is whole so much sooner than another one tells more.
+/// A history that becomes complete sooner than another by more than this contains more.
 const SOONER_MARGIN_MS: Millis = 1_000;
 
-/// A service that a route has left.
+/// A service that a route no longer points to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FormerService {
     /// Address and port of the route.
     pub endpoint: SocketAddrV4,
     /// The service.
     pub service: ServiceStamp,
-    /// For how much longer a flow may be open there.
+    /// Remaining time for which a flow may be open there.
     pub left_ms: Millis,
 }
 
-/// The same as a balancer keeps it.
+/// A former service as stored by a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RetainedService {
     endpoint: SocketAddrV4,
@@ -41,30 +42,30 @@
     }
 }
 
-/// A history in short, for comparison with another balancer's.
+/// Summary of a history, for comparison with another balancer's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HistorySummary {
-    /// The last version known that made a route leave a service, or go to another one.
+    /// The last known version in which a route left a service or pointed to an additional one.
     pub version: u64,
-    /// For how much longer services that routes have left may be unknown.
+    /// Remaining time for which services that routes have left may be unknown.
     pub whole_in_ms: Millis,
 }
 
-/// A history as one balancer tells it to another.
+/// A history as sent from one balancer to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HistoryContents {
-    /// In short.
+    /// Summary of the history.
     pub summary: HistorySummary,
-    /// The version that is in force there.
+    /// The routes version in force at the sender.
     pub routes_version: u64,
     /// The former services.
     pub former: Vec<FormerService>,
 }
 
-/// Former services as a balancer knows them.
+/// The former services that a balancer knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct History {
-    /// By endpoint and service.
+    /// Sorted by endpoint and service.
     former: Vec<RetainedService>,
     version: u64,
     complete_from_ms: Millis,
@@ -79,7 +80,7 @@
 }
 
 impl History {
-    /// The history of a balancer on the first start of all: nothing went before.
+    /// The history of a balancer at the first start of the whole fleet: there is nothing before it.
     ///
     /// ```
     /// use steering::history::History;
@@ -103,7 +104,7 @@
         history
     }
 
-    /// Notes that `new` takes the place of `old`. A route that is gone takes its flows with it.
+    /// Notes that `new` replaces `old`. The flows of a removed route end with it.
     pub fn on_routes(&mut self, now_ms: Millis, old: &RouteTable, new: &RouteTable) {
         self.former
             .retain(|former| former.until_ms > now_ms && new.find(former.endpoint).is_some());
@@ -120,20 +121,21 @@
         }
     }
 
-    /// Notes that versions may have been in force between the one known and the one that comes next.
+    /// Notes that versions may have been in force between the known one and the next one.
     pub fn on_gap(&mut self, now_ms: Millis) {
         self.complete_from_ms = now_ms + self.retention_ms();
     }
 
-    /// Time for which a service that a route has left may have flows of it.
+    /// How long a service that a route has left may hold flows of the route.
     fn retention_ms(&self) -> Millis {
         self.flow_ttl_ms + STALE_OPENINGS_MS
     }
 
-    /// Takes what another balancer knows. Until `current_until_ms`, no version in force was missed
-    /// here; `routes` are in force here now.
+    /// Merges another balancer's history. No version in force was missed here until
+    /// `current_until_ms`; `routes` are in force here now.
     ///
-    /// One whose routes are older cannot tell what these have taken the place of.
+    /// A balancer with older routes does not know what the current routes have replaced, so its
+    /// history does not make this one complete.
     pub fn merge(
         &mut self,
         now_ms: Millis,
@@ -158,21 +160,19 @@
             if joined { self.complete_from_ms.min(complete_from_ms) } else { complete_from_ms };
     }
 
-    /// Whether another balancer's history tells what this one lacks.
+    /// Whether another balancer's history contains anything that this one lacks.
     pub fn is_behind(&self, now_ms: Millis, theirs: HistorySummary) -> bool {
         let ours = self.summary(now_ms);
         theirs.version > ours.version || theirs.whole_in_ms + SOONER_MARGIN_MS < ours.whole_in_ms
     }
 
-    /// The history in short.
+    /// Summary of the history.
     pub fn summary(&self, now_ms: Millis) -> HistorySummary {
         let whole_in_ms = self.complete_from_ms.saturating_sub(now_ms);
         HistorySummary { version: self.version, whole_in_ms }
     }
 
-    /// What another balancer is to_message.
-    ///
-    /// `routes_version` is in force here.
+    /// The history to send to another balancer, with the `routes_version` in force here.
     pub fn contents(&self, now_ms: Millis, routes_version: u64) -> HistoryContents {
         let open = self.former.iter().filter(|former| former.until_ms > now_ms);
         let to_message = |former: &RetainedService| FormerService {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Services that the route of an endpoint has left and at which its flows may be open.
+    /// Services that the route of an endpoint has left and that may still hold its flows.
     pub fn former_services_of(
         &self,
         now_ms: Millis,
@@ -199,7 +199,7 @@
         same.filter(move |former| former.until_ms > now_ms).map(|former| former.service)
     }
 
-    /// Whether some route has left this service.
+    /// Whether any route has left this service.
     pub fn contains_service(&self, service: ServiceStamp) -> bool {
         self.former.iter().any(|former| former.service == service)
     }
--- a/crates/steering/src/leave/mod.rs
+++ b/crates/steering/src/leave/mod.rs
@@ -1,28 +1,29 @@
-//! When a balancer that was told to stop may end.
+//! Decides when a balancer that was told to stop may exit.
 
 use crate::flow::Millis;
 
 /// Refused probes after which the fabric takes an instance out of rotation.
 const PROBES_TO_LEAVE_ROTATION: u32 = 2;
-/// Without a caller's packet for this long after that, the fabric has stopped. Staying longer would
-/// overlap with the next instance of a rolling restart, and the fabric sends packets to all
-/// instances of a zone, ended ones too, while fewer than half are in rotation.
+/// Time without a caller's packet after which the fabric is known to have stopped sending. Staying
+/// longer would overlap with the next instance of a rolling restart: while fewer than half of a
+/// zone's instances are in rotation, the fabric sends packets to all of them, including those that
+/// have exited.
 const IDLE_MS: Millis = 100;
-/// Longest stay; instances are killed six seconds after they were told.
+/// Maximum time until exit. Instances are killed six seconds after the stop request.
 const SHUTDOWN_MAX_MS: Millis = 4_500;
 
 /// What has happened since a balancer was told to stop.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownProgress {
-    /// Time since it was told.
+    /// Time since the stop request.
     pub since_stop_request_ms: Millis,
-    /// Probes of the fabric that it has refused since.
+    /// Probes of the fabric refused since the stop request.
     pub refused_probes: u32,
-    /// Time since the last packet of a caller.
+    /// Time since the last packet from a caller.
     pub since_last_packet_ms: Millis,
 }
 
-/// Whether a balancer may end without losing packets that the fabric still sends to it.
+/// Whether a balancer may exit without losing packets that the fabric still sends to it.
 ///
 /// ```
 /// use steering::leave::{ShutdownProgress, may_exit};
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,9 +1,10 @@
 //! Decision core of the direct-return path: where a flow is placed, how it is found again, and when
 //! it is given up.
 //!
-//! Balancers see the callers' packets only, agents see both directions, and an upstream returns
-//! every packet of a flow that it does not hold. Nothing here opens a socket, reads a clock or draws
-//! random numbers: packets, time and membership come in as arguments, actions come out as values.
+//! Balancers see only the packets from callers, agents see both directions, and an upstream returns
+//! every packet of a flow that it does not hold. Nothing in this crate opens a socket, reads a
+//! clock or draws random numbers: packets, time and membership are passed in as arguments, and
+//! actions are returned as values.
 
 pub mod edge;
 pub mod flow;
--- a/crates/steering/src/link/mod.rs
+++ b/crates/steering/src/link/mod.rs
@@ -1,17 +1,17 @@
-//! What is_admitted over a link that is full.
+//! Limits the bytes of bodies sent over a link, so that a full link still carries other packets.
 //!
-//! Load pattern: half of a zone's balancers stand still, and the rest gets their share; a thin link gets
-//! more than it takes, drops every other packet, openings and agents' words with bodies of uploads, and
-//! flows are neither opened nor found. Bodies are most of the bytes and few of the packets. Where they yield
-//! before the link is full, the rest gets through, and their callers, who repeat later and later, send
-//! less.
+//! When half of a zone's balancers stop, the others take over their traffic. A narrow link then
+//! gets more than it can carry and drops every other packet: openings and agents' replies as well
+//! as bodies of uploads. Flows are then neither opened nor found. Bodies account for most of the
+//! bytes but few of the packets. If they are dropped before the link is full, all other packets get
+//! through, and the callers that send bodies send less, because they repeat at growing intervals.
 
 use crate::flow::Millis;
 
-/// Share of the link that bodies may fill, in percent: the queue at a link holds some tens of milliseconds,
-/// and what is left of it is for all other packets.
+/// Share of the link that bodies may fill, in percent. The queue of a link holds some tens of
+/// milliseconds; the rest of the link is left for all other packets.
 const BODY_SHARE_PERCENT: u64 = 85;
-/// Time for which bodies may come at full speed, as bursts of a few callers do.
+/// Time for which bodies may be sent at full speed, as in bursts of a few callers.
 const BURST_MS: u64 = 40;
 
 /// A token bucket over the bytes that are sent.
@@ -24,13 +24,15 @@
 }
 
 impl Link {
-    /// A link of so many megabits a second; zero if not known, and never full.
+    /// Creates a link with this many megabits per second. Zero stands for an unknown rate; such a
+    /// link is never full.
     pub fn new(mbps: f64) -> Self {
         let bytes_per_s = (mbps * 1e6 / 8.0) as u64 * BODY_SHARE_PERCENT / 100;
         Self { bytes_per_s, credit: Self::full(bytes_per_s), at_ms: 0 }
     }
 
-    /// Whether a packet of this length may go; one that is no part of a body always may, and counts.
+    /// Whether a packet of this length may be sent. Packets that are not part of a body are always
+    /// admitted, and count towards the limit.
     ///
     /// ```
     /// use steering::link::Link;
--- a/crates/steering/src/membership/mod.rs
+++ b/crates/steering/src/membership/mod.rs
@@ -1,4 +1,5 @@
-//! Which upstreams there are: the published list, read by many hands and at times incomplete.
+//! The upstreams that exist, according to the published list. The list has many readers and is at
+//! times incomplete.
 
 use std::cmp::Reverse;
 use std::hash::{Hash as _, Hasher as _};
@@ -11,26 +12,27 @@
 use crate::history::History;
 use crate::view::{RouteTable, RoutesDelta, ServiceStamp, Standing, Upstream, View, ZoneStamp};
 
-/// How long after an outage of the configuration service the list may lack upstreams that live:
-/// entries that expired meanwhile are published again within two seconds of its return, and the
-/// notice takes some time to come here.
+/// How long after an outage of the configuration service the list may lack upstreams that are
+/// running. Entries that expired during the outage are published again within two seconds of its
+/// end, and the notice takes some time to arrive here.
 pub const OUTAGE_LINGER_MS: Millis = 2_500;
-/// How long an upstream whose entry went without notice counts as one that may hold flows.
-/// Upstreams write their entries every 1.2 to 2.7 s; one that crashed and started again under its
-/// name loses the entry when the lease of its earlier life ends, and has it back with its next
-/// write, three seconds later at most.
+/// How long an upstream whose entry disappeared without notice is assumed to hold flows. Upstreams
+/// write their entries every 1.2 to 2.7 s. An upstream that crashed and restarted under its name
+/// loses the entry when the lease of its previous incarnation expires, and has it back with its
+/// next write, at most three seconds later.
 pub const LAPSED_LINGER_MS: Millis = 4_000;
-/// How long an upstream whose entry went while it was draining may still hold flows. Upstreams go on
-/// for many seconds after the notice and leave the list when they have left; the rest is delay.
+/// How long an upstream whose entry disappeared while it was draining may still hold flows.
+/// Upstreams keep serving for many seconds after the notice and remove their entry when they leave,
+/// so this only covers delays.
 pub const DRAINED_LINGER_MS: Millis = 5_000;
 
 /// An entry of the published list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct UpstreamRecord {
-    /// Name of the upstream; it may keep it when it starts again.
+    /// Name of the upstream, which it may keep across restarts.
     pub id: Arc<str>,
-    /// Start of this life of the upstream by its own clock, in milliseconds; zero if it does not
-    /// say. It tells lives of one name apart, and nothing else.
+    /// Start of this incarnation of the upstream by its own clock, in milliseconds; zero if the
+    /// upstream does not state it. Serves only to tell incarnations of one name apart.
     pub born_ms: u64,
     /// Address of its instance.
     pub address: Ipv4Addr,
@@ -38,28 +40,28 @@
     pub service: ServiceStamp,
     /// Its availability zone.
     pub zone: ZoneStamp,
-    /// Whether it leaves.
+    /// Whether it is draining.
     pub draining: bool,
-    /// How much longer it is slow after its start.
+    /// Remaining time for which it is slow after its start.
     pub warmup_left_ms: Millis,
-    /// Requests that it works on at a time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
 }
 
 /// A change of the published list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// An entry is new, or has changed.
+    /// An entry was added or has changed.
     Listed(UpstreamRecord),
-    /// The entry of this name is gone.
+    /// The entry of this name was removed.
     Gone(Arc<str>),
-    /// The availability zone takes no new flows from now on.
+    /// The availability zone accepts no new flows from now on.
     ZoneClosed(ZoneStamp),
-    /// The availability zone takes new flows again.
+    /// The availability zone accepts new flows again.
     ZoneOpened(ZoneStamp),
 }
 
-/// What a change is about. Later changes of the same replace earlier ones.
+/// What a change refers to. A later change to the same subject replaces an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject<'a> {
     /// The entry of this name.
@@ -69,7 +71,7 @@
 }
 
 impl Change {
-    /// What the change is about.
+    /// What the change refers to.
     pub fn subject(&self) -> Subject<'_> {
         match self {
             Self::Listed(record) => Subject::Entry(&record.id),
@@ -79,20 +81,21 @@
     }
 }
 
-/// What changed after a revision, each entry and zone at most once: the order of the changes says
-/// nothing.
+/// Changes after a revision. Each entry and zone occurs at most once, so the order of the changes
+/// has no meaning.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delta {
-    /// Contents of this revision or a later one are brought up to date by it.
+    /// The delta brings contents of this revision or a later one up to date.
     pub from_revision: u64,
     /// The changes.
     pub changes: Vec<Change>,
-    /// What has become of the routes, if they are others.
+    /// Changes to the routes, if there are any.
     pub routes: Option<RoutesDelta>,
 }
 
 impl Delta {
-    /// The changes after a revision, of which the last one counts for each entry and zone.
+    /// Collects the changes after a revision. Of several changes to one entry or zone, the last one
+    /// is kept.
     ///
     /// ```
     /// use steering::membership::{Change, Delta};
@@ -112,22 +115,22 @@
 struct Member {
     id: Arc<str>,
     upstream: Upstream,
-    /// Position among all entries that came.
+    /// Position in the order in which entries arrived.
     arrival: u64,
 }
 
-/// The list as this process knows it, with the entries that went lately.
+/// The list as this process knows it, including entries that disappeared recently.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
     members: Vec<Member>,
     arrivals: u64,
-    /// Availability zones that take no new flows, in order.
+    /// Availability zones that accept no new flows, sorted.
     closed_zones: Vec<ZoneStamp>,
 }
 
 impl Membership {
-    /// Takes a whole list: entries that are not in it count as removed now, and all other availability
-    /// zones than these as open.
+    /// Replaces the whole list. Entries that are not in `records` count as removed now, and all
+    /// availability zones except for `closed_zones` as open.
     pub fn replace(
         &mut self,
         now_ms: Millis,
@@ -146,7 +149,7 @@
         self.closed_zones.dedup();
     }
 
-    /// Availability zones that are closed to new flows, in order.
+    /// Availability zones that are closed to new flows, sorted.
     pub fn closed_zones(&self) -> &[ZoneStamp] {
         &self.closed_zones
     }
@@ -163,7 +166,8 @@
         }
     }
 
-    /// Takes a new or changed entry. One of an earlier life than the one that is known is old news.
+    /// Adds or updates an entry. An entry of an earlier incarnation than the known one is outdated
+    /// and is ignored.
     pub fn insert(&mut self, now_ms: Millis, record: &UpstreamRecord) {
         let standing = if record.draining { Standing::Draining } else { Standing::Ready };
         let upstream = Upstream {
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Takes a change.
+    /// Applies a change.
     pub fn apply(&mut self, now_ms: Millis, change: &Change) {
         match change {
             Change::Listed(record) => self.insert(now_ms, record),
@@ -194,15 +198,15 @@
         }
     }
 
-    /// Takes changes that lead to a list with this digest; says whether they did.
+    /// Applies changes that should lead to a list with this digest, and returns whether they did.
     ///
-    /// Where a message was lost, they do not, and the sender's whole list is needed.
+    /// If a message was lost they do not, and the sender's whole list is needed.
     pub fn patch(&mut self, now_ms: Millis, delta: &Delta, digest: u64) -> bool {
         delta.changes.iter().for_each(|change| self.apply(now_ms, change));
         self.digest() == digest
     }
 
-    /// Takes the removal of an entry.
+    /// Marks an entry as removed.
     pub fn remove(&mut self, now_ms: Millis, id: &str) {
         let Ok(index) = self.members.binary_search_by(|member| (*member.id).cmp(id)) else {
             return;
@@ -216,23 +220,25 @@
         *standing = Standing::Missing { since_ms: now_ms, drained };
     }
 
-    /// Forgets the entries that went long enough ago; says whether there were any.
+    /// Drops the entries that disappeared long enough ago, and returns whether there were any.
     pub fn expire(&mut self, now_ms: Millis) -> bool {
         let before = self.members.len();
         self.members.retain(|member| !is_gone(member.upstream.standing, now_ms));
         self.members.len() != before
     }
 
-    /// The upstreams with these routes, which never led elsewhere.
+    /// A view of the upstreams with routes that have never pointed to other services.
     pub fn view(&self, routes: Arc<RouteTable>) -> View {
         self.view_since(routes, Arc::default())
     }
 
-    /// The upstreams with these routes, and those of the services that routes sent to before.
+    /// A view of the upstreams with these routes and the services that routes previously pointed
+    /// to.
     ///
-    /// An address has one user at a time: the one that started last, or else is listed, or else came last. An entry of
-    /// a service that the configuration does not name is of another writer; it names no upstream,
-    /// and must not hide the one that has the address.
+    /// An address belongs to one upstream at a time: the one that started last, otherwise one that
+    /// is listed, otherwise the one that arrived last. An entry of a service that the configuration
+    /// does not contain was written by someone else. It describes no upstream, and must not hide
+    /// the upstream that has the address.
     pub fn view_since(&self, routes: Arc<RouteTable>, history: Arc<History>) -> View {
         let belongs_to_service = |member: &&Member| {
             let service = member.upstream.service;
@@ -251,7 +257,7 @@
             .with_history(history)
     }
 
-    /// The entries that are listed now, with the time that upstreams are still slow.
+    /// The entries that are listed now, with the remaining time for which their upstreams are slow.
     pub fn records(&self, now_ms: Millis) -> Vec<UpstreamRecord> {
         let listed = self.members.iter().filter(|member| {
             matches!(member.upstream.standing, Standing::Ready | Standing::Draining)
@@ -269,7 +275,7 @@
         listed.map(record).collect()
     }
 
-    /// Digest of what is listed and closed; how long upstreams are still slow is left out.
+    /// Digest of the listed entries and closed zones. Remaining warm-up times are excluded.
     pub fn digest(&self) -> u64 {
         let mut hasher = SipHasher13::new();
         for record in self.records(Millis::MAX) {
@@ -279,7 +285,7 @@
         hasher.finish()
     }
 
-    /// Number of entries, those that went lately included.
+    /// Number of entries, including those that disappeared recently.
     pub fn len(&self) -> usize {
         self.members.len()
     }
@@ -301,11 +307,12 @@
     }
 }
 
-/// For how much longer the list may lack upstreams that live, for other balancers: until
-/// `complete_from_ms`, and while the configuration service is `store_unreachable`, for as long as entries
-/// take to come back.
+/// How much longer the list may lack upstreams that are running, as reported to other balancers:
+/// until `complete_from_ms`, or, while the configuration service is unreachable, for as long as
+/// entries take to come back.
 ///
-/// An outage counts from its end: a balancer that starts then has not seen it.
+/// The time counts from the end of the outage, because a balancer that starts then has not seen the
+/// outage.
 ///
 /// ```
 /// use steering::membership::{OUTAGE_LINGER_MS, whole_in_ms};
--- a/crates/steering/src/peers/mod.rs
+++ b/crates/steering/src/peers/mod.rs
@@ -1,10 +1,11 @@
-//! Which balancers read the configuration service for all, and how the others keep up.
+//! Decides which balancers read the configuration service on behalf of all, and how the others keep
+//! up.
 //!
-//! Every balancer starts as a reader. A reader tells all balancers it has current of, four times a
-//! second and at each change, what it knows (a beacon). A balancer that hears enough readers of
-//! better rank stops reading, and fetches from them what its own view lacks. One that no longer
-//! hears them reads again. Nobody is elected and nothing is agreed upon: two readers more than
-//! needed cost some calls, one fewer costs a second.
+//! Every balancer starts as a reader. Four times a second and after each change, a reader sends a
+//! beacon, a summary of what it knows, to all balancers that it knows of. A balancer that receives
+//! beacons from enough readers of higher rank stops reading, and fetches what its view lacks from
+//! them. When it no longer receives beacons, it reads again. There is neither election nor
+//! consensus: two superfluous readers cost some calls, and one missing reader costs a second.
 
 use std::hash::Hasher as _;
 use std::net::Ipv4Addr;
@@ -13,70 +14,73 @@
 
 use crate::flow::Millis;
 
-/// Readers that are enough for all balancers: one may be cut off or paused without a gap.
+/// Readers that suffice for all balancers. One may be cut off or paused without a gap in updates.
 pub const READERS: usize = 2;
-/// Pause between two beacons of a reader.
+/// Interval between two beacons of a reader.
 pub const BEACON_MS: Millis = 250;
-/// Pause between two hellos of a balancer that hears no reader.
+/// Interval between two hellos of a balancer that receives no beacons.
 pub const HELLO_MS: Millis = 1_000;
-/// The same in calm: a reader was current recent. Three of them may get lost before readers forget
-/// the sender.
+/// Interval between two hellos of a balancer that recently received a beacon. Three hellos may get
+/// lost before readers forget the sender.
 const HELLO_STEADY_MS: Millis = 3_000;
-/// Balancers named in the answer to one hello, so that it fits into a datagram; the next one names
-/// others.
+/// Maximum number of balancers in the reply to one hello, so that it fits into a datagram. The next
+/// reply contains others.
 pub const PEERS_PER_REPLY_MAX: usize = 240;
-/// Time after its start in which a balancer that has current no reader greets as often as one that
-/// knows nothing.
+/// Time after its start in which a balancer that has received no beacon sends hellos as often as
+/// one without a view.
 ///
-/// Where all start at once, first hellos are lost; in an outage, when nobody reads, frequent ones
-/// would load the given instances.
+/// When all balancers start at once, the first hellos are lost. During an outage, when nobody
+/// reads, frequent hellos would load the configured instances.
 const STARTUP_MS: Millis = 3_000;
-/// Pause between two hellos of a balancer that knows nothing yet: callers wait for it.
+/// Interval between two hellos of a balancer without a view: callers are waiting for it.
 const HELLO_WITHOUT_VIEW_MS: Millis = 100;
-/// A reader that was not current for this long counts no more: one beacon may get lost. A change must be
-/// in force within three seconds, also if it is made right after the service began to hang for all
-/// readers: their calls fail after 1.5 s, they fall silent, and others read 0.7 s later.
+/// A reader without a beacon for this long no longer counts; one beacon may get lost. A change must
+/// be in force within three seconds, even if it is made right after the service began to hang for
+/// all readers. Their calls fail after 1.5 s, they stop sending beacons, and other balancers start
+/// to read 0.7 s later.
 const READER_TIMEOUT_MS: Millis = 650;
-/// A reader that was current within this time gets hellos. All balancers were readers once, at their
-/// start: greeted for longer than they read, they would get as many hellos as there are pairs of
-/// balancers.
+/// A reader gets hellos for this long after its last beacon. All balancers were readers at their
+/// start. If they got hellos for longer than they read, the number of hellos would grow with the
+/// number of pairs of balancers.
 const HELLO_TO_READER_MS: Millis = 2 * HELLO_MS;
-/// A balancer that was not current of for this long is told nothing more.
+/// A balancer that was not heard from for this long gets no more messages.
 const PEER_TIMEOUT_MS: Millis = 10_000;
-/// A first reader that has not reached the configuration service for this long doesn't count as one,
-/// also if no call has failed: twice the time for which its watch waits.
+/// A primary reader that has not reached the configuration service for this long does not count as
+/// a reader, even if no call has failed. This is twice the wait of its watch.
 const PRIMARY_STORE_TIMEOUT_MS: Millis = 2_000;
-/// The same for a second reader, whose watch waits for five seconds. It counts only beside a first one:
-/// once that is silent, the bound above holds, and a hanging second reader keeps nobody from reading.
+/// The same for a secondary reader, whose watch waits for five seconds. It only counts beside a
+/// primary: once that stops responding, the bound above applies, and a hanging secondary keeps
+/// nobody from reading.
 const SECONDARY_STORE_TIMEOUT_MS: Millis = 7_000;
-/// Balancers that step in at the same moment for readers that have fallen silent, the best ones first. Where
-/// all did, calls and beacons would grow with the fleet, and with its square.
+/// Balancers that take over at the same moment from readers that stopped responding, highest rank
+/// first. If all of them did, calls would grow with the size of the fleet, and beacons with its
+/// square.
 const TAKEOVERS_AT_ONCE: usize = 4;
-/// Time after which the next ones step in: they hear of the first by then.
+/// Delay until the next group takes over. By then it has received beacons of the first group.
 const TAKEOVER_STEP_MS: Millis = 300;
-/// Longest time that a balancer waits longer than the first.
+/// Maximum delay of a takeover relative to the first group.
 const TAKEOVER_DELAY_MAX_MS: Millis = 600;
-/// Longest time for which a balancer that has started waits for others that read for it. Those of the best
-/// ranks go on reading.
+/// Maximum time for which a balancer that has started waits for others that read on its behalf.
+/// Balancers of the highest ranks go on reading.
 const INITIAL_READ_DELAY_MAX_MS: Millis = 500;
-/// Balancers that are asked at a time for what a reader has no time to give.
+/// Balancers that are asked at a time for what a reader has no time to provide.
 const FALLBACK_PEERS: usize = 3;
-/// Most balancers that are remembered.
+/// Maximum number of balancers remembered.
 const PEERS_MAX: usize = 4_096;
 
-/// What a balancer does about the configuration service.
+/// What a balancer does with regard to the configuration service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReaderRole {
-    /// It watches closely, and notices soon when an answer is missing.
+    /// Watches closely, and soon notices a missing answer.
     Primary,
-    /// It hears of changes at once too, but makes a call in some seconds only. It is there so that
-    /// a first reader that is paused or cut off leaves no gap.
+    /// Learns of changes at once too, but makes only one call every few seconds. It bridges the gap
+    /// when the primary is paused or cut off.
     Secondary,
-    /// Others read.
+    /// Relies on other readers.
     Follower,
 }
 
-/// What a balancer knows, in short: equal digests are equal contents.
+/// Summary of what a balancer knows. Equal digests mean equal contents.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
     /// Revision of the configuration service.
@@ -89,12 +93,12 @@
     pub upstreams_digest: u64,
 }
 
-/// What follows from a beacon.
+/// Result of comparing a received summary with the balancer's own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
-    /// The sender knows nothing newer.
+    /// The sender has nothing newer.
     NotNewer,
-    /// The sender is ahead, and its contents are ours.
+    /// The sender is ahead, but has the same contents.
     Same,
     /// The sender is ahead, and its view should be fetched.
     Fetch,
@@ -106,7 +110,7 @@
     at_ms: Millis,
 }
 
-/// Other balancers, as one of them knows them.
+/// The other balancers, as seen by one of them.
 #[derive(Clone, Debug)]
 pub struct Peers {
     own: Ipv4Addr,
@@ -116,14 +120,14 @@
     started_ms: Option<Millis>,
     last_hello_ms: Millis,
     last_beacon_ms: Millis,
-    /// Where among the known balancers the answer to the next hello begins.
+    /// Index into the known balancers at which the reply to the next hello starts.
     next_in_reply: usize,
-    /// Where among the known balancers the next ones begin that are asked beside a reader.
+    /// Index into the known balancers at which the next fallback peers start.
     next_fallback: usize,
 }
 
 impl Peers {
-    /// A balancer at `own` that knows nobody.
+    /// Creates the state of a balancer at `own` that knows no others.
     pub fn new(own: Ipv4Addr) -> Self {
         let (known, readers) = (Vec::new(), Vec::new());
         Self {
@@ -135,26 +139,26 @@
             last_hello_ms: 0,
             last_beacon_ms: 0,
             next_in_reply: 0,
-            // Others elsewhere for each balancer.
+            // Start at another position for each balancer.
             next_fallback: rank(own) as usize,
         }
     }
 
-    /// Takes a hello, and returns balancers that its sender should know: all, or in turn as many as
-    /// fit.
+    /// Handles a hello, and returns balancers that its sender should know: all, or as many as fit,
+    /// in rotation.
     pub fn on_hello(&mut self, now_ms: Millis, from: Ipv4Addr) -> Vec<Ipv4Addr> {
         self.note(now_ms, from);
         let others = self.alive(now_ms).filter(|address| *address != from).collect();
         round_robin(others, &mut self.next_in_reply, PEERS_PER_REPLY_MAX)
     }
 
-    /// Takes the list of balancers that another one knows.
+    /// Handles a list of balancers that another balancer knows.
     pub fn on_peers(&mut self, now_ms: Millis, from: Ipv4Addr, peers: &[Ipv4Addr]) {
         self.note(now_ms, from);
         peers.iter().for_each(|peer| self.note(now_ms, *peer));
     }
 
-    /// Takes a beacon, and compares what its sender knows with what this balancer knows.
+    /// Handles a beacon, and compares its summary with what this balancer knows.
     pub fn on_beacon(
         &mut self,
         now_ms: Millis,
@@ -166,7 +170,7 @@
         self.compare(now_ms, from, theirs, ours)
     }
 
-    /// Compares what another balancer knows, reader or not, with what this balancer knows.
+    /// Compares the summary of another balancer, reader or not, with what this balancer knows.
     pub fn compare(
         &mut self,
         now_ms: Millis,
@@ -175,7 +179,8 @@
         ours: Summary,
     ) -> Comparison {
         self.note(now_ms, from);
-        // An older version in force there must not come back here, whatever the revision says.
+        // An older routes version that is in force there must not be adopted here again, whatever
+        // the revision.
         if theirs.revision <= ours.revision || theirs.routes_version < ours.routes_version {
             return Comparison::NotNewer;
         }
@@ -189,8 +194,8 @@
         self.store_answered_ms = Some(now_ms);
     }
 
-    /// Notes that a call to the configuration service has failed: until the next answer, this balancer
-    /// does not pose as a reader.
+    /// Notes that a call to the configuration service has failed. Until the next answer, this
+    /// balancer does not act as a reader.
     pub fn on_store_failure(&mut self) {
         self.store_answered_ms = None;
     }
@@ -200,11 +205,11 @@
         self.reader_role(now_ms) != ReaderRole::Follower
     }
 
-    /// What this balancer has to do about the configuration service.
+    /// The role of this balancer with regard to the configuration service.
     pub fn reader_role(&self, now_ms: Millis) -> ReaderRole {
         let current = self.higher_ranked_readers(now_ms, READER_TIMEOUT_MS);
         let recent = self.higher_ranked_readers(now_ms, READER_TIMEOUT_MS + TAKEOVER_DELAY_MAX_MS);
-        // Where no reader has just fallen silent, it does not matter whose turn it is.
+        // Unless a reader has just stopped responding, the order of takeovers does not matter.
         let better = if current == recent {
             current
         } else {
@@ -217,14 +222,15 @@
         }
     }
 
-    /// Number of readers of better rank that were current within this time.
+    /// Number of readers of higher rank that sent a beacon within this time.
     fn higher_ranked_readers(&self, now_ms: Millis, within_ms: Millis) -> usize {
         let own = rank(self.own);
         let current = |reader: &&Contact| now_ms.saturating_sub(reader.at_ms) < within_ms;
         self.readers.iter().filter(current).filter(|reader| rank(reader.address) < own).count()
     }
 
-    /// How much longer than the best ones this balancer waits before it takes a silent reader's place.
+    /// How much longer than the highest ranks this balancer waits before it replaces an
+    /// unresponsive reader.
     fn takeover_delay_ms(&self, now_ms: Millis) -> Millis {
         let own = rank(self.own);
         let better = self.alive(now_ms).filter(|address| rank(*address) < own).count();
@@ -232,15 +238,15 @@
         (turn * TAKEOVER_STEP_MS).min(TAKEOVER_DELAY_MAX_MS)
     }
 
-    /// How long this balancer waits after it has started and read for the first time, before it reads on:
-    /// nothing when it is of the best rank, longest when it is of the worst.
+    /// How long this balancer pauses between its first read after the start and further reads: zero
+    /// for the highest rank, longest for the lowest.
     pub fn initial_read_delay_ms(&self) -> Millis {
         let share = rank(self.own) >> 32;
         (share * INITIAL_READ_DELAY_MAX_MS) >> 32
     }
 
-    /// Whom to send a hello now, if it is time: the given instances, and the readers. A balancer that
-    /// is `has_no_view` knows nothing yet.
+    /// Returns the balancers to send a hello to if one is due: the configured instances and the
+    /// readers. `has_no_view` states that this balancer knows nothing yet.
     pub fn hellos_due(
         &mut self,
         now_ms: Millis,
@@ -269,13 +275,14 @@
         targets
     }
 
-    /// A few other balancers, others each time, that may have what a reader has no time to give.
+    /// Returns a few other balancers, different ones each time, that may have what a reader has no
+    /// time to provide.
     pub fn fallback_peers(&mut self, now_ms: Millis) -> Vec<Ipv4Addr> {
         let others = self.alive(now_ms).collect();
         round_robin(others, &mut self.next_fallback, FALLBACK_PEERS)
     }
 
-    /// Whom to send a beacon now, if it is time or something has changed.
+    /// Returns the balancers to send a beacon to, if one is due or something has changed.
     pub fn beacons_due(&mut self, now_ms: Millis, changed: bool) -> Vec<Ipv4Addr> {
         let due = changed || now_ms.saturating_sub(self.last_beacon_ms) >= BEACON_MS;
         if !due || !self.acts_as_reader(now_ms) {
@@ -286,7 +293,8 @@
         self.alive(now_ms).collect()
     }
 
-    /// Whether others may rely on this balancer: it reads, and the configuration service answers it.
+    /// Whether others may rely on this balancer: it reads, and the configuration service answers
+    /// it.
     pub fn acts_as_reader(&self, now_ms: Millis) -> bool {
         let timeout_ms = match self.reader_role(now_ms) {
             ReaderRole::Primary => PRIMARY_STORE_TIMEOUT_MS,
@@ -324,7 +332,7 @@
     }
 }
 
-/// As many of them as may be, beginning where the last ones ended.
+/// Returns at most `most` of the balancers, starting where the previous call ended.
 fn round_robin(mut others: Vec<Ipv4Addr>, next: &mut usize, most: usize) -> Vec<Ipv4Addr> {
     if others.len() > most {
         let first = *next % others.len();
@@ -342,7 +350,8 @@
     }
 }
 
-/// Order in which balancers read; hashed, so that readers are not all in the zone numbered first.
+/// Rank for reading; the smallest value ranks highest. It is a hash, so that readers are not all in
+/// the zone with the lowest addresses.
 fn rank(address: Ipv4Addr) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write_u32(address.to_bits());
--- a/crates/steering/src/policy/mod.rs
+++ b/crates/steering/src/policy/mod.rs
@@ -1,39 +1,41 @@
-//! Which mechanisms decide. All do, unless one is switched off by its name to see what it is worth.
+//! The set of active mechanisms. All are active unless one is switched off by name to measure its
+//! effect.
 
 /// The mechanisms of balancers and agents that can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// Agents let requests wait beside a busy upstream.
+    /// Agents queue requests beside a busy upstream.
     pub waiting: bool,
-    /// Of those that wait, the newest that can be on time goes first.
+    /// Of the queued requests, the newest that can still be on time goes first.
     pub deadline_order: bool,
-    /// Of those that wait, urgent ones go first.
+    /// Of the queued requests, urgent ones go first.
     pub priority: bool,
-    /// A request counts from its last packet on.
+    /// A request counts as in progress only from its last packet on.
     pub upload_accounting: bool,
-    /// Agents say at once whether their upstream holds a flow.
+    /// Agents report at once whether their upstream holds a flow.
     pub ownership_reply: bool,
     /// Reported load decides among the first ranks.
     pub load: bool,
-    /// Among upstreams with the same load, one in the balancer's own availability zone is chosen.
+    /// Among upstreams with the same load, one in the balancer's own availability zone is
+    /// preferred.
     pub zone_affinity: bool,
-    /// Agents that say nothing to anybody get few packets, and count as out of reach after a while.
+    /// Agents that reply to nobody get few packets, and count as unreachable after a while.
     pub reach: bool,
-    /// Agents that owe a word are asked whether they live.
+    /// Agents that owe a reply are probed.
     pub pings: bool,
-    /// Upstreams that were silent are passed over.
+    /// Upstreams that were unresponsive are passed over.
     pub suspicion: bool,
-    /// Packets that nobody has answered are sent once more.
+    /// Unanswered packets are sent once more.
     pub repeats: bool,
     /// Repeated packets go to several upstreams.
     pub copies: bool,
-    /// A balancer's own packets are bounded.
+    /// The number of packets that a balancer sends on its own account is limited.
     pub budget: bool,
-    /// Nothing is repeated while the process is behind.
+    /// Nothing is repeated while the process lags behind.
     pub lag: bool,
     /// A balancer that cannot keep up leaves the rotation.
     pub rotation: bool,
-    /// Bodies yield before a balancer's link is full.
+    /// Bodies are dropped before a balancer's link is full.
     pub link: bool,
 }
 
@@ -83,7 +85,7 @@
 }
 
 impl Policy {
-    /// The policy without one mechanism; `None` if there is none of that name.
+    /// The policy without one mechanism; `None` if there is no mechanism of that name.
     ///
     /// ```
     /// use steering::policy::Policy;
--- a/crates/steering/src/rank/mod.rs
+++ b/crates/steering/src/rank/mod.rs
@@ -1,7 +1,8 @@
-//! Rendezvous hashing: in which order the upstreams of a service are asked for a flow.
+//! Rendezvous hashing: the order in which the upstreams of a service are asked for a flow.
 //!
-//! All balancers compute the same order from the same membership, so one without memory finds most
-//! flows at the first ranks. A change of one upstream moves only the flows that it wins or loses.
+//! All balancers compute the same order from the same membership, so a balancer without state finds
+//! most flows at the first ranks. When one upstream changes, only the flows that it gains or loses
+//! move.
 
 use std::hash::Hasher as _;
 use std::net::Ipv4Addr;
@@ -10,7 +11,7 @@
 
 use crate::flow::FlowKey;
 
-/// Score of an upstream for a flow; the largest comes first.
+/// Score of an upstream for a flow; the largest ranks first.
 ///
 /// ```
 /// use steering::{flow::FlowKey, rank};
@@ -27,7 +28,7 @@
     hasher.finish()
 }
 
-/// Hash of a flow alone, for choices by weight.
+/// Hash of a flow alone, for weighted choices.
 pub fn flow_hash(flow: FlowKey) -> u64 {
     flow_hasher(flow).finish()
 }
--- a/crates/steering/src/rotation/mod.rs
+++ b/crates/steering/src/rotation/mod.rs
@@ -1,49 +1,52 @@
-//! When a balancer that cannot keep up asks to be left out.
+//! Decides when an overloaded balancer asks to be taken out of rotation.
 //!
-//! The fabric gives all balancers of an availability zone the same share, whatever their links and
-//! processors bear. A link that is full drops every other packet, so all flows of that share are
-//! late, while neighbours have room. Each change of the rotation moves nearly every flow of the zone, so
-//! leaving and coming back must be rare.
+//! The fabric gives all balancers of an availability zone the same share, whatever the capacity of
+//! their links and processors. A full link drops every other packet, so all flows of that share are
+//! late while neighbours have capacity left. Each change of the rotation moves nearly every flow of
+//! the zone, so leaving and returning must be rare.
 //!
-//! Where fewer than half of a zone's balancers take part, the fabric uses all of them, dead ones too.
-//! One that stays outside and gets callers' packets all the same is needed, and comes back at once.
+//! While fewer than half of a zone's balancers are in rotation, the fabric uses all of them,
+//! including those that have failed. A balancer that is out of rotation and still gets callers'
+//! packets is needed, and returns at once.
 
 use crate::flow::Millis;
 
-/// Share of its link above which a balancer leaves, in percent. Bodies come in bursts, and a link that
-/// is two thirds full on average is over full in every other half second.
+/// Share of its link above which a balancer leaves, in percent. Bodies come in bursts, and a link
+/// that is two thirds full on average is overfull in every other half second.
 const LINK_PERCENT_MAX: u64 = 70;
-/// Behind by this much, requests are late or repeated: callers repeat data after 200 ms.
+/// With this much lag, requests are late or repeated: callers repeat data after 200 ms.
 const LAG_MAX_MS: Millis = 100;
-/// Time over which the traffic is taken: longer than a burst of a few bodies.
+/// Window over which traffic is measured, longer than a burst of a few bodies.
 const WINDOW_MS: Millis = 1_000;
-/// Windows one after the other in which it must be overloaded. A burst or a pause passes sooner.
+/// Number of consecutive windows in which the balancer must be overloaded. A burst or a pause
+/// passes sooner.
 const OVERLOADED_WINDOWS: u32 = 3;
-/// First absence outside: long enough for the flows that moved to be worth it.
+/// First time out of rotation, long enough to be worth moving the flows.
 const ABSENCE_MIN_MS: Millis = 30_000;
-/// Longest absence outside; each one is twice as long as the one before, so that an instance that is too
-/// weak for its share stops trying.
+/// Maximum time out of rotation. Each absence is twice as long as the previous one, so that an
+/// instance that is too weak for its share stops trying.
 const ABSENCE_MAX_MS: Millis = 960_000;
-/// After this time outside, the fabric has missed two probes and sends nothing, unless it must.
+/// Time after leaving by which the fabric has seen two failed probes, and sends nothing unless it
+/// has to.
 const SETTLED_MS: Millis = 1_600;
-/// Callers' packets that have come this lately show that the fabric sends.
+/// Packets from callers within this time show that the fabric sends to this balancer.
 const RECENT_PACKET_MS: Millis = 100;
 
-/// What a balancer sees of its own load.
+/// A balancer's own load.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// How far it is lagged.
+    /// How far the process lags behind.
     pub lag_ms: Millis,
-    /// Bytes that it has received so far.
+    /// Bytes received since the start.
     pub received_bytes: u64,
-    /// Time since the last packet of a caller.
+    /// Time since the last packet from a caller.
     pub since_last_packet_ms: Millis,
 }
 
-/// Whether a balancer takes part.
+/// Whether a balancer is in rotation.
 #[derive(Clone, Copy, Debug)]
 pub struct Rotation {
-    /// Bytes that its link takes in a second; zero if not known.
+    /// Capacity of the link in bytes per second; zero if unknown.
     link_bytes_per_s: u64,
     window_start_ms: Millis,
     window_start_bytes: u64,
@@ -60,7 +63,8 @@
 }
 
 impl Rotation {
-    /// A balancer that takes part, lagged a link of so many megabits a second; zero if not known.
+    /// Creates a balancer in rotation behind a link with this many megabits per second; zero if
+    /// unknown.
     pub fn new(link_mbps: f64) -> Self {
         Self {
             link_bytes_per_s: (link_mbps * 1e6 / 8.0) as u64,
@@ -73,7 +77,7 @@
         }
     }
 
-    /// Takes the load of the moment, and says whether the balancer takes part.
+    /// Updates the load, and returns whether the balancer is in rotation.
     ///
     /// ```
     /// use steering::rotation::{Load, Rotation};
--- a/crates/steering/src/side/admission.rs
+++ b/crates/steering/src/side/admission.rs
@@ -1,8 +1,8 @@
-//! Which openings an agent gives back untried: those for an upstream that takes no new flows, and
-//! those beyond what a cold one bears.
+//! Decides which openings an agent returns without passing them to the upstream: those for an
+//! upstream that accepts no new flows, and those that exceed the rate limit of a cold one.
 //!
-//! Load pattern: all balancers see an upstream come back at the same moment, cold and idle, and each
-//! sends it new flows. Only the agent sees the sum.
+//! When an upstream comes back, cold and idle, all balancers see it at the same moment and each
+//! sends it new flows. Only the agent sees the total.
 
 use std::collections::VecDeque;
 
@@ -10,40 +10,41 @@
 use super::votes::{Validity, Votes};
 use crate::flow::Millis;
 
-/// Votes on whether the upstream takes new flows; balancers in touch learn of a change sooner.
+/// How long votes on whether the upstream accepts new flows count. Balancers that are in contact
+/// learn of a change sooner than this.
 const LEAVING_VALIDITY: Validity = Validity { yes_ms: 2_000, no_ms: 2_000 };
-/// Votes on whether the upstream is cold. Balancers that were told to come later say nothing until
-/// then.
+/// How long votes on whether the upstream is cold count. A balancer whose opening was refused with
+/// a retry delay sends no vote until the delay has passed.
 const COLD_VALIDITY: Validity = Validity { yes_ms: 5_000, no_ms: 2_000 };
-/// How long an upstream that may just have started counts as cold without a balancer's vote.
+/// How long an upstream that may just have started counts as cold without a vote from a balancer.
 const RESTART_SUSPECTED_MS: Millis = 2_000;
-/// Shortest span in which openings are counted.
+/// Shortest window over which openings are counted.
 const WINDOW_MIN_MS: Millis = 1_000;
-/// Openings remembered at most; no upstream bears more while it is cold.
+/// Maximum number of recorded admissions. No upstream can handle more while it is cold.
 const ADMITTED_MAX: usize = 1_024;
 
-/// Why an opening goes back.
+/// Why an opening is returned to the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Refusal {
-    /// The upstream takes no new flows.
+    /// The upstream accepts no new flows.
     NotAccepting,
-    /// It is cold, and bears no further one for so long.
+    /// The upstream is cold and accepts no further opening for this long.
     RateLimited { for_ms: Millis },
 }
 
-/// What balancers say of the upstream, and the openings that it took lately.
+/// The balancers' votes on the upstream, and its recent admissions.
 #[derive(Debug)]
 pub(super) struct Admission {
     leaving: Votes,
     cold: Votes,
     /// Until when the upstream may be cold without any balancer knowing.
     restart_suspected_until_ms: Millis,
-    /// Whether the upstream has said anything since the process started.
+    /// Whether any packet from the upstream has arrived since this process started.
     upstream_seen: bool,
     admitted_ms: VecDeque<Millis>,
-    /// Openings given back that were told to come later.
+    /// Number of openings that were refused with a retry delay.
     deferred: usize,
-    /// Since when openings are counted.
+    /// Since when this process has counted all openings.
     counted_since_ms: Option<Millis>,
 }
 
@@ -62,7 +63,7 @@
 }
 
 impl Admission {
-    /// Notes that the process runs, and from when on it sees all openings.
+    /// Notes that the process is running. From the first call on, it sees all openings.
     pub(super) fn start_counting(&mut self, now_ms: Millis) {
         if self.counted_since_ms.is_none() {
             self.counted_since_ms = Some(now_ms);
@@ -70,13 +71,14 @@
         }
     }
 
-    /// Notes that the upstream may just have started: lists name its earlier life for a while.
+    /// Notes that the upstream may just have started. Published lists show its previous incarnation
+    /// for a while.
     pub(super) fn suspect_restart(&mut self, now_ms: Millis) {
         self.restart_suspected_until_ms = now_ms + RESTART_SUSPECTED_MS;
     }
 
-    /// Notes that the upstream has said something. One that is first upstream_seen right after this process has
-    /// started may have started after it.
+    /// Notes a packet from the upstream. If the first one arrives shortly after this process has
+    /// started, the upstream may have started after it.
     pub(super) fn note_upstream_activity(&mut self, now_ms: Millis) {
         let first = !std::mem::replace(&mut self.upstream_seen, true);
         if first && now_ms < self.restart_suspected_until_ms {
@@ -84,12 +86,13 @@
         }
     }
 
-    /// Takes a balancer's vote, which comes with any packet.
+    /// Records a balancer's vote on whether the upstream accepts new flows; every packet carries
+    /// one.
     pub(super) fn record_acceptance_vote(&mut self, now_ms: Millis, metadata: &ForwardMetadata) {
         self.leaving.record(now_ms, metadata.balancer, metadata.refuses_new_flows);
     }
 
-    /// Whether an opening may go to the upstream; one that may counts as taken.
+    /// Decides whether an opening may go to the upstream, and counts it if so.
     pub(super) fn admit(
         &mut self,
         now_ms: Millis,
@@ -117,14 +120,15 @@
         Ok(())
     }
 
-    /// More than half of the balancers upstream_seen lately say so: one that is cut off must neither close an
-    /// upstream nor open it.
+    /// Requires a majority of the balancers that voted recently: a single balancer that is cut off
+    /// must neither close an upstream nor open it.
     fn is_leaving(&mut self, now_ms: Millis) -> bool {
         let (yes, all) = self.leaving.count(now_ms);
         2 * yes > all
     }
 
-    /// A balancer that says so knows; one that does not may have an old view.
+    /// Believes a balancer that reports the upstream as cold. One that does not may have an
+    /// outdated view.
     fn is_cold(&mut self, now_ms: Millis, metadata: &ForwardMetadata) -> bool {
         self.cold.record(now_ms, metadata.balancer, metadata.cold);
         let (yes, all) = self.cold.count(now_ms);
@@ -138,8 +142,8 @@
         }
     }
 
-    /// How long the upstream is full. Each opening that is given back gets a place of its own among
-    /// those that come later, so that the next one taken meets one balancer, not all.
+    /// How long the upstream stays at its limit. Each refused opening gets a retry time of its own,
+    /// so that the next free admission is contended by one balancer instead of all of them.
     fn at_limit_for(&self, now_ms: Millis, count: usize, window_ms: Millis) -> Millis {
         let Some(surplus) = self.admitted_ms.len().checked_sub(count) else { return 0 };
         let admitted_ms = self.admitted_ms[surplus + self.deferred % count];
@@ -147,7 +151,8 @@
         (admitted_ms + (1 + rounds) * window_ms + 1).saturating_sub(now_ms)
     }
 
-    /// How long openings may still count that this process's predecessor took.
+    /// How long admissions by the previous incarnation of this process may still count towards the
+    /// limit.
     fn unknown_admissions_for(&self, now_ms: Millis) -> Millis {
         let until_ms =
             self.counted_since_ms.map_or(0, |counted_since_ms| counted_since_ms + WINDOW_MIN_MS);
@@ -155,8 +160,8 @@
     }
 }
 
-/// Openings, and the span in which there may be so many: a second, or longer where an upstream
-/// bears less than one a second.
+/// Number of openings and the length of the window in which they are allowed: one second, or longer
+/// if the upstream can handle less than one opening per second.
 fn window(per_ks: u32) -> (usize, Millis) {
     let count = (per_ks / 1_000).clamp(1, ADMITTED_MAX as u32);
     let window_ms = u64::from(count) * 1_000_000 / u64::from(per_ks);
--- a/crates/steering/src/side/flow.rs
+++ b/crates/steering/src/side/flow.rs
@@ -1,38 +1,39 @@
-//! What an agent knows of a flow, from the packets of both ends.
+//! What an agent knows about a flow from the packets of both ends.
 
 use std::net::Ipv4Addr;
 
 use super::types::Answer;
 use crate::flow::{Millis, Segment};
 
-/// How far apart two packets of an upstream may be that follow each other: 16 may be under way, one
-/// that is sent again may be as far behind the first of these, and one more ends the flow.
+/// Largest distance between two consecutive packets from an upstream: 16 packets may be in flight,
+/// a retransmitted one may be as far behind the first of these, and one more number ends the flow.
 const IN_FLIGHT_BYTES: u32 = 2 * 16 * 1_200 + 1;
-/// When callers send their openings: the first one, and its copies.
+/// When callers send an opening and its copies, relative to the first one.
 const OPENING_OFFSETS_MS: [Millis; 3] = [0, 200, 600];
 
 #[derive(Debug, Default)]
 pub(super) struct Flow {
     pub(super) report_to: Option<Ipv4Addr>,
-    /// Its opening, until the first request on it is answered.
+    /// The flow's opening, until the first request on the flow is answered.
     pub(super) opening: Option<Opening>,
-    /// Whether its requests go before others.
+    /// Whether the flow's requests take precedence over others.
     pub(super) urgent: bool,
-    /// What the upstream has sent on it; nothing if it may not hold it.
+    /// Sequence numbers that the upstream has sent on the flow; `None` if it may not hold the flow.
     pub(super) sent: Option<SentRange>,
-    /// When it last answered a request on it.
+    /// When the upstream last answered a request on the flow.
     pub(super) answered_ms: Option<Millis>,
-    /// Number after the last data seen.
+    /// Sequence number after the last request data seen.
     pub(super) next_sequence: Option<u32>,
     pub(super) busy_since_ms: Option<Millis>,
     pub(super) seen_ms: Millis,
 }
 
-/// An opening that tells when its caller began.
+/// An opening, which shows how long its caller has been waiting.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Opening {
     pub(super) seen_ms: Millis,
-    /// How old it was when it was seen: this process may have started after the caller began.
+    /// Age of the opening when it was seen: this process may have started after the caller sent the
+    /// first copy.
     pub(super) age_ms: Millis,
 }
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// Numbers of what an upstream has sent on a flow.
+/// Range of sequence numbers that an upstream has sent on a flow.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentRange {
     first: u32,
@@ -50,16 +51,18 @@
 }
 
 impl SentRange {
-    /// Whether this is the number of something that was sent, or of what comes next.
+    /// Whether the number lies in the range or is the next one to be sent.
     pub(super) fn covers(self, acknowledged: u32) -> bool {
         acknowledged.wrapping_sub(self.first) <= self.next.wrapping_sub(self.first)
     }
 }
 
 impl Flow {
-    /// An agent that did not see the opening has not seen what was under way before, nor what
-    /// overtook the packet at hand: upstreams send the packets of one answer in any order, and its
-    /// last one ends what is known of the flow.
+    /// Extends the range of sent numbers by a packet from the upstream.
+    ///
+    /// An agent that did not see the opening has seen neither the packets that were in flight
+    /// before this one nor those that this one overtook. Upstreams send the packets of an answer in
+    /// any order, and the last packet of a flow discards the flow's state.
     pub(super) fn note_sent(&mut self, answer: &Answer) {
         let counted = u32::from(answer.data_bytes) + u32::from(answer.opening || answer.last);
         let next = answer.sequence.wrapping_add(counted);
@@ -75,8 +78,9 @@
         }
     }
 
-    /// Whether this data was handed on before: a caller repeats what it has no answer to, and an
-    /// answer may have crossed the repetition. Counted again, it would stay at work forever.
+    /// Whether this data was already passed on. A caller repeats data that has not been answered,
+    /// and the answer may cross the repetition. If the repetition were counted again, the request
+    /// would stay in progress forever.
     pub(super) fn has_seen(&self, segment: &Segment) -> bool {
         self.next_sequence
             .is_some_and(|next| (segment.next_sequence().wrapping_sub(next) as i32) <= 0)
@@ -87,7 +91,7 @@
     }
 }
 
-/// How long ago a caller has sent the first of its openings, going by the copy that has come.
+/// How long ago the caller sent the first copy of its opening, given the copy that has arrived.
 pub(super) fn opening_age_ms(copy: u32) -> Millis {
     let last = OPENING_OFFSETS_MS.len() - 1;
     OPENING_OFFSETS_MS[usize::try_from(copy).map_or(last, |copy| copy.min(last))]
--- a/crates/steering/src/side/mod.rs
+++ b/crates/steering/src/side/mod.rs
@@ -1,4 +1,5 @@
-//! An agent's decisions: what goes to its upstream, what goes back to a balancer, what to a caller.
+//! Decisions of an agent: which packets go to its upstream, which are returned to a balancer, and
+//! which go to a caller.
 
 mod admission;
 mod flow;
@@ -25,41 +26,45 @@
 };
 use work::ServiceTime;
 
-/// An upstream that has left packets unanswered for this long, without any packet of its own, counts
-/// as silent. It answers or returns a packet within a millisecond when it lives.
+/// An upstream that has left packets unanswered for this long, and has sent no other packet, counts
+/// as unresponsive. A running upstream answers or returns a packet within a millisecond.
 pub const UNRESPONSIVE_MS: Millis = 100;
-/// Openings that must be unanswered before an upstream counts as silent: one may get lost. Only an
-/// opening is answered or returned at once; an answer to data may take the whole time of the work.
+/// Unanswered openings after which an upstream counts as unresponsive; one may get lost. Only
+/// openings are answered or returned at once: an answer to data may take the whole service time.
 const UNRESPONSIVE_OPENINGS: u32 = 2;
-/// A pause of this process longer than this proves nothing about the upstream.
+/// After a pause of this process of this length or more, missing answers prove nothing about the
+/// upstream.
 const PAUSE_MS: Millis = 80;
-/// Flows remembered at most. An upstream holds 2,000.
+/// Maximum number of flows in the table. An upstream holds 2,000.
 const FLOWS_MAX: usize = 16_384;
-/// An upstream that lives keeps a flow for longer than this after its last packet on it; idle flows are
+/// A running upstream keeps a flow for longer than this after its last packet on it. Idle flows are
 /// closed after many seconds.
 const FLOW_KEPT_MIN_MS: Millis = 1_000;
-/// A flow without packets for this long is forgotten.
+/// A flow without packets for this long is removed from the table.
 const FLOW_IDLE_MS: Millis = 20_000;
-/// A request counts as at work for this long at most; answers that were lost must not stay counted.
+/// A request counts as in progress for at most this long, so that requests whose answers were lost
+/// do not stay counted.
 const BUSY_MAX_MS: Millis = 3_000;
-/// Pause between two looks for flows to forget.
+/// Interval between two sweeps of the flow table.
 const SWEEP_MS: Millis = 1_000;
-/// Requests handed to the upstream beyond its slots, so that a slot never waits for the next one.
+/// Requests passed to the upstream beyond its slots, so that a free slot never waits for its next
+/// request.
 const REQUESTS_BEYOND_SLOTS: u32 = 1;
-/// Data bytes of a full packet. More of the same request follows one, with round trips between, and
-/// the upstream begins its work with the last packet only.
+/// Data bytes of a full packet. A full packet is followed by more data of the same request, with
+/// round trips in between, and the upstream starts processing only with the last packet.
 const FULL_PACKET_BYTES: u16 = 1_200;
-/// Time that callers give an answer where nobody says so: the shortest that is known of any.
+/// Time within which callers expect an answer if the balancer does not know it: the shortest known
+/// for any caller.
 const SLO_DEFAULT_MS: Millis = 150;
-/// How many times that time callers wait where nobody says so.
+/// How many multiples of that time callers wait if the balancer does not know it.
 const WAIT_DEFAULT_SLOS: u8 = 6;
-/// Usual times of work left for a request that is handed on last: one that its caller gives up takes a
-/// slot for nothing.
+/// Mean service times that must be left before the caller gives up when a queued request is passed
+/// on. A request that its caller abandons occupies a slot for nothing.
 const RESERVED_SERVICE_TIMES: Millis = 3;
-/// The way of an answer to its caller.
+/// Network delay of an answer on its way to the caller.
 const NETWORK_DELAY_MS: Millis = 3;
 
-/// The state of an agent.
+/// State of an agent. It performs no I/O.
 pub struct AgentCore {
     service: ServiceStamp,
     policy: Policy,
@@ -77,12 +82,12 @@
 }
 
 impl AgentCore {
-    /// An agent beside an upstream of this service.
+    /// Creates an agent beside an upstream of this service.
     pub fn new(service: ServiceStamp) -> Self {
         Self::with_policy(service, Policy::default())
     }
 
-    /// The same with another policy.
+    /// Creates an agent with this policy.
     pub fn with_policy(service: ServiceStamp, policy: Policy) -> Self {
         Self {
             service,
@@ -101,8 +106,8 @@
         }
     }
 
-    /// Decides about a packet of a caller that a balancer sent here; `bytes` is the packet itself,
-    /// as it goes to the upstream.
+    /// Decides about a caller's packet that a balancer forwarded to this agent. `bytes` is the
+    /// packet as it is passed to the upstream.
     pub fn on_packet(
         &mut self,
         now_ms: Millis,
@@ -142,8 +147,8 @@
         PacketOutcome { delivery, report }
     }
 
-    /// Whether a packet may go to the upstream as far as it opens a flow; a copy of an opening that the
-    /// upstream has answered opens none.
+    /// Checks whether a packet may go to the upstream if it opens a flow. A copy of an opening that
+    /// the upstream has already answered opens none.
     fn admit(
         &mut self,
         now_ms: Millis,
@@ -176,24 +181,27 @@
         Delivery::Deliver
     }
 
-    /// Whether the upstream holds the flow of a later packet, as far as its own packets tell.
+    /// Whether the upstream holds the flow of a later packet, as far as the upstream's own packets
+    /// show.
     ///
-    /// The caller acknowledges a number of the upstream that it has chosen; one that holds the flow half
-    /// open takes its packets without a word. Closing packets go on in any case: they end what is known
-    /// here of an upstream's numbers.
+    /// The caller acknowledges a sequence number that the upstream holding its flow has chosen. An
+    /// upstream that holds the flow only half open accepts the caller's packets without a reply, so
+    /// the number has to be checked here. Closing packets are passed on in any case, because they
+    /// end what is known here of the upstream's sequence numbers.
     fn is_held_by_upstream(&self, segment: &Segment) -> Option<bool> {
         let sent = self.flows.get(&segment.flow)?.sent.filter(|_| self.policy.ownership_reply)?;
         let is_conclusive = segment.kind == SegmentKind::Later && !segment.last;
         is_conclusive.then(|| sent.covers(segment.acknowledged))
     }
 
-    /// Packets of the request that may go to the upstream now, if one may.
+    /// Removes the next queued request that may go to the upstream now, if any.
     pub fn next_released(&mut self, now_ms: Millis) -> Option<Released> {
         let closing = self.queue.take_closing(now_ms);
         let waiting = if let Some(closing) = closing {
             closing
         } else if self.unresponsive_for(now_ms).is_some() {
-            // What is silent frees no slot: the packets go on, so that the balancers learn of it.
+            // An unresponsive upstream frees no slots. Pass the packets on, so that the balancers
+            // learn that it does not respond.
             self.queue.take_any()?
         } else if self.has_slot() {
             if self.policy.deadline_order {
@@ -214,16 +222,18 @@
         Some(Released { packets: waiting.packets, waited_ms })
     }
 
-    /// Packets of the oldest request that waits, if any, whatever the upstream is doing: a process
-    /// that ends must not keep them.
+    /// Removes the oldest queued request, whatever the state of the upstream, and returns its
+    /// packets. A process that exits must not keep them.
     pub fn take_any_queued(&mut self) -> Option<Vec<Box<[u8]>>> {
         self.queue.take_any().map(|waiting| waiting.packets)
     }
 
-    /// Takes note of a packet that the upstream returned: it lives and does not hold the flow.
+    /// Handles a packet that the upstream returned: the upstream is running and does not hold the
+    /// flow.
     ///
-    /// An upstream keeps a flow whose request it has just answered: one that returns it has started
-    /// anew, and nothing of its earlier life is at work. An answer to an opening says less.
+    /// An upstream keeps a flow on which it has just answered a request. If it returns a packet of
+    /// such a flow, it has restarted, and no request to its previous incarnation is in progress. An
+    /// answer to an opening proves less.
     pub fn on_returned(&mut self, now_ms: Millis, flow: FlowKey) {
         self.note_running(now_ms);
         self.note_upstream_activity(now_ms);
@@ -236,7 +246,8 @@
         self.forget(flow);
     }
 
-    /// Takes note of a packet that the upstream sends to a caller, and says who is told.
+    /// Handles a packet that the upstream sends to a caller, and returns the report to send, if
+    /// any.
     pub fn on_answer(&mut self, now_ms: Millis, answer: Answer) -> AnswerOutcome {
         self.note_running(now_ms);
         self.note_upstream_activity(now_ms);
@@ -269,27 +280,28 @@
         }
     }
 
-    /// Takes note that a packet goes back to this balancer.
+    /// Notes that a packet or reply is sent to this balancer.
     pub fn note_reply_sent(&mut self, balancer: Ipv4Addr) {
         self.pending_replies.resolve(balancer);
     }
 
-    /// Balancers that have asked for a word a while ago, and are told now that this agent lives.
+    /// Removes and returns the balancers that asked for a report a while ago. They are to be
+    /// notified now that this agent is running.
     pub fn take_due_replies(&mut self, now_ms: Millis) -> Vec<Ipv4Addr> {
         self.pending_replies.take_due(now_ms)
     }
 
-    /// Notes that the process runs.
+    /// Notes that the process is running.
     pub fn on_tick(&mut self, now_ms: Millis) {
         self.note_running(now_ms);
     }
 
-    /// Whether something waits, so that the process must not sleep for long.
+    /// Whether anything is pending, so that the process must not sleep for long.
     pub fn has_pending_work(&self) -> bool {
         self.unanswered > 0 || self.queue.len() > 0 || !self.pending_replies.is_empty()
     }
 
-    /// Requests at work.
+    /// Number of requests in progress.
     pub fn busy(&self) -> u32 {
         self.busy
     }
@@ -299,8 +311,8 @@
         self.flows.len()
     }
 
-    /// After a pause of the process, the upstream's answers may still wait unread, and the time that
-    /// has passed says nothing about it.
+    /// Notes that the process is running. After a pause of the process, the upstream's answers may
+    /// still be unread, and the elapsed time proves nothing about the upstream.
     fn note_running(&mut self, now_ms: Millis) {
         if now_ms.saturating_sub(self.last_running_ms) >= PAUSE_MS {
             self.unanswered = 0;
@@ -312,8 +324,8 @@
         }
     }
 
-    /// Forgets old flows, and requests whose answers were lost: counted on, they would keep others
-    /// waiting beside an idle upstream.
+    /// Removes idle flows, and requests whose answers were lost. If these stayed counted, other
+    /// requests would be queued beside an idle upstream.
     fn sweep(&mut self, now_ms: Millis) {
         self.swept_ms = now_ms;
         self.queue.drop_abandoned(now_ms);
@@ -327,7 +339,8 @@
         self.busy = u32::try_from(busy).unwrap_or(u32::MAX);
     }
 
-    /// How long the upstream has been silent, if it has.
+    /// Counts a packet that awaits an answer, and returns how long the upstream has been
+    /// unresponsive, if it is.
     fn note_unanswered(&mut self, now_ms: Millis, kind: SegmentKind) -> Option<Millis> {
         let opening = matches!(kind, SegmentKind::Opening { .. });
         if self.unanswered == 0 {
@@ -337,7 +350,7 @@
         self.unresponsive_for(now_ms)
     }
 
-    /// What was silent and answers may have started anew.
+    /// Ends a period without answers. An upstream that answers after one may have restarted.
     fn note_upstream_activity(&mut self, now_ms: Millis) {
         if self.unresponsive_for(now_ms).is_some() {
             self.admission.suspect_restart(now_ms);
@@ -375,7 +388,7 @@
         }
     }
 
-    /// Whether data has to wait; if so, it was put into the queue.
+    /// Queues request data if no slot is free. Returns whether the data is queued.
     fn enqueue_if_no_slot(
         &mut self,
         now_ms: Millis,
@@ -442,7 +455,7 @@
         }
     }
 
-    /// Whether the upstream begins its work with this packet.
+    /// Whether the upstream starts processing a request with this packet.
     fn is_request_data(&self, segment: &Segment) -> bool {
         let is_continued = self.policy.upload_accounting && segment.data_bytes >= FULL_PACKET_BYTES;
         segment.kind == SegmentKind::Later && segment.data_bytes > 0 && !is_continued
--- a/crates/steering/src/side/pace.rs
+++ b/crates/steering/src/side/pace.rs
@@ -1,20 +1,22 @@
-//! Whether an upstream works more slowly than it used to.
+//! Detects that an upstream processes requests more slowly than before.
 
 use crate::flow::Millis;
 
-/// Weight of one answer in the short mean: about the last eight answers.
+/// Weight of one answer in the short-term mean, which covers about the last eight answers.
 const SHORT_WEIGHT: f64 = 1.0 / 8.0;
-/// Weight of one answer in the long mean: about the last 250, some seconds.
+/// Weight of one answer in the long-term mean, which covers about the last 250 answers, or some
+/// seconds.
 const LONG_WEIGHT: f64 = 1.0 / 250.0;
-/// Answers before anything is said: a starting upstream is slow by itself.
+/// Answers before the detector reports anything: an upstream that has just started is slow anyway.
 const ANSWERS_MIN: u32 = 50;
-/// An upstream turns slow when the short mean is this many times the long one. Works differ by half
-/// from each other, so means of eight by far less.
+/// The upstream counts as slow when the short-term mean exceeds the long-term mean by this factor.
+/// Single service times differ by half, means over eight answers by far less.
 const SLOW_FACTOR: f64 = 2.0;
-/// It is well again when the short mean is below this many times the long one.
+/// The upstream counts as recovered when the short-term mean is below this multiple of the
+/// long-term mean.
 const WELL_FACTOR: f64 = 1.25;
 
-/// Times from a request to the first packet of its answer.
+/// Short-term and long-term means of the time from a request to the first packet of its answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowdownDetector {
     short_ms: f64,
@@ -23,19 +25,20 @@
     slow: bool,
 }
 
-/// A change of pace.
+/// Reports that the upstream has become slow or has recovered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowdownChange {
     /// Whether the upstream is slow from now on.
     pub slow: bool,
-    /// Mean of the latest answers.
+    /// Short-term mean.
     pub recent_ms: Millis,
-    /// Mean before.
+    /// Long-term mean.
     pub usual_ms: Millis,
 }
 
 impl SlowdownDetector {
-    /// Takes the time of one answer, and tells when the upstream turns slow or is well again.
+    /// Records the service time of one answer, and returns a change if the upstream became slow or
+    /// recovered.
     pub fn record(&mut self, service_time_ms: Millis) -> Option<SlowdownChange> {
         let service_time_ms = service_time_ms as f64;
         if self.answers == 0 {
@@ -44,7 +47,7 @@
         self.answers = self.answers.saturating_add(1);
         self.short_ms += (service_time_ms - self.short_ms) * SHORT_WEIGHT;
         if !self.slow {
-            // What is usual is learnt while the upstream is well.
+            // The long-term mean is only updated while the upstream is not slow.
             let weight = LONG_WEIGHT.max(1.0 / f64::from(self.answers));
             self.long_ms += (service_time_ms - self.long_ms) * weight;
         }
--- a/crates/steering/src/side/pending_replies.rs
+++ b/crates/steering/src/side/pending_replies.rs
@@ -1,26 +1,28 @@
 //! Balancers that wait for a reply.
 //!
-//! An agent that has just started does not know the flows on which its upstream works; one short word
-//! tells a balancer that it lives.
+//! An agent that has just started does not know the flows that its upstream is working on. A short
+//! reply tells the balancer that the agent is running.
 
 use std::net::Ipv4Addr;
 
 use crate::flow::Millis;
 
-/// Time without any word after which a balancer is told that this agent lives. Upstreams return at
-/// once what they do not hold, and balancers count an agent as quiet after three times as long.
+/// Time without any reply after which a balancer is notified that this agent is running. Upstreams
+/// return packets of flows that they do not hold at once, and balancers consider an agent
+/// unresponsive after three times as long.
 const REPLY_AFTER_MS: Millis = 50;
-/// Balancers remembered at most; the fleet is far smaller, and what is forged must cost no memory.
+/// Maximum number of balancers. The fleet is far smaller; the bound keeps forged addresses from
+/// using up memory.
 const BALANCERS_MAX: usize = 4_096;
 
-/// Balancers by address, and since when they wait.
+/// Waiting balancers sorted by address, and since when each waits.
 #[derive(Debug, Default)]
 pub(super) struct PendingReplies {
     balancers: Vec<(Ipv4Addr, Millis)>,
 }
 
 impl PendingReplies {
-    /// A balancer has asked for a word.
+    /// Notes that a balancer asked for a report.
     pub(super) fn expect(&mut self, now_ms: Millis, balancer: Ipv4Addr) {
         if let Err(index) = self.find(balancer)
             && self.balancers.len() < BALANCERS_MAX
@@ -29,14 +31,14 @@
         }
     }
 
-    /// A balancer gets a word.
+    /// Notes that a packet is sent to a balancer.
     pub(super) fn resolve(&mut self, balancer: Ipv4Addr) {
         if let Ok(index) = self.find(balancer) {
             self.balancers.remove(index);
         }
     }
 
-    /// Takes the balancers that have waited for long enough.
+    /// Removes and returns the balancers that have waited long enough.
     pub(super) fn take_due(&mut self, now_ms: Millis) -> Vec<Ipv4Addr> {
         let is_due = |(_, since_ms): &mut (Ipv4Addr, Millis)| {
             now_ms.saturating_sub(*since_ms) >= REPLY_AFTER_MS
@@ -44,7 +46,6 @@
         self.balancers.extract_if(.., is_due).map(|(balancer, _)| balancer).collect()
     }
 
-    /// Whether no balancer waits.
     pub(super) fn is_empty(&self) -> bool {
         self.balancers.is_empty()
     }
--- a/crates/steering/src/side/queue.rs
+++ b/crates/steering/src/side/queue.rs
@@ -1,69 +1,70 @@
-//! Requests that wait beside a busy upstream.
+//! Queue of requests beside a busy upstream.
 //!
-//! Load pattern: after an outage, all callers come at once, to upstreams that are cold. An upstream
-//! works off its own queue in the order of arrival; full of requests that are late already, it
-//! makes every new one late too. So it gets no more than it has slots for, and of those that wait
-//! the newest goes first while it can be on time, going by what its callers expect and by how long
-//! works take; those that are late follow, oldest first, when there is room. In both, urgent ones
-//! go before others. None is handed on for having waited long: it would delay the others. One whose
-//! caller must have given up is forgotten: worked on, it would take a slot from one that is
-//! awaited, whose caller then gives up too, and so on long after the load is gone.
+//! After an outage, all callers send requests at once, and the upstreams are cold. An upstream
+//! processes its own queue in order of arrival. Once that is full of requests that are already
+//! late, it makes every new request late too. Therefore the agent passes on only as many requests
+//! as the upstream has slots, and queues the rest.
+//!
+//! The newest request that can still be on time goes first, judged by the answer time that its
+//! caller expects and by the mean service time. Late requests follow, oldest first, when slots are
+//! free. In both groups, urgent requests take precedence. No request is passed on merely because it
+//! has waited long: that would delay the others. A request whose caller must have given up is
+//! dropped. Processing it would take a slot from a request that is still awaited, whose caller
+//! would then give up too, and so on long after the load has ended.
 
 use crate::flow::{FlowKey, Millis, Segment};
 
-/// Requests that wait at most; further ones go straight to the upstream's own queue.
+/// Maximum number of queued requests; further ones go straight to the upstream's own queue.
 const REQUESTS_MAX: usize = 256;
-/// Packets of one request kept at most; a caller has no more in flight.
+/// Maximum number of packets kept for one request; a caller has no more in flight.
 const PACKETS_MAX: usize = 16;
 
-/// A request with its packets in the order of arrival.
+/// A queued request with its packets in order of arrival.
 #[derive(Debug)]
 pub(super) struct QueuedRequest {
     pub(super) flow: FlowKey,
     pub(super) packets: Vec<Box<[u8]>>,
-    /// Number after the last data.
+    /// Sequence number after the last data.
     pub(super) next_sequence: u32,
     since_ms: Millis,
-    /// Started later, it is late; `None` if it is late whatever happens.
+    /// Latest start at which the answer is on time; `None` if it is late in any case.
     start_by_ms: Option<Millis>,
-    /// From then on, its caller has given up.
+    /// When the caller has given up.
     abandoned_from_ms: Millis,
-    /// Whether the caller has ended the flow with it.
+    /// Whether the caller has ended the flow with this request.
     closing: bool,
-    /// Whether it goes before others.
+    /// Whether the request takes precedence over others.
     urgent: bool,
 }
 
-/// Times of a request that waits.
+/// Times of a request to be queued.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Times {
     pub(super) now_ms: Millis,
-    /// Started later, it is late; `None` if it is late whatever happens.
+    /// Latest start at which the answer is on time; `None` if it is late in any case.
     pub(super) start_by_ms: Option<Millis>,
-    /// From then on, nobody awaits it.
+    /// When the caller has given up.
     pub(super) abandoned_from_ms: Millis,
 }
 
 impl QueuedRequest {
-    /// How long it has waited.
     pub(super) fn waited_ms(&self, now_ms: Millis) -> Millis {
         now_ms.saturating_sub(self.since_ms)
     }
 }
 
-/// Requests by arrival.
+/// Queued requests in order of arrival.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     requests: Vec<QueuedRequest>,
 }
 
 impl Queue {
-    /// Whether another request may wait.
+    /// Whether another request may be queued.
     pub(super) fn has_room(&self) -> bool {
         self.requests.len() < REQUESTS_MAX
     }
 
-    /// Adds a request.
     pub(super) fn push(&mut self, segment: &Segment, packet: &[u8], times: Times, urgent: bool) {
         let Times { now_ms, start_by_ms, abandoned_from_ms } = times;
         self.requests.push(QueuedRequest {
@@ -78,8 +79,9 @@
         });
     }
 
-    /// Adds a packet to a request that waits; says whether there is one. A packet that is there
-    /// already came again because its caller has no answer yet, and is not kept twice.
+    /// Adds a packet to the queued request of its flow, and returns whether there is one. A packet
+    /// that is already stored is a repetition by a caller without an answer, and is not stored
+    /// twice.
     pub(super) fn append(&mut self, segment: &Segment, packet: &[u8]) -> bool {
         let mut requests = self.requests.iter_mut();
         let Some(waiting) = requests.find(|waiting| waiting.flow == segment.flow) else {
@@ -94,8 +96,8 @@
         true
     }
 
-    /// Takes the request to be worked on next: the newest that can be on time, else the oldest, and in
-    /// both an urgent one if there is one.
+    /// Removes the request to be processed next: the newest that can still be on time, otherwise
+    /// the oldest. In both groups, urgent requests take precedence.
     pub(super) fn take_next(&mut self, now_ms: Millis) -> Option<QueuedRequest> {
         self.drop_abandoned(now_ms);
         let can_be_on_time =
@@ -111,9 +113,9 @@
         Some(self.requests.remove(index))
     }
 
-    /// Takes a request whose caller has given up and ended the flow with it, if there is one.
+    /// Removes a request whose caller has given up and ended the flow with it, if there is one.
     ///
-    /// The upstream must learn of the end; it comes once for each flow.
+    /// The upstream must learn that the flow has ended, and the end is sent once for each flow.
     pub(super) fn take_closing(&mut self, now_ms: Millis) -> Option<QueuedRequest> {
         let is_due =
             |waiting: &QueuedRequest| waiting.closing && now_ms >= waiting.abandoned_from_ms;
@@ -121,22 +123,21 @@
         Some(self.requests.remove(index))
     }
 
-    /// Takes whatever waits, oldest first.
+    /// Removes the oldest request, if any.
     pub(super) fn take_any(&mut self) -> Option<QueuedRequest> {
         (!self.requests.is_empty()).then(|| self.requests.remove(0))
     }
 
-    /// Forgets the requests whose callers must have given up, but for those that end their flows.
+    /// Drops requests whose callers must have given up, except for those that end their flows.
     pub(super) fn drop_abandoned(&mut self, now_ms: Millis) {
         self.requests.retain(|waiting| waiting.closing || now_ms < waiting.abandoned_from_ms);
     }
 
-    /// Forgets the request of a flow whose caller has given up.
+    /// Drops the request of a flow that the caller has given up.
     pub(super) fn remove_flow(&mut self, flow: FlowKey) {
         self.requests.retain(|waiting| waiting.flow != flow);
     }
 
-    /// Number of requests.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
--- a/crates/steering/src/side/types.rs
+++ b/crates/steering/src/side/types.rs
@@ -1,113 +1,119 @@
-//! What goes in and out of an agent's decisions.
+//! Inputs and outputs of an agent's decisions.
 
 use std::net::Ipv4Addr;
 
 use crate::flow::{FlowKey, Millis};
 use crate::view::ServiceStamp;
 
-/// What a balancer asks of a packet.
+/// Metadata that a balancer sends along with a forwarded packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ForwardMetadata {
-    /// The balancer.
+    /// The balancer that forwarded the packet.
     pub balancer: Ipv4Addr,
-    /// The service that the packet is meant for.
+    /// The service that the packet is addressed to.
     pub service: ServiceStamp,
-    /// Requests that the upstream works on at a time; zero if the balancer does not know.
+    /// Number of requests that the upstream processes concurrently; zero if the balancer does not
+    /// know.
     pub slots: u8,
-    /// Time within which the caller wants an answer; zero if the balancer does not know.
+    /// Time within which the caller expects an answer; zero if the balancer does not know.
     pub slo_ms: u32,
-    /// How many of these times the caller waits; zero if the balancer does not know.
+    /// How many multiples of `slo_ms` the caller waits before giving up; zero if the balancer does
+    /// not know.
     pub wait_slos: u8,
-    /// Whether the requests of the flow that is opened go before others.
+    /// Whether requests of the opened flow take precedence over others.
     pub urgent: bool,
-    /// Whether the balancer wants to know when the upstream answers.
+    /// Whether the balancer wants a report once the upstream answers.
     pub wants_report: bool,
-    /// Whether the balancer knows that the upstream takes no new flows.
+    /// Whether the balancer knows that the upstream accepts no new flows.
     pub refuses_new_flows: bool,
-    /// Openings that a cold upstream bears in a thousand seconds; zero if they are not limited.
+    /// Openings per 1,000 seconds that a cold upstream can handle; zero if they are not limited.
     pub limit_per_ks: u32,
     /// Whether the balancer knows that the upstream is cold.
     pub cold: bool,
 }
 
-/// What becomes of a balancer's packet.
+/// What the agent does with a packet from a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It goes to the upstream.
+    /// Forwards it to the upstream.
     Deliver,
-    /// It goes to the upstream, and back to the balancer, since the upstream has been silent.
+    /// Forwards it to the upstream and also returns it to the balancer, because the upstream is
+    /// unresponsive.
     DeliverUnresponsive {
-        /// How long.
+        /// How long the upstream has not responded.
         for_ms: Millis,
     },
-    /// It goes back to the balancer: it is meant for another service.
+    /// Returns it to the balancer: it is addressed to another service.
     Foreign {
         /// The service that the upstream runs.
         service: ServiceStamp,
     },
-    /// It goes back to the balancer: its caller has acknowledged a number of another upstream.
+    /// Returns it to the balancer: its caller has acknowledged a sequence number of another
+    /// upstream.
     NotHeld,
-    /// It goes back to the balancer: it opens a flow, and the upstream takes no new ones.
+    /// Returns it to the balancer: it opens a flow, and the upstream accepts no new flows.
     NotAccepting,
-    /// It goes back to the balancer: it opens a flow, and the upstream is cold and bears no further
-    /// one for so long.
+    /// Returns it to the balancer: it opens a flow, and the upstream is cold and has reached its
+    /// limit of openings.
     RateLimited {
-        /// How long.
+        /// How long the limit still applies.
         for_ms: Millis,
     },
-    /// It waits here until the upstream has room.
+    /// Queues it here until the upstream has a free slot.
     Queued,
 }
 
-/// What follows from a balancer's packet.
+/// Outcome of a packet from a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PacketOutcome {
-    /// What becomes of the packet.
+    /// What the agent does with the packet.
     pub delivery: Delivery,
-    /// The balancer that asked for the flow and is told at once that it is here.
+    /// Report to send at once, if the balancer asked for one and the upstream is known to hold the
+    /// flow.
     pub report: Option<Report>,
 }
 
-/// A packet of the upstream's, as far as it decides something.
+/// The parts of a packet from the upstream that affect decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The flow.
+    /// The flow it belongs to.
     pub flow: FlowKey,
     /// Number of data bytes.
     pub data_bytes: u16,
-    /// Whether the flow ends with it.
+    /// Whether it ends the flow.
     pub last: bool,
-    /// Number of its first byte.
+    /// Sequence number of its first byte.
     pub sequence: u32,
     /// Whether it answers an opening.
     pub opening: bool,
 }
 
-/// What follows from a packet of the upstream's.
+/// Outcome of a packet from the upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerOutcome {
-    /// Who is told.
+    /// Report to send to the balancer that asked for one.
     pub report: Option<Report>,
-    /// If the packet begins the answer to a request: the time since that was handed on.
+    /// If the packet begins the answer to a request, the time since the request was passed to the
+    /// upstream.
     pub service_time_ms: Option<Millis>,
 }
 
-/// A request that has waited and may go to the upstream now.
+/// A queued request that may now be passed to the upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Released {
-    /// Its packets in the order of arrival.
+    /// Its packets, in order of arrival.
     pub packets: Vec<Box<[u8]>>,
-    /// How long it has waited.
+    /// How long it was queued.
     pub waited_ms: Millis,
 }
 
-/// What a balancer is told beside the packet that goes to the caller.
+/// Report to a balancer, sent in addition to the packet that goes to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The balancer that asked.
+    /// The balancer that asked for the report.
     pub balancer: Ipv4Addr,
-    /// Requests at work.
+    /// Number of requests in progress at the upstream.
     pub busy: u8,
-    /// The number with which the upstream has answered the opening, if this is about one.
+    /// Sequence number of the upstream's answer to the opening, if the report concerns one.
     pub opening_sequence: Option<u32>,
 }
--- a/crates/steering/src/side/votes.rs
+++ b/crates/steering/src/side/votes.rs
@@ -1,10 +1,11 @@
-//! The last vote of each balancer on a question that a balancer with an old view answers wrongly.
+//! The latest vote of each balancer on a question that a balancer with an outdated view answers
+//! wrongly.
 
 use std::net::Ipv4Addr;
 
 use crate::flow::Millis;
 
-/// Balancers remembered at most: what is forged must cost no memory.
+/// Maximum number of balancers; the bound keeps forged addresses from using up memory.
 const BALANCERS_MAX: usize = 4_096;
 
 #[derive(Clone, Copy, Debug)]
@@ -14,14 +15,14 @@
     at_ms: Millis,
 }
 
-/// For how long a vote counts.
+/// How long a vote counts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Validity {
     pub(super) yes_ms: Millis,
     pub(super) no_ms: Millis,
 }
 
-/// Votes by balancer.
+/// Latest votes, sorted by balancer.
 #[derive(Debug)]
 pub(super) struct Votes {
     votes: Vec<Vote>,
@@ -29,12 +30,12 @@
 }
 
 impl Votes {
-    /// Nobody has said anything.
+    /// Creates an empty set of votes.
     pub(super) fn new(validity: Validity) -> Self {
         Self { votes: Vec::new(), validity }
     }
 
-    /// Takes a balancer's vote.
+    /// Records a balancer's vote, replacing its previous one.
     pub(super) fn record(&mut self, now_ms: Millis, balancer: Ipv4Addr, yes: bool) {
         let vote = Vote { balancer, yes, at_ms: now_ms };
         match self.votes.binary_search_by_key(&balancer, |vote| vote.balancer) {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// How many say yes, and how many say something.
+    /// Drops outdated votes, and returns the numbers of yes votes and of all votes.
     pub(super) fn count(&mut self, now_ms: Millis) -> (usize, usize) {
         let Validity { yes_ms, no_ms } = self.validity;
         let valid_ms = |vote: &Vote| if vote.yes { yes_ms } else { no_ms };
--- a/crates/steering/src/timeouts/mod.rs
+++ b/crates/steering/src/timeouts/mod.rs
@@ -1,33 +1,33 @@
-//! How long to wait for an answer of a service that may be silent, or only slow.
+//! Timeouts for a service that may be down or merely slow.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Wait for a service that answers in 4 ms when it is well.
+/// Timeout for a service that answers in 4 ms in normal operation.
 const SHORT: Duration = Duration::from_millis(150);
-/// Wait for one that is slow, and takes up to 75 times as long.
+/// Timeout for a slow service, which takes up to 75 times as long.
 const LONG: Duration = Duration::from_millis(600);
-/// Every which wait is a long one.
+/// Every third timeout is a long one.
 const LONG_EVERY: u32 = 3;
 
-/// Waits of one caller.
+/// Timeouts of one caller.
 ///
-/// Without any view, a caller cannot tell an outage from slowness. Long waits alone would find a
-/// service that returns half a second late, short ones alone would never hear one that is slow: so
-/// short ones alternate with a long one.
+/// Without any view, a caller cannot tell an outage from slowness. With long timeouts alone, it
+/// would notice half a second late that the service is back. With short ones alone, it would never
+/// get an answer from a slow service. Therefore short timeouts alternate with a long one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Timeouts {
     calls: u32,
 }
 
 impl Timeouts {
-    /// Waits that begin at another place for each caller, so that of many at least one makes a short
-    /// call at any moment.
+    /// Starts at a different position for each caller, so that of many callers at least one makes a
+    /// short call at any moment.
     pub fn staggered(caller: Ipv4Addr) -> Self {
         Self { calls: caller.to_bits() % LONG_EVERY }
     }
 
-    /// The next wait; `has_view` callers are not in a hurry.
+    /// The next timeout. Callers that have a view are not in a hurry and use the long one.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/steering/src/view/mod.rs
+++ b/crates/steering/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! What a balancer believes: routes, services and their upstreams, as immutable sorted tables.
+//! A balancer's view: routes, services and their upstreams, as immutable sorted tables.
 
 mod routes;
 
@@ -13,8 +13,8 @@
 
 pub use routes::{Route, RouteTable, RoutesDelta, Service, Share, WAIT_STEPS_SLOS, wait_slos};
 
-/// Identity of a service that packets carry between balancer and agent, so that an agent whose
-/// address was used by another service before never delivers that service's packets.
+/// Identity of a service, carried in packets between balancer and agent. An agent whose address
+/// previously belonged to another service thus never delivers packets of that service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceStamp(pub u32);
 
@@ -22,7 +22,7 @@
     /// Packets have room for three bytes.
     const MASK: u32 = 0xff_ffff;
 
-    /// The stamp of a service's name. Zero stands for no service and is never a stamp.
+    /// The stamp of a service's name. Zero stands for no service and is never returned.
     ///
     /// ```
     /// use steering::view::ServiceStamp;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Identity of an availability zone; zero if it is not known.
+/// Identity of an availability zone; zero if unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneStamp(pub u32);
 
@@ -99,23 +99,23 @@
     }
 }
 
-/// Whether an upstream takes new flows.
+/// Whether an upstream accepts new flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Takes new flows.
+    /// Accepts new flows.
     Ready,
-    /// Keeps its flows and takes no new ones.
+    /// Keeps its flows and accepts no new ones.
     Draining,
-    /// No longer listed, since that moment. Its flows may still live.
+    /// No longer listed. Its flows may still be open.
     Missing {
-        /// When the entry went.
+        /// When the entry disappeared.
         since_ms: Millis,
-        /// Whether it had announced that it leaves.
+        /// Whether the upstream had announced that it was draining.
         drained: bool,
     },
 }
 
-/// An upstream as balancers see it.
+/// An upstream as seen by balancers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Upstream {
     /// Address of its instance.
@@ -124,18 +124,18 @@
     pub service: ServiceStamp,
     /// Its availability zone.
     pub zone: ZoneStamp,
-    /// Whether it takes new flows.
+    /// Whether it accepts new flows.
     pub standing: Standing,
-    /// Until when it is slow after its start.
+    /// When its warm-up ends; until then it is slow.
     pub warm_at_ms: Millis,
-    /// Requests that it works on at a time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Start of its life by its own clock; tells lives apart, and nothing else.
+    /// Start of its incarnation by its own clock. Serves only to tell incarnations apart.
     pub born_ms: u64,
 }
 
 impl Upstream {
-    /// Whether it is slow after its start.
+    /// Whether it is still slow after its start.
     pub fn is_cold(&self, now_ms: Millis) -> bool {
         self.warm_at_ms > now_ms
     }
@@ -146,21 +146,21 @@
 pub struct View {
     /// Routes in force.
     pub routes: Arc<RouteTable>,
-    /// Revision of the configuration service that it was made of.
+    /// Revision of the configuration service from which the view was built.
     pub revision: u64,
-    /// Since when it is in force.
+    /// When the view came into force.
     pub since_ms: Millis,
     upstreams: Vec<Upstream>,
-    /// Positions in `upstreams`, by address.
+    /// Indexes into `upstreams`, sorted by address.
     by_address: Vec<(Ipv4Addr, usize)>,
-    /// In order.
+    /// Sorted.
     closed_zones: Vec<ZoneStamp>,
     regions: Arc<Regions>,
     history: Arc<History>,
 }
 
 impl View {
-    /// A view of these routes and upstreams.
+    /// Creates a view of these routes and upstreams.
     pub fn new(routes: Arc<RouteTable>, mut upstreams: Vec<Upstream>) -> Self {
         upstreams.sort_by_key(|upstream| (upstream.service, upstream.address));
         let positions = upstreams.iter().zip(0..);
@@ -170,7 +170,7 @@
         Self { routes, upstreams, by_address, ..Self::default() }
     }
 
-    /// The same with these availability zones closed to new flows.
+    /// Closes these availability zones to new flows.
     #[must_use]
     pub fn with_closed_zones(mut self, mut closed_zones: Vec<ZoneStamp>) -> Self {
         closed_zones.sort_unstable();
@@ -178,32 +178,33 @@
         self
     }
 
-    /// The same with availability zones in these regions.
+    /// Sets the regions of the availability zones.
     #[must_use]
     pub fn with_regions(mut self, regions: Arc<Regions>) -> Self {
         self.regions = regions;
         self
     }
 
-    /// The same with services that routes sent to before.
+    /// Sets the services that routes previously pointed to.
     #[must_use]
     pub fn with_history(mut self, history: Arc<History>) -> Self {
         self.history = history;
         self
     }
 
-    /// Services that routes sent to before.
+    /// Services that routes previously pointed to.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Whether a route allows an upstream's region. A zone whose region is not known is in none.
+    /// Whether a route allows the region of an upstream. A zone whose region is unknown belongs to
+    /// none.
     pub fn allows(&self, route: &Route, upstream: &Upstream) -> bool {
         let region = || self.regions.of(upstream.zone);
         route.regions.is_empty() || region().is_some_and(|region| route.regions.contains(&region))
     }
 
-    /// Availability zones that are closed to new flows, in order.
+    /// Availability zones that are closed to new flows, sorted.
     pub fn closed_zones(&self) -> &[ZoneStamp] {
         &self.closed_zones
     }
@@ -213,8 +214,9 @@
         self.closed_zones.binary_search(&zone).is_ok()
     }
 
-    /// Whether no balancer with this view places a new flow on the upstream: it leaves, or its zone is
-    /// closed. One whose entry went without notice is not known to leave.
+    /// Whether balancers with this view place no new flows on the upstream, because it is draining
+    /// or its zone is closed. An upstream whose entry disappeared without notice is not assumed to
+    /// drain.
     pub fn refuses_new_flows(&self, upstream: &Upstream) -> bool {
         let leaves = matches!(
             upstream.standing,
@@ -236,7 +238,7 @@
         Some(&self.upstreams[self.by_address[index].1])
     }
 
-    /// All upstreams, by service and address.
+    /// All upstreams, sorted by service and address.
     pub fn upstreams(&self) -> &[Upstream] {
         &self.upstreams
     }
--- a/crates/steering/src/view/routes.rs
+++ b/crates/steering/src/view/routes.rs
@@ -1,4 +1,4 @@
-//! Where new flows to an endpoint go, as one immutable table for each configuration version.
+//! The services to which new flows go, as one immutable table for each configuration version.
 
 use std::hash::{Hash as _, Hasher as _};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -10,20 +10,21 @@
 use crate::flow::FlowKey;
 use crate::rank;
 
-/// A share of a route's flows.
+/// A service's share of the flows of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Share {
-    /// The service that gets it.
+    /// The service that gets the share.
     pub service: ServiceStamp,
     /// Its weight among the route's shares.
     pub weight: u32,
 }
 
-/// How long callers may wait, in the times within which they want their answers; zero if it is not known.
-/// Steps, so that most changes of a time-out leave a route as it is and go with a packet in two bits.
+/// How long callers wait before giving up, in multiples of the time within which they expect an
+/// answer; zero if unknown. Steps are used so that most changes of a timeout leave the route
+/// unchanged, and so that the value fits into two bits of a packet.
 pub const WAIT_STEPS_SLOS: [u8; 4] = [0, 4, 7, 10];
 
-/// The largest step that is within a time-out; the first one for shorter ones.
+/// The largest step that is within a timeout, or the smallest known step if the timeout is shorter.
 ///
 /// ```
 /// use steering::view::wait_slos;
@@ -43,28 +44,29 @@
 /// Where new flows to an endpoint go.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Route {
-    /// Address and port that callers write to.
+    /// Address and port that callers send to.
     pub endpoint: SocketAddrV4,
     /// One or more shares.
     pub shares: Arc<[Share]>,
-    /// Time within which callers want their answers; zero if not known.
+    /// Time within which callers expect an answer; zero if unknown.
     pub slo_ms: u32,
-    /// How many of these times callers wait before they give up, one of [`WAIT_STEPS_SLOS`].
+    /// How many multiples of `slo_ms` callers wait before they give up, one of [`WAIT_STEPS_SLOS`].
     pub wait_slos: u8,
-    /// Whether its requests go before others of the same services.
+    /// Whether the route's requests take precedence over others to the same services.
     pub urgent: bool,
-    /// Whether its requests may be sent twice: a caller whose flow is reset asks anew.
+    /// Whether the route's requests may be sent twice: a caller whose flow is reset sends its
+    /// request again.
     pub repeatable: bool,
-    /// Regions whose upstreams may take its flows; any if empty.
+    /// Regions whose upstreams may receive the route's flows; any if empty.
     pub regions: Arc<[RegionStamp]>,
 }
 
-/// What the configuration says of a service.
+/// Configuration of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Service {
-    /// Its identity.
+    /// Identity of the service.
     pub stamp: ServiceStamp,
-    /// Openings that a cold upstream bears in a thousand seconds; zero if they are not limited.
+    /// Openings per 1,000 seconds that a cold upstream can handle; zero if they are not limited.
     pub cold_openings_per_ks: u32,
 }
 
@@ -75,27 +77,27 @@
     }
 }
 
-/// What makes a table of routes of an earlier one.
+/// Changes that turn an earlier table of routes into a later one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoutesDelta {
     /// Version of the earlier table.
     pub from_version: u64,
-    /// Its digest.
+    /// Digest of the earlier table.
     pub from_digest: u64,
-    /// Routes that are new, or others than before.
+    /// Routes that were added or changed.
     pub changed: Vec<Route>,
-    /// Endpoints that have no route any more.
+    /// Endpoints that no longer have a route.
     pub removed: Vec<SocketAddrV4>,
 }
 
 /// Routes of one configuration version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteTable {
-    /// Version of the configuration; only grows within a process's life.
+    /// Version of the configuration. It never decreases while a process runs.
     pub version: u64,
     routes: Vec<Route>,
     services: Arc<[Service]>,
-    /// Services that no route leads to, in order.
+    /// Services that no route points to, sorted.
     unrouted: Arc<[ServiceStamp]>,
     digest: u64,
 }
@@ -107,9 +109,9 @@
 }
 
 impl RouteTable {
-    /// A table of these routes, and the services that there are. Of two routes for one endpoint the
-    /// first is kept. Services that routes lead to need not be all_stamps; of two entries for one service
-    /// the first is kept.
+    /// Creates a table of these routes and services. Of two routes for one endpoint, the first is
+    /// kept. Services that routes point to need not be listed in `services`; of two entries for one
+    /// service, the first is kept.
     pub fn new(
         version: u64,
         mut routes: Vec<Route>,
@@ -131,28 +133,28 @@
         Self { version, routes, services: services.into(), unrouted, digest: hasher.finish() }
     }
 
-    /// Whether there is such a service. Before a configuration is known, there may be any.
+    /// Whether the service exists. Before a configuration is known, any service may exist.
     pub fn contains_service(&self, service: ServiceStamp) -> bool {
         self.version == 0 || self.service(service).is_some()
     }
 
-    /// What the configuration says of a service.
+    /// Configuration of a service.
     pub fn service(&self, stamp: ServiceStamp) -> Option<&Service> {
         let index = self.services.binary_search_by_key(&stamp, |service| service.stamp).ok()?;
         Some(&self.services[index])
     }
 
-    /// All services, in order.
+    /// All services, sorted.
     pub fn services(&self) -> &[Service] {
         &self.services
     }
 
-    /// Services that no route leads to, in order.
+    /// Services that no route points to, sorted.
     pub fn unrouted(&self) -> &[ServiceStamp] {
         &self.unrouted
     }
 
-    /// What makes this table of an earlier one.
+    /// The changes that turn `old` into this table.
     ///
     /// ```
     /// use steering::view::RouteTable;
@@ -170,8 +172,9 @@
         }
     }
 
-    /// The table of this version that the changes make of this one; `None` if they were made for another.
-    /// Services that no route leads to any more stay all_stamps.
+    /// Applies changes to this table, and returns the table of the new version; `None` if the
+    /// changes were made for another table. Services that no route points to any more stay in the
+    /// table.
     pub fn patched(&self, version: u64, delta: &RoutesDelta) -> Option<Self> {
         if (self.version, self.digest) != (delta.from_version, delta.from_digest) {
             return None;
@@ -195,31 +198,32 @@
         Some(&self.routes[index])
     }
 
-    /// The routes of an address, by port.
+    /// The routes of an address, sorted by port.
     pub fn routes_at(&self, address: Ipv4Addr) -> &[Route] {
         let start = self.routes.partition_point(|route| *route.endpoint.ip() < address);
         let count = self.routes[start..].partition_point(|route| *route.endpoint.ip() == address);
         &self.routes[start..start + count]
     }
 
-    /// Digest of the routes; the version is left out, as most versions change time-outs only.
+    /// Digest of the routes. The version is excluded, as most versions change only timeouts.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// All routes, by endpoint.
+    /// All routes, sorted by endpoint.
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 }
 
 impl Route {
-    /// The services that it leads to, whatever their weights.
+    /// The services that the route points to, whatever their weights.
     pub fn services(&self) -> impl Iterator<Item = ServiceStamp> + '_ {
         self.shares.iter().map(|share| share.service)
     }
 
-    /// The service that a new flow goes to, by the shares' weights; `None` if all weights are zero.
+    /// The service of a new flow, chosen by the weights of the shares; `None` if all weights are
+    /// zero.
     pub fn service_of(&self, flow: FlowKey) -> Option<ServiceStamp> {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
         let mut point = rank::flow_hash(flow).checked_rem(total)?;
