--- a/crates/steering/src/history/mod.rs
+++ b/crates/steering/src/history/mod.rs
@@ -11,8 +11,8 @@
 
 /// Age at which a flow may be discarded if the settings state none.
 pub const FLOW_TTL_MS: Millis = 60_000;
-/// How long after a route has left a service balancers that have not received the change may still
-/// open flows there.
+/// Balancers that have not received a change may open flows at the previous service for this long
+/// after a route has left it.
 pub const STALE_OPENINGS_MS: Millis = 30_000;
 /// A history that becomes complete sooner than another by more than this contains more.
 const SOONER_MARGIN_MS: Millis = 1_000;
@@ -155,9 +155,9 @@
             return;
         }
         let complete_from_ms = now_ms + theirs.summary.whole_in_ms;
-        let joined = complete_from_ms <= current_until_ms + self.retention_ms();
+        let contiguous = complete_from_ms <= current_until_ms + self.retention_ms();
         self.complete_from_ms =
-            if joined { self.complete_from_ms.min(complete_from_ms) } else { complete_from_ms };
+            if contiguous { self.complete_from_ms.min(complete_from_ms) } else { complete_from_ms };
     }
 
     /// Whether another balancer's history contains anything that this one lacks.
@@ -209,13 +209,13 @@
         now_ms >= self.complete_from_ms
     }
 
-    fn retain(&mut self, noted: RetainedService) {
-        match self.former.binary_search_by_key(&noted.key(), RetainedService::key) {
+    fn retain(&mut self, service: RetainedService) {
+        match self.former.binary_search_by_key(&service.key(), RetainedService::key) {
             Ok(index) => {
                 let known = &mut self.former[index];
-                known.until_ms = known.until_ms.max(noted.until_ms);
+                known.until_ms = known.until_ms.max(service.until_ms);
             }
-            Err(index) => self.former.insert(index, noted),
+            Err(index) => self.former.insert(index, service),
         }
     }
 }
--- a/crates/steering/src/leave/mod.rs
+++ b/crates/steering/src/leave/mod.rs
@@ -27,7 +27,11 @@
 ///
 /// ```
 /// use steering::leave::{ShutdownProgress, may_exit};
-/// let progress = ShutdownProgress { since_stop_request_ms: 900, refused_probes: 2, since_last_packet_ms: 150 };
+/// let progress = ShutdownProgress {
+///     since_stop_request_ms: 900,
+///     refused_probes: 2,
+///     since_last_packet_ms: 150,
+/// };
 /// assert!(may_exit(progress));
 /// ```
 pub fn may_exit(progress: ShutdownProgress) -> bool {
--- a/crates/steering/src/rotation/mod.rs
+++ b/crates/steering/src/rotation/mod.rs
@@ -82,7 +82,11 @@
     /// ```
     /// use steering::rotation::{Load, Rotation};
     /// let mut rotation = Rotation::new(14.0);
-    /// let full = |second| Load { lag_ms: 1, received_bytes: second * 1_700_000, since_last_packet_ms: 0 };
+    /// let full = |second| Load {
+    ///     lag_ms: 1,
+    ///     received_bytes: second * 1_700_000,
+    ///     since_last_packet_ms: 0,
+    /// };
     /// let takes_part = [0, 1, 2, 3].map(|second| rotation.update(second * 1_000, full(second)));
     /// assert_eq!(takes_part, [true, true, true, false]);
     /// ```
@@ -103,8 +107,8 @@
             return;
         }
         let bytes = received_bytes.saturating_sub(self.window_start_bytes);
-        let bearable = self.link_bytes_per_s * passed_ms / 1_000 * LINK_PERCENT_MAX / 100;
-        let full = self.link_bytes_per_s > 0 && bytes > bearable;
+        let limit_bytes = self.link_bytes_per_s * passed_ms / 1_000 * LINK_PERCENT_MAX / 100;
+        let full = self.link_bytes_per_s > 0 && bytes > limit_bytes;
         let overloaded = full || std::mem::take(&mut self.lagged);
         self.overloaded_windows = if overloaded { self.overloaded_windows + 1 } else { 0 };
         (self.window_start_ms, self.window_start_bytes) = (now_ms, received_bytes);
--- a/crates/steering/src/side/queue.rs
+++ b/crates/steering/src/side/queue.rs
@@ -29,7 +29,7 @@
     since_ms: Millis,
     /// Latest start at which the answer is on time; `None` if it is late in any case.
     start_by_ms: Option<Millis>,
-    /// When the caller has given up.
+    /// From then on, the caller has given up.
     abandoned_from_ms: Millis,
     /// Whether the caller has ended the flow with this request.
     closing: bool,
@@ -43,7 +43,7 @@
     pub(super) now_ms: Millis,
     /// Latest start at which the answer is on time; `None` if it is late in any case.
     pub(super) start_by_ms: Option<Millis>,
-    /// When the caller has given up.
+    /// From then on, the caller has given up.
     pub(super) abandoned_from_ms: Millis,
 }
 
--- a/crates/steering/src/timeouts/mod.rs
+++ b/crates/steering/src/timeouts/mod.rs
@@ -7,7 +7,7 @@
 const SHORT: Duration = Duration::from_millis(150);
 /// Timeout for a slow service, which takes up to 75 times as long.
 const LONG: Duration = Duration::from_millis(600);
-/// Every third timeout is a long one.
+/// One timeout out of this many is a long one.
 const LONG_EVERY: u32 = 3;
 
 /// Timeouts of one caller.
