--- a/crates/fuzzing/src/direct/world/mod.rs
+++ b/crates/fuzzing/src/direct/world/mod.rs
@@ -14,7 +14,7 @@
 use steering::flow::{FlowKey, Segment, SegmentKind};
 use steering::history::History;
 use steering::membership::{Membership, UpstreamRecord};
-use steering::side::Side;
+use steering::side::AgentCore;
 use steering::view::{Regions, RouteTable, Service, View};
 
 pub use layout::Size;
@@ -138,7 +138,7 @@
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
     balancers: Vec<Balancer>,
-    agents: Vec<Option<Side>>,
+    agents: Vec<Option<AgentCore>>,
     /// Until when each agent was or will be out of reach last.
     away_until_ms: Vec<u64>,
     upstreams: Vec<Upstream>,
@@ -400,7 +400,7 @@
         let service = self.upstreams[upstream].service;
         let routed = self.led_until_ms.iter().any(|led| led[service] == u64::MAX);
         let knows = |balancer: &Balancer| {
-            let mut former = balancer.history.of(self.now_ms, flow.endpoint);
+            let mut former = balancer.history.former_services_of(self.now_ms, flow.endpoint);
             balancer.up && former.any(|known| known == SERVICES[service])
         };
         routed || self.balancers.iter().any(knows)
