--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -8,7 +8,7 @@
 
 /// Why a packet was not forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
+pub enum DropReason {
     /// Not GUE, or the packet inside contradicts itself.
     Malformed,
     /// A fragment.
@@ -26,14 +26,14 @@
 }
 
 /// All reasons in the order of their counters.
-const REASONS: [Dropped; 7] = [
-    Dropped::Malformed,
-    Dropped::Fragment,
-    Dropped::UnsupportedProtocol,
-    Dropped::TooLarge,
-    Dropped::NoService,
-    Dropped::NoAgent,
-    Dropped::SendFailed,
+const DROP_REASONS: [DropReason; 7] = [
+    DropReason::Malformed,
+    DropReason::Fragment,
+    DropReason::UnsupportedProtocol,
+    DropReason::TooLarge,
+    DropReason::NoService,
+    DropReason::NoAgent,
+    DropReason::SendFailed,
 ];
 
 /// Counts of one thread since it last added them up.
@@ -44,7 +44,7 @@
     /// Packets that were sent on.
     pub forwarded: u64,
     /// Packets that were not, by reason.
-    dropped: [u64; REASONS.len()],
+    dropped: [u64; DROP_REASONS.len()],
 }
 
 /// Counters of the process. Clones share them.
@@ -52,7 +52,7 @@
 pub struct Counters {
     received: Counter,
     forwarded: Counter,
-    dropped: [Counter; REASONS.len()],
+    dropped: [Counter; DROP_REASONS.len()],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -60,12 +60,12 @@
     reason: &'static str,
 }
 
-impl Dropped {
+impl DropReason {
     /// The result code of this reason.
     ///
     /// ```
-    /// use balancer::counters::Dropped;
-    /// assert_eq!(Dropped::NoService.code().name(), "no_service");
+    /// use balancer::counters::DropReason;
+    /// assert_eq!(DropReason::NoService.code().name(), "no_service");
     /// ```
     pub fn code(self) -> Code {
         match self {
@@ -82,7 +82,7 @@
 
 impl Counts {
     /// Counts packets that were not forwarded.
-    pub fn drop(&mut self, reason: Dropped, packets: u64) {
+    pub fn add_dropped(&mut self, reason: DropReason, packets: u64) {
         self.dropped[reason as usize] += packets;
     }
 }
@@ -97,7 +97,7 @@
     /// ```
     pub fn new(metrics: &Metrics) -> Self {
         let family: Family<ReasonLabel, Counter> = Family::default();
-        let dropped = REASONS.map(|reason| {
+        let dropped = DROP_REASONS.map(|reason| {
             let label = ReasonLabel { reason: reason.code().name() };
             family.get_or_create(&label).clone()
         });
@@ -134,7 +134,7 @@
             ("packets_received_total", self.received.get()),
             ("packets_forwarded_total", self.forwarded.get()),
         ];
-        let dropped = REASONS.iter().zip(&self.dropped);
+        let dropped = DROP_REASONS.iter().zip(&self.dropped);
         list.extend(dropped.map(|(reason, counter)| (reason.code().name(), counter.get())));
         list
     }
--- a/crates/balancer/src/forward.rs
+++ b/crates/balancer/src/forward.rs
@@ -9,7 +9,7 @@
 use wire::inner::{self, InnerError};
 use wire::sealed::{Header, Payload, SealError, SenderId};
 
-use crate::counters::Dropped;
+use crate::counters::DropReason;
 use crate::snapshot::Snapshot;
 
 /// What stays the same for all packets of a process.
@@ -46,19 +46,19 @@
     identity: &Identity,
     datagram: &[u8],
     prefix: &mut Prefix,
-) -> Result<SocketAddr, Dropped> {
-    let frame = gue::parse(datagram).map_err(|_| Dropped::Malformed)?;
+) -> Result<SocketAddr, DropReason> {
+    let frame = gue::parse(datagram).map_err(|_| DropReason::Malformed)?;
     if matches!(frame.content, Content::Control(_)) {
-        return Err(Dropped::UnsupportedProtocol);
+        return Err(DropReason::UnsupportedProtocol);
     }
     // Private data in a frame of the fabric can only be an attempt to look like a balancer.
     if !frame.private.is_empty() {
-        return Err(Dropped::Malformed);
+        return Err(DropReason::Malformed);
     }
-    let packet = inner::parse(frame.payload).map_err(reason)?;
-    let key = snapshot.find(packet.endpoint).ok_or(Dropped::NoService)?;
+    let packet = inner::parse(frame.payload).map_err(inner_drop_reason)?;
+    let key = snapshot.find_by_endpoint(packet.endpoint).ok_or(DropReason::NoService)?;
     let flow = packet.flow_id(&identity.flow_key);
-    let home = snapshot.home(key, flow).ok_or(Dropped::NoAgent)?;
+    let home = snapshot.home(key, flow).ok_or(DropReason::NoAgent)?;
     let entry = snapshot.service(key);
     let header = Header {
         hops: 0,
@@ -71,21 +71,21 @@
     };
     let payload = Payload::Packet { bytes: frame.payload, header_bytes: packet.header_bytes };
     let private = prefix.start_sealed(frame.content);
-    entry.keyring.seal(&header, payload, private).map_err(seal_reason)?;
+    entry.keyring.seal(&header, payload, private).map_err(seal_drop_reason)?;
     Ok(home)
 }
 
-fn reason(error: InnerError) -> Dropped {
+fn inner_drop_reason(error: InnerError) -> DropReason {
     match error {
-        InnerError::Malformed => Dropped::Malformed,
-        InnerError::Fragment => Dropped::Fragment,
-        InnerError::Transport(_) => Dropped::UnsupportedProtocol,
+        InnerError::Malformed => DropReason::Malformed,
+        InnerError::Fragment => DropReason::Fragment,
+        InnerError::Transport(_) => DropReason::UnsupportedProtocol,
     }
 }
 
-fn seal_reason(error: SealError) -> Dropped {
+fn seal_drop_reason(error: SealError) -> DropReason {
     match error {
-        SealError::HeadersTooLong(_) => Dropped::TooLarge,
-        _ => Dropped::Malformed,
+        SealError::HeadersTooLong(_) => DropReason::TooLarge,
+        _ => DropReason::Malformed,
     }
 }
--- a/crates/balancer/src/http.rs
+++ b/crates/balancer/src/http.rs
@@ -13,7 +13,7 @@
 
 /// The answer of `/explain?service=ID&flow=ID`.
 #[derive(Debug, Serialize)]
-struct Explained {
+struct Explanation {
     instance: Arc<str>,
     /// Settings version of the service's account.
     version: u64,
@@ -35,10 +35,10 @@
         return Reply::error(400, "service or flow is not a hexadecimal id");
     };
     let snapshot = published.newest();
-    let Some(key) = snapshot.find_id(ServiceId(service)) else {
+    let Some(key) = snapshot.find_by_id(ServiceId(service)) else {
         return Reply::error(404, "no such service here");
     };
-    Reply::json(&Explained {
+    Reply::json(&Explanation {
         instance: instance.clone(),
         version: snapshot.service(key).version.0,
         home: snapshot.home(key, FlowId(flow)),
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -17,13 +17,13 @@
 /// Routes and keys at one moment.
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    /// IPv4 endpoints as sorted numbers, see [`packed`]. Comparing numbers instead of endpoints
+    /// IPv4 endpoints as sorted numbers, see [`pack_ipv4`]. Comparing numbers instead of endpoints
     /// halves the time of a lookup among 1,900 services: eight bytes each stay in the first cache.
     packed_endpoints: Vec<u64>,
     /// Service of each packed endpoint.
     packed_services: Vec<ServiceKey>,
     /// IPv6 endpoints, sorted.
-    other_endpoints: Vec<(Endpoint, ServiceKey)>,
+    ipv6_endpoints: Vec<(Endpoint, ServiceKey)>,
     /// Keyrings, sorted by account.
     keyrings: Vec<(AccountId, AccountKeyring)>,
     /// Services in the order of the view's keys.
@@ -98,18 +98,18 @@
     }
 
     /// Finds the service of a packet's destination.
-    pub fn find(&self, endpoint: Endpoint) -> Option<ServiceKey> {
-        if let Some(number) = packed(endpoint) {
+    pub fn find_by_endpoint(&self, endpoint: Endpoint) -> Option<ServiceKey> {
+        if let Some(number) = pack_ipv4(endpoint) {
             let index = self.packed_endpoints.binary_search(&number).ok()?;
             return Some(self.packed_services[index]);
         }
-        let table = &self.other_endpoints;
+        let table = &self.ipv6_endpoints;
         let index = table.binary_search_by(|(known, _)| known.cmp(&endpoint)).ok()?;
         Some(table[index].1)
     }
 
     /// Finds a service by id.
-    pub fn find_id(&self, id: ServiceId) -> Option<ServiceKey> {
+    pub fn find_by_id(&self, id: ServiceId) -> Option<ServiceKey> {
         // The view's keys follow the order of ids.
         let index = self.services.binary_search_by_key(&id, |entry| entry.service).ok()?;
         Some(ServiceKey(index as u32))
@@ -135,12 +135,12 @@
 
     fn push_endpoints(&mut self, service: &Service, key: ServiceKey) {
         for endpoint in &service.spec.endpoints {
-            match packed(*endpoint) {
+            match pack_ipv4(*endpoint) {
                 Some(number) => {
                     self.packed_endpoints.push(number);
                     self.packed_services.push(key);
                 }
-                None => self.other_endpoints.push((*endpoint, key)),
+                None => self.ipv6_endpoints.push((*endpoint, key)),
             }
         }
     }
@@ -151,7 +151,7 @@
             numbers.zip(self.packed_services.iter().copied()).collect();
         pairs.sort_unstable();
         (self.packed_endpoints, self.packed_services) = pairs.into_iter().unzip();
-        self.other_endpoints.sort_unstable();
+        self.ipv6_endpoints.sort_unstable();
     }
 
     fn push_homes(&mut self, router: &Router) {
@@ -167,7 +167,7 @@
 }
 
 /// An IPv4 endpoint as a number: address, port and transport.
-fn packed(endpoint: Endpoint) -> Option<u64> {
+fn pack_ipv4(endpoint: Endpoint) -> Option<u64> {
     let IpAddr::V4(address) = endpoint.address else { return None };
     let transport = match endpoint.transport {
         Transport::Tcp => 0,
--- a/crates/balancer/src/worker.rs
+++ b/crates/balancer/src/worker.rs
@@ -8,7 +8,7 @@
 
 use shell::udp::{self, PayloadRef, Receiver, Sender};
 
-use crate::counters::{Counters, Counts, Dropped};
+use crate::counters::{Counters, Counts, DropReason};
 use crate::forward::{self, Identity, PAYLOAD_START};
 use crate::notices::{self, AgentNotice};
 use crate::snapshot::{Published, Snapshot, Subscription};
@@ -74,28 +74,28 @@
                     sender.queue_next(PayloadRef { slot, start: PAYLOAD_START }, home);
                     counts.forwarded += 1;
                 }
-                Err(reason) => self.not_forwarded(reason, snapshot, datagram, counts),
+                Err(reason) => self.handle_unforwarded(reason, snapshot, datagram, counts),
             }
         }
         let failed = sender.flush(&self.socket, receiver) as u64;
         counts.forwarded -= failed;
-        counts.drop(Dropped::SendFailed, failed);
+        counts.add_dropped(DropReason::SendFailed, failed);
     }
 
-    fn not_forwarded(
+    fn handle_unforwarded(
         &self,
-        reason: Dropped,
+        reason: DropReason,
         snapshot: &Snapshot,
         datagram: &[u8],
         counts: &mut Counts,
     ) {
-        let is_control = reason == Dropped::UnsupportedProtocol;
+        let is_control = reason == DropReason::UnsupportedProtocol;
         match is_control.then(|| notices::read(snapshot, datagram)).flatten() {
             Some(notice) => {
                 // The publisher lives as long as the process.
                 let _ = self.notices.send(notice);
             }
-            None => counts.drop(reason, 1),
+            None => counts.add_dropped(reason, 1),
         }
     }
 }
--- a/crates/balancer/tests/forward.rs
+++ b/crates/balancer/tests/forward.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use balancer::counters::Dropped;
+use balancer::counters::DropReason;
 use balancer::forward::{Identity, PAYLOAD_START, forward};
 use balancer::snapshot::Snapshot;
 use decision::agent::Passed;
@@ -66,7 +66,7 @@
     snapshot: &Snapshot,
     instance: &str,
     datagram: &[u8],
-) -> Result<(SocketAddr, Vec<u8>), Dropped> {
+) -> Result<(SocketAddr, Vec<u8>), DropReason> {
     let mut prefix = Prefix::new([0; 4], &[]);
     let home = forward(snapshot, &Identity::new([1; 16], instance), datagram, &mut prefix)?;
     Ok((home, [prefix.as_bytes(), &datagram[PAYLOAD_START..]].concat()))
@@ -107,16 +107,16 @@
 }
 
 #[rstest]
-#[case::empty(vec![], Dropped::Malformed)]
-#[case::not_gue(vec![0xff; 60], Dropped::Malformed)]
-#[case::private_data(frame(Content::Ipv4, &[0; 64], &tcp(8_443)), Dropped::Malformed)]
-#[case::control(frame(Content::Control(1), &[], b"message"), Dropped::UnsupportedProtocol)]
-#[case::half_a_packet(frame(Content::Ipv4, &[], &tcp(8_443)[..30]), Dropped::Malformed)]
-#[case::fragment(frame(Content::Ipv4, &[], &fragment()), Dropped::Fragment)]
-#[case::unknown_port(frame(Content::Ipv4, &[], &tcp(22)), Dropped::NoService)]
-#[case::other_transport(frame(Content::Ipv4, &[], &udp(8_443)), Dropped::NoService)]
-#[case::no_upstream(frame(Content::Ipv4, &[], &tcp(80)), Dropped::NoAgent)]
-fn forward_dropped(#[case] datagram: Vec<u8>, #[case] expected: Dropped) {
+#[case::empty(vec![], DropReason::Malformed)]
+#[case::not_gue(vec![0xff; 60], DropReason::Malformed)]
+#[case::private_data(frame(Content::Ipv4, &[0; 64], &tcp(8_443)), DropReason::Malformed)]
+#[case::control(frame(Content::Control(1), &[], b"message"), DropReason::UnsupportedProtocol)]
+#[case::half_a_packet(frame(Content::Ipv4, &[], &tcp(8_443)[..30]), DropReason::Malformed)]
+#[case::fragment(frame(Content::Ipv4, &[], &fragment()), DropReason::Fragment)]
+#[case::unknown_port(frame(Content::Ipv4, &[], &tcp(22)), DropReason::NoService)]
+#[case::other_transport(frame(Content::Ipv4, &[], &udp(8_443)), DropReason::NoService)]
+#[case::no_upstream(frame(Content::Ipv4, &[], &tcp(80)), DropReason::NoAgent)]
+fn forward_dropped(#[case] datagram: Vec<u8>, #[case] expected: DropReason) {
     assert_eq!(forwarded(&snapshot(vec![]), "bal-c1", &datagram), Err(expected));
 }
 
--- a/crates/balancer/tests/publish.rs
+++ b/crates/balancer/tests/publish.rs
@@ -82,7 +82,7 @@
     assert_eq!(published.is_current(), ready);
     let address = "203.0.113.1".parse().unwrap();
     let endpoint = Endpoint { address, port: 443, transport: Transport::Tcp };
-    let serves = published.newest().find(endpoint).is_some();
+    let serves = published.newest().find_by_endpoint(endpoint).is_some();
     assert!(serves || !ready, "ready without a service to forward to");
 }
 
