--- a/crates/balancer/src/http.rs
+++ b/crates/balancer/src/http.rs
@@ -9,7 +9,7 @@
 use shell::settings_sync::{Keyrings, serve};
 use shell::status::{self, Shown};
 
-use crate::snapshot::Published;
+use crate::snapshot::PublishedSnapshot;
 
 /// The answer of `/explain?service=ID&flow=ID`.
 #[derive(Debug, Serialize)]
@@ -22,14 +22,14 @@
 }
 
 /// All routes of a balancer. `/explain?service=ID&flow=ID` says where `published` sends a flow.
-pub fn routes(shown: &Shown, keyrings: &Keyrings, published: Arc<Published>) -> Routes {
+pub fn routes(shown: &Shown, keyrings: &Keyrings, published: Arc<PublishedSnapshot>) -> Routes {
     let routes = status::routes(Routes::default(), shown);
     let instance = shown.instance.clone();
     serve::routes(routes, &shown.store, keyrings)
         .get("/explain", move |request| explain(&instance, &published, request))
 }
 
-fn explain(instance: &Arc<str>, published: &Published, request: &Request) -> Reply {
+fn explain(instance: &Arc<str>, published: &PublishedSnapshot, request: &Request) -> Reply {
     let id = |name| u64::from_str_radix(request.parameter(name)?, 16).ok();
     let (Some(service), Some(flow)) = (id("service"), id("flow")) else {
         return Reply::error(400, "service or flow is not a hexadecimal id");
--- a/crates/balancer/src/liveness.rs
+++ b/crates/balancer/src/liveness.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub struct Liveness {
     /// Agents that some list has named, sorted.
-    seen: Vec<UpstreamId>,
+    ever_listed: Vec<UpstreamId>,
 }
 
 impl Liveness {
@@ -35,10 +35,11 @@
             (0..view.services().len() as u32).map(decision::keys::ServiceKey).any(service)
         };
         let missing = |id: &UpstreamId| listed.binary_search(id).is_err();
-        let down = self.seen.iter().copied().filter(|id| missing(id) && known(*id)).collect();
-        self.seen.extend(listed.iter().copied());
-        self.seen.sort_unstable();
-        self.seen.dedup();
+        let down =
+            self.ever_listed.iter().copied().filter(|id| missing(id) && known(*id)).collect();
+        self.ever_listed.extend(listed.iter().copied());
+        self.ever_listed.sort_unstable();
+        self.ever_listed.dedup();
         down
     }
 }
--- a/crates/balancer/src/notices.rs
+++ b/crates/balancer/src/notices.rs
@@ -11,12 +11,12 @@
 
 /// How long an agent is passed over after its notice: longer than a restart takes, and short
 /// enough that its successor soon is home again. An agent that still leaves says so again.
-pub const LEAVING_MS: u64 = 3_000;
+pub const LEAVING_TTL_MS: u64 = 3_000;
 /// Notices kept at a time; more than a zone's agents that all leave together.
-const LEAVING_MAX: usize = 4_096;
+const LEAVING_AGENTS_MAX: usize = 4_096;
 
 /// A notice whose seal is right. That the account by whose key it was sealed owns the agents that
-/// it is about is as yet only a claim: see [`AgentNotice::owns`].
+/// it is about is as yet only a claim: see [`AgentNotice::is_authorized_for`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgentNotice {
     /// Account by whose key the notice was sealed.
@@ -32,7 +32,7 @@
 impl AgentNotice {
     /// Whether, by `view`, the sealing account owns the service and the service the upstream. An
     /// account could otherwise turn another's traffic away from its agents.
-    pub fn owns(&self, view: &View, upstream: UpstreamId) -> bool {
+    pub fn is_authorized_for(&self, view: &View, upstream: UpstreamId) -> bool {
         view.find_service(self.service).is_some_and(|service| {
             let owner = view.account(view.service(service).account).id;
             owner == self.account && view.find_upstream(service, upstream).is_some()
@@ -48,7 +48,7 @@
 }
 
 /// The notice in a control datagram; `None` if it is none, or not by a holder of the account's key.
-pub fn read(snapshot: &Snapshot, datagram: &[u8]) -> Option<AgentNotice> {
+pub fn open(snapshot: &Snapshot, datagram: &[u8]) -> Option<AgentNotice> {
     let frame = gue::parse(datagram).ok()?;
     if frame.content != Content::Control(notice::CONTROL_TYPE) {
         return None;
@@ -70,13 +70,13 @@
     /// use decision::{keys::UpstreamId, time::Millis};
     /// let mut agents = LeavingAgents::default();
     /// agents.add(Millis(0), UpstreamId(3));
-    /// assert_eq!(agents.at(Millis(0)), [UpstreamId(3)]);
+    /// assert_eq!(agents.unexpired(Millis(0)), [UpstreamId(3)]);
     /// ```
     pub fn add(&mut self, now: Millis, agent: UpstreamId) {
-        let until = now.after(LEAVING_MS);
+        let until = now.after(LEAVING_TTL_MS);
         match self.entries.binary_search_by_key(&agent, |(id, _)| *id) {
             Ok(index) => self.entries[index].1 = until,
-            Err(index) if self.entries.len() < LEAVING_MAX => {
+            Err(index) if self.entries.len() < LEAVING_AGENTS_MAX => {
                 self.entries.insert(index, (agent, until));
             }
             Err(_) => {}
@@ -84,7 +84,7 @@
     }
 
     /// Sorted ids of the agents to be passed over now; forgets the others.
-    pub fn at(&mut self, now: Millis) -> Vec<UpstreamId> {
+    pub fn unexpired(&mut self, now: Millis) -> Vec<UpstreamId> {
         self.entries.retain(|(_, until)| now < *until);
         self.entries.iter().map(|(id, _)| *id).collect()
     }
--- a/crates/balancer/src/publish.rs
+++ b/crates/balancer/src/publish.rs
@@ -14,8 +14,8 @@
 
 use crate::liveness::Liveness;
 use crate::notices::{AgentNotice, LeavingAgents};
-use crate::snapshot::{Published, Snapshot};
-use crate::spreading::Shared;
+use crate::snapshot::{PublishedSnapshot, Snapshot};
+use crate::spreading::SpreadingStatus;
 
 /// From where a publisher learns of changes.
 pub struct Sources {
@@ -24,7 +24,7 @@
     /// The platform's list.
     pub instances: Arc<Instances>,
     /// What spreading has found out about membership.
-    pub shared: Arc<Shared>,
+    pub spreading_status: Arc<SpreadingStatus>,
     /// What agents say about themselves and their peers.
     pub notices: mpsc::Receiver<AgentNotice>,
     /// Takes what they say about their peers to the spreading thread.
@@ -34,12 +34,12 @@
 /// Keeps the published snapshot up to date.
 pub struct Publisher {
     sources: Sources,
-    published: Arc<Published>,
-    masters: Vec<(KeyId, [u8; 32])>,
+    published: Arc<PublishedSnapshot>,
+    master_keys: Vec<(KeyId, [u8; 32])>,
     liveness: Liveness,
     leaving: LeavingAgents,
     /// Generations of settings, list and membership at the last look.
-    seen: Option<[u64; 3]>,
+    seen_generations: Option<[u64; 3]>,
     /// Agents that the list no longer names, or that their peers miss.
     missing: Vec<UpstreamId>,
     /// Agents down in the snapshot in force: missing or leaving.
@@ -50,16 +50,16 @@
     /// A publisher that has published nothing yet.
     pub fn new(
         sources: Sources,
-        published: Arc<Published>,
-        masters: Vec<(KeyId, [u8; 32])>,
+        published: Arc<PublishedSnapshot>,
+        master_keys: Vec<(KeyId, [u8; 32])>,
     ) -> Self {
         Self {
             sources,
             published,
-            masters,
+            master_keys,
             liveness: Liveness::default(),
             leaving: LeavingAgents::default(),
-            seen: None,
+            seen_generations: None,
             missing: Vec::new(),
             down: Vec::new(),
         }
@@ -71,18 +71,18 @@
         let current = self.sources.store.is_current();
         let generations = self.sources.generations();
         let view = self.sources.store.view();
-        if self.seen != Some(generations) {
+        if self.seen_generations != Some(generations) {
             self.missing = self.liveness.down(&view, &self.sources.instances.list());
-            self.missing.extend(self.sources.shared.down());
+            self.missing.extend(self.sources.spreading_status.down());
         }
-        self.take_notices(now, &view);
-        let mut down = self.leaving.at(now);
+        self.apply_notices(now, &view);
+        let mut down = self.leaving.unexpired(now);
         down.extend(&self.missing);
-        let settings_changed = self.seen.is_none_or(|seen| seen[0] != generations[0]);
-        self.seen = Some(generations);
+        let settings_changed = self.seen_generations.is_none_or(|seen| seen[0] != generations[0]);
+        self.seen_generations = Some(generations);
         if settings_changed || down != self.down {
             // The settings file lists one key at least, so there always is a snapshot.
-            if let Some(snapshot) = Snapshot::build(&view, down.clone(), &self.masters) {
+            if let Some(snapshot) = Snapshot::build(&view, down.clone(), &self.master_keys) {
                 self.published.publish(snapshot);
             }
             self.down = down;
@@ -92,13 +92,15 @@
         }
     }
 
-    fn take_notices(&mut self, now: Millis, view: &View) {
-        for heard in self.sources.notices.try_iter() {
-            match heard.notice {
-                Notice::Leaving if heard.owns(view, heard.sender) => {
-                    self.leaving.add(now, heard.sender);
+    fn apply_notices(&mut self, now: Millis, view: &View) {
+        for received in self.sources.notices.try_iter() {
+            match received.notice {
+                Notice::Leaving if received.is_authorized_for(view, received.sender) => {
+                    self.leaving.add(now, received.sender);
                 }
-                Notice::Peer { upstream, beat, up } if heard.owns(view, UpstreamId(upstream)) => {
+                Notice::Peer { upstream, beat, up }
+                    if received.is_authorized_for(view, UpstreamId(upstream)) =>
+                {
                     let member = Member { upstream: UpstreamId(upstream), beat, up };
                     // The spreading thread lives as long as the process.
                     let _ = self.sources.members.send(member);
@@ -112,6 +114,6 @@
 
 impl Sources {
     fn generations(&self) -> [u64; 3] {
-        [self.store.generation(), self.instances.generation(), self.shared.generation()]
+        [self.store.generation(), self.instances.generation(), self.spreading_status.generation()]
     }
 }
--- a/crates/balancer/src/run.rs
+++ b/crates/balancer/src/run.rs
@@ -28,9 +28,11 @@
 use crate::forward::Identity;
 use crate::notices::AgentNotice;
 use crate::publish::{Publisher, Sources};
-use crate::snapshot::Published;
+use crate::snapshot::PublishedSnapshot;
 use crate::spreading::link::Link;
-use crate::spreading::{Fetch, Fetcher, Shared, Spreading, SpreadingConfig, Teller};
+use crate::spreading::{
+    AgentNotifier, Fetch, Fetcher, Spreading, SpreadingConfig, SpreadingStatus,
+};
 use crate::worker::{self, Worker};
 
 /// Events kept for the time line.
@@ -39,7 +41,7 @@
 /// in force, of which seconds are allowed.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(25);
 /// A fabric that has sent nothing for this long has taken the balancer out.
-const QUIET: Duration = Duration::from_millis(500);
+const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
 struct Balancer {
     settings: BalancerSettings,
@@ -47,9 +49,9 @@
     instances: Arc<Instances>,
     timeline: Arc<Timeline>,
     counters: Counters,
-    published: Arc<Published>,
+    published: Arc<PublishedSnapshot>,
     shutdown: Shutdown,
-    shared: Arc<Shared>,
+    spreading_status: Arc<SpreadingStatus>,
 }
 
 /// Runs a balancer until it is told to shut down.
@@ -65,24 +67,24 @@
         instances: Arc::default(),
         counters: Counters::new(&metrics),
         published: Arc::default(),
-        shared: Arc::default(),
+        spreading_status: Arc::default(),
         shutdown: Shutdown::on_signal().map_err(|e| StartFault::thread(&e))?,
         timeline,
         settings,
     };
-    let end = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
     let (notices, inbox) = mpsc::channel();
-    let workers = balancer.start_workers(&end, &notices)?;
+    let workers = balancer.start_workers(&stop, &notices)?;
     let published = balancer.published.clone();
     let routes = crate::http::routes(&balancer.shown(metrics), &balancer.keyrings(), published);
     http::start(balancer.settings.control_address, routes)?;
-    let (members, observed) = mpsc::channel();
+    let (members, observed_members) = mpsc::channel();
     let fetches = balancer.start_readers()?;
-    balancer.start_spreading(observed, fetches)?;
+    balancer.start_spreading(observed_members, fetches)?;
     balancer.timeline.record("", "started", Fields::default());
     log::info!("started");
     balancer.forward_until_drained(inbox, members);
-    end.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     for worker in workers {
         // A worker that panicked has already said so; the shutdown goes on.
         let _ = worker.join();
@@ -94,7 +96,7 @@
 impl Balancer {
     fn start_workers(
         &self,
-        end: &Arc<AtomicBool>,
+        stop: &Arc<AtomicBool>,
         notices: &mpsc::Sender<AgentNotice>,
     ) -> Result<Vec<JoinHandle<()>>, StartFault> {
         let address = self.settings.data_address;
@@ -109,7 +111,7 @@
                 published: self.published.clone(),
                 counters: self.counters.clone(),
                 notices: notices.clone(),
-                end: end.clone(),
+                stop: stop.clone(),
             };
             workers.push(spawn(&format!("receive-{index}"), move || worker.run())?);
         }
@@ -120,7 +122,7 @@
     fn start_readers(&self) -> Result<mpsc::Sender<Fetch>, StartFault> {
         let platform = self.settings.platform_address;
         let reader = Reader::new(platform, self.store.clone(), self.instances.clone());
-        let lister = reader.clone();
+        let list_reader = reader.clone();
         let (configured, own) = (self.settings.peers.clone(), self.settings.control_address);
         let instances = self.instances.clone();
         let candidates = move || {
@@ -133,12 +135,12 @@
         let (fetches, inbox) = mpsc::channel();
         let (platform, fetch_peers) = (reader.clone(), peers.clone());
         let fetcher = Fetcher { store: self.store.clone(), peers: fetch_peers, platform, inbox };
-        let (shutdown, shared, store) =
-            (self.shutdown.clone(), self.shared.clone(), self.store.clone());
-        let wanted = move || shared.is_reader() || !store.is_current();
-        spawn("platform", move || reader.run(&shutdown, wanted))?;
+        let (shutdown, spreading_status, store) =
+            (self.shutdown.clone(), self.spreading_status.clone(), self.store.clone());
+        let should_read = move || spreading_status.is_reader() || !store.is_current();
+        spawn("platform", move || reader.run(&shutdown, should_read))?;
         let shutdown = self.shutdown.clone();
-        spawn("instances", move || lister.run_list(&shutdown))?;
+        spawn("instances", move || list_reader.run_list(&shutdown))?;
         let shutdown = self.shutdown.clone();
         spawn("peers", move || peers.run(&shutdown))?;
         spawn("fetch", move || fetcher.run())?;
@@ -147,29 +149,29 @@
 
     fn start_spreading(
         &self,
-        observed: mpsc::Receiver<Member>,
+        observed_members: mpsc::Receiver<Member>,
         fetches: mpsc::Sender<Fetch>,
     ) -> Result<(), StartFault> {
         let address = self.settings.control_address;
         let bind_fault = |error: io::Error| StartFault::bind(address, &error);
         let own = NodeId::of(&self.settings.instance);
-        let ring = (self.keyrings())(FLEET)
+        let keyring = (self.keyrings())(FLEET)
             .ok_or_else(|| StartFault::new(codes::KEY_MISSING, "no key in the settings file"))?;
         let from = SocketAddr::new(address.ip(), 0);
-        let teller = Teller {
+        let agent_notifier = AgentNotifier {
             socket: UdpSocket::bind(from).map_err(bind_fault)?,
-            masters: self.masters(),
+            master_keys: self.master_keys(),
             sender: SenderId(own.0),
         };
         let spreading = Spreading::new(SpreadingConfig {
             own: Peer { id: own, zone: self.settings.zone.clone() },
-            link: Link::bind(address, ring, own).map_err(bind_fault)?,
-            teller,
+            link: Link::bind(address, keyring, own).map_err(bind_fault)?,
+            agent_notifier,
             store: self.store.clone(),
             instances: self.instances.clone(),
-            observed,
+            observed_members,
             fetches,
-            shared: self.shared.clone(),
+            status: self.spreading_status.clone(),
         });
         let shutdown = self.shutdown.clone();
         spawn("spread", move || spreading.run(&shutdown)).map(|_| ())
@@ -205,24 +207,24 @@
         log::info!("shutting down");
         let started = Instant::now();
         let grace = Duration::from_millis(self.settings.shutdown_grace_ms);
-        let (mut received, mut quiet_since) = (self.counters.received(), started);
-        while started.elapsed() < grace && quiet_since.elapsed() < QUIET {
+        let (mut received, mut idle_since) = (self.counters.received(), started);
+        while started.elapsed() < grace && idle_since.elapsed() < DRAIN_IDLE_TIMEOUT {
             publisher.publish_if_changed(boottime::now());
             thread::sleep(PUBLISH_INTERVAL);
             let now_received = self.counters.received();
             if now_received != received {
-                (received, quiet_since) = (now_received, Instant::now());
+                (received, idle_since) = (now_received, Instant::now());
             }
         }
     }
 
-    fn masters(&self) -> Vec<(KeyId, [u8; 32])> {
+    fn master_keys(&self) -> Vec<(KeyId, [u8; 32])> {
         self.settings.keys.iter().map(|key| (KeyId(key.id), key.secret)).collect()
     }
 
     fn keyrings(&self) -> Keyrings {
-        let masters = self.masters();
-        Arc::new(move |account| AccountKeyring::derive(&masters, AccountId::of(account)))
+        let master_keys = self.master_keys();
+        Arc::new(move |account| AccountKeyring::derive(&master_keys, AccountId::of(account)))
     }
 
     fn publisher(
@@ -233,11 +235,11 @@
         let sources = Sources {
             store: self.store.clone(),
             instances: self.instances.clone(),
-            shared: self.shared.clone(),
+            spreading_status: self.spreading_status.clone(),
             notices,
             members,
         };
-        Publisher::new(sources, self.published.clone(), self.masters())
+        Publisher::new(sources, self.published.clone(), self.master_keys())
     }
 }
 
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -47,10 +47,10 @@
     pub keyring: AccountKeyring,
 }
 
-/// The newest snapshot. A thread compares [`Published::generation`] with its own once per batch and
+/// The newest snapshot. A thread compares [`PublishedSnapshot::generation`] with its own once per batch and
 /// takes the lock only after a change.
 #[derive(Debug, Default)]
-pub struct Published {
+pub struct PublishedSnapshot {
     generation: AtomicU64,
     snapshot: Mutex<Arc<Snapshot>>,
     current: AtomicBool,
@@ -59,7 +59,7 @@
 /// One thread's hold on the newest snapshot.
 #[derive(Debug)]
 pub struct Subscription {
-    published: Arc<Published>,
+    published: Arc<PublishedSnapshot>,
     generation: u64,
     snapshot: Arc<Snapshot>,
 }
@@ -71,18 +71,18 @@
     /// ```
     /// use balancer::snapshot::Snapshot;
     /// use wire::sealed::KeyId;
-    /// let masters = [(KeyId(1), [0; 32])];
-    /// assert!(Snapshot::build(&Default::default(), vec![], &masters).is_some());
+    /// let master_keys = [(KeyId(1), [0; 32])];
+    /// assert!(Snapshot::build(&Default::default(), vec![], &master_keys).is_some());
     /// assert!(Snapshot::build(&Default::default(), vec![], &[]).is_none());
     /// ```
     pub fn build(
         view: &Arc<View>,
         down: Vec<UpstreamId>,
-        masters: &[(KeyId, [u8; 32])],
+        master_keys: &[(KeyId, [u8; 32])],
     ) -> Option<Self> {
         let derive =
-            |account: &Account| Some((account.id, AccountKeyring::derive(masters, account.id)?));
-        AccountKeyring::derive(masters, AccountId(0))?;
+            |owner: &Account| Some((owner.id, AccountKeyring::derive(master_keys, owner.id)?));
+        AccountKeyring::derive(master_keys, AccountId(0))?;
         let keyrings = view.accounts().iter().filter_map(derive).collect();
         let mut snapshot = Self { keyrings, ..Self::default() };
         for (index, service) in view.services().iter().enumerate() {
@@ -176,7 +176,7 @@
     Some(u64::from(address.to_bits()) << 17 | u64::from(endpoint.port) << 1 | transport)
 }
 
-impl Published {
+impl PublishedSnapshot {
     /// Replaces the snapshot.
     pub fn publish(&self, snapshot: Snapshot) {
         *self.snapshot.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(snapshot);
@@ -207,14 +207,14 @@
     ///
     /// ```
     /// use std::sync::Arc;
-    /// use balancer::snapshot::{Published, Snapshot, Subscription};
-    /// let published = Arc::new(Published::default());
+    /// use balancer::snapshot::{PublishedSnapshot, Snapshot, Subscription};
+    /// let published = Arc::new(PublishedSnapshot::default());
     /// let mut subscription = Subscription::new(published.clone());
     /// published.publish(Snapshot::default());
     /// assert!(subscription.refresh());
     /// assert!(!subscription.refresh());
     /// ```
-    pub fn new(published: Arc<Published>) -> Self {
+    pub fn new(published: Arc<PublishedSnapshot>) -> Self {
         let generation = published.generation.load(Ordering::Acquire);
         let snapshot = published.newest();
         Self { published, generation, snapshot }
--- a/crates/balancer/src/spreading/fetch.rs
+++ b/crates/balancer/src/spreading/fetch.rs
@@ -21,7 +21,7 @@
         accounts: Vec<AccountId>,
     },
     /// An account, or everything for [`ROOT`], of which no peer has delivered the newer version.
-    FromService(AccountId),
+    FromPlatform(AccountId),
 }
 
 /// The fetching thread.
@@ -37,34 +37,39 @@
     pub(crate) fn run(self) {
         while let Ok(fetch) = self.inbox.recv() {
             match fetch {
-                Fetch::FromPeer { peer, accounts } => self.ask_peer(peer, &accounts),
-                Fetch::FromService(account) => self.ask_service(account),
+                Fetch::FromPeer { peer, accounts } => self.fetch_from_peer(peer, &accounts),
+                Fetch::FromPlatform(account) => self.fetch_from_platform(account),
             }
         }
     }
 
-    fn ask_peer(&self, peer: SocketAddr, accounts: &[AccountId]) {
-        if let Err(error) = self.try_peer(peer, accounts) {
+    fn fetch_from_peer(&self, peer: SocketAddr, accounts: &[AccountId]) {
+        if let Err(error) = self.try_fetch_from_peer(peer, accounts) {
             let code = codes::PEER_UNREACHABLE;
             log::debug!(code = code.0; "{code}: peer {peer}: {error}");
         }
     }
 
     /// An account without a name here, or the root, is found by comparing everything.
-    fn try_peer(&self, peer: SocketAddr, accounts: &[AccountId]) -> Result<(), PeerError> {
-        let names: Option<Vec<Arc<str>>> = accounts.iter().map(|id| self.name(*id)).collect();
+    fn try_fetch_from_peer(
+        &self,
+        peer: SocketAddr,
+        accounts: &[AccountId],
+    ) -> Result<(), PeerError> {
+        let names: Option<Vec<Arc<str>>> =
+            accounts.iter().map(|id| self.account_name(*id)).collect();
         let Some(names) = names else { return self.peers.compare(peer) };
         self.peers.fetch_all(peer, &names)
     }
 
-    fn ask_service(&self, account: AccountId) {
-        match self.name(account) {
+    fn fetch_from_platform(&self, account: AccountId) {
+        match self.account_name(account) {
             Some(name) => self.platform.fetch(&name),
             None => self.platform.read_all(),
         }
     }
 
-    fn name(&self, account: AccountId) -> Option<Arc<str>> {
+    fn account_name(&self, account: AccountId) -> Option<Arc<str>> {
         if account == ROOT {
             return None;
         }
--- a/crates/balancer/src/spreading/link.rs
+++ b/crates/balancer/src/spreading/link.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct Link {
     socket: UdpSocket,
-    ring: AccountKeyring,
+    keyring: AccountKeyring,
     own: NodeId,
 }
 
@@ -33,10 +33,10 @@
     /// Binds the UDP port of `address`.
     ///
     /// Errors: those of the system calls.
-    pub fn bind(address: SocketAddr, ring: AccountKeyring, own: NodeId) -> io::Result<Self> {
+    pub fn bind(address: SocketAddr, keyring: AccountKeyring, own: NodeId) -> io::Result<Self> {
         let socket = UdpSocket::bind(address)?;
         socket.set_read_timeout(Some(RECEIVE_TIMEOUT))?;
-        Ok(Self { socket, ring, own })
+        Ok(Self { socket, keyring, own })
     }
 
     /// Address at which the link receives.
@@ -51,7 +51,8 @@
         let header =
             Header::control(AccountId::of(FLEET), ServiceId(0), Version(0), SenderId(self.own.0));
         let body = spread::encode(message);
-        if let Ok(datagram) = control_datagram(&self.ring, &header, spread::CONTROL_TYPE, &body) {
+        if let Ok(datagram) = control_datagram(&self.keyring, &header, spread::CONTROL_TYPE, &body)
+        {
             let _ = self.socket.send_to(&datagram, to);
         }
     }
@@ -69,7 +70,7 @@
         if frame.content != Content::Control(spread::CONTROL_TYPE) {
             return None;
         }
-        let opened = self.ring.open(frame.private, Payload::Control(frame.payload)).ok()?;
+        let opened = self.keyring.open(frame.private, Payload::Control(frame.payload)).ok()?;
         let message = spread::decode(frame.payload).ok()?;
         Some((NodeId(opened.header.sender.0), message))
     }
--- a/crates/balancer/src/spreading/mod.rs
+++ b/crates/balancer/src/spreading/mod.rs
@@ -25,11 +25,11 @@
 
 pub(crate) use fetch::{Fetch, Fetcher};
 use link::Link;
-pub(crate) use tell::Teller;
+pub(crate) use tell::AgentNotifier;
 
 /// What other threads read of the spreading.
 #[derive(Debug)]
-pub struct Shared {
+pub struct SpreadingStatus {
     is_reader: AtomicBool,
     generation: AtomicU64,
     down: Mutex<Vec<UpstreamId>>,
@@ -39,12 +39,12 @@
 pub(crate) struct SpreadingConfig {
     pub(crate) own: Peer,
     pub(crate) link: Link,
-    pub(crate) teller: Teller,
+    pub(crate) agent_notifier: AgentNotifier,
     pub(crate) store: Arc<Store>,
     pub(crate) instances: Arc<Instances>,
-    pub(crate) observed: mpsc::Receiver<Member>,
+    pub(crate) observed_members: mpsc::Receiver<Member>,
     pub(crate) fetches: mpsc::Sender<Fetch>,
-    pub(crate) shared: Arc<Shared>,
+    pub(crate) status: Arc<SpreadingStatus>,
 }
 
 /// The spreading thread's state.
@@ -54,11 +54,11 @@
     /// Control addresses of the other balancers, sorted by node.
     addresses: Vec<(NodeId, SocketAddr)>,
     /// Generations of settings and list at the last look; `None` before the first.
-    seen: (Option<u64>, Option<u64>),
+    seen_generations: (Option<u64>, Option<u64>),
     actions: Vec<SpreadAction>,
 }
 
-impl Default for Shared {
+impl Default for SpreadingStatus {
     /// Before the first list is heard everybody reads: better too many readers than none.
     fn default() -> Self {
         let (is_reader, generation) = (AtomicBool::new(true), AtomicU64::new(0));
@@ -66,13 +66,13 @@
     }
 }
 
-impl Shared {
+impl SpreadingStatus {
     /// Whether this instance watches the configuration service for its zone.
     pub fn is_reader(&self) -> bool {
         self.is_reader.load(Ordering::Relaxed)
     }
 
-    /// Number that grows with each change of [`Shared::down`].
+    /// Number that grows with each change of [`SpreadingStatus::down`].
     pub fn generation(&self) -> u64 {
         self.generation.load(Ordering::Acquire)
     }
@@ -92,7 +92,7 @@
     pub(crate) fn new(config: SpreadingConfig) -> Self {
         let spread = Spread::new(config.own.clone(), rand::random(), boottime::now());
         let (addresses, actions) = (Vec::new(), Vec::new());
-        Self { config, spread, addresses, seen: (None, None), actions }
+        Self { config, spread, addresses, seen_generations: (None, None), actions }
     }
 
     /// Spreads until the shutdown.
@@ -103,22 +103,22 @@
             if let Some((from, message)) = received {
                 self.handle(now, SpreadEvent::Message { from, message });
             }
-            self.take_list(now);
-            self.take_settings(now);
-            for member in self.config.observed.try_iter().collect::<Vec<_>>() {
+            self.apply_instance_list(now);
+            self.apply_settings(now);
+            for member in self.config.observed_members.try_iter().collect::<Vec<_>>() {
                 self.handle(now, SpreadEvent::Observed(member));
             }
             self.handle(now, SpreadEvent::Tick);
-            self.config.shared.is_reader.store(self.spread.is_reader(), Ordering::Relaxed);
+            self.config.status.is_reader.store(self.spread.is_reader(), Ordering::Relaxed);
         }
     }
 
-    fn take_list(&mut self, now: Millis) {
+    fn apply_instance_list(&mut self, now: Millis) {
         let generation = self.config.instances.generation();
-        if generation == 0 || self.seen.1 == Some(generation) {
+        if generation == 0 || self.seen_generations.1 == Some(generation) {
             return;
         }
-        self.seen.1 = Some(generation);
+        self.seen_generations.1 = Some(generation);
         let list = self.config.instances.list();
         let balancers = || list.iter().filter(|entry| entry.kind == Kind::Balancer);
         self.addresses = balancers()
@@ -134,7 +134,7 @@
 
     /// Tells the core what the store has put in force since the last look, and the agents that this
     /// balancer is to tell.
-    fn take_settings(&mut self, now: Millis) {
+    fn apply_settings(&mut self, now: Millis) {
         if self.config.store.is_current() {
             let age_ms = self.config.store.confirmed_age_ms();
             if age_ms < self.spread.confirmed_age_ms(now) {
@@ -142,12 +142,12 @@
             }
         }
         let generation = self.config.store.generation();
-        if self.seen.0 == Some(generation) {
+        if self.seen_generations.0 == Some(generation) {
             return;
         }
-        let is_first = self.seen.0.replace(generation).is_none();
+        let is_first = self.seen_generations.0.replace(generation).is_none();
         let view = self.config.store.view();
-        self.spread.retain_members(|agent| lists(&view, agent));
+        self.spread.retain_members(|agent| has_agent(&view, agent));
         if let Some((version, _)) = self.config.store.root() {
             self.handle(now, SpreadEvent::Installed { account: ROOT, version });
         }
@@ -159,14 +159,14 @@
             self.handle(now, SpreadEvent::Installed { account, version });
             // What a starting balancer finds in force is news to no agent.
             if !is_first {
-                self.tell_agents(&view, account, version);
+                self.notify_agents(&view, account, version);
             }
         }
     }
 
-    fn tell_agents(&self, view: &View, account: AccountId, version: Version) {
+    fn notify_agents(&self, view: &View, account: AccountId, version: Version) {
         let is_notifier = |agent| self.spread.is_notifier(agent);
-        self.config.teller.tell(view, account, version, is_notifier);
+        self.config.agent_notifier.notify(view, account, version, is_notifier);
     }
 
     fn handle(&mut self, now: Millis, event: SpreadEvent) {
@@ -186,8 +186,8 @@
                 let accounts = missing.iter().map(|version| version.account).collect();
                 self.fetch(Fetch::FromPeer { peer, accounts });
             }
-            SpreadAction::FetchFromService { account } => self.fetch(Fetch::FromService(account)),
-            SpreadAction::MembersChanged => self.config.shared.set_down(self.spread.down()),
+            SpreadAction::FetchFromService { account } => self.fetch(Fetch::FromPlatform(account)),
+            SpreadAction::MembersChanged => self.config.status.set_down(self.spread.down()),
         }
     }
 
@@ -208,7 +208,7 @@
     }
 }
 
-fn lists(view: &View, agent: UpstreamId) -> bool {
+fn has_agent(view: &View, agent: UpstreamId) -> bool {
     let keys = (0..view.services().len() as u32).map(decision::keys::ServiceKey);
     keys.into_iter().any(|service| view.find_upstream(service, agent).is_some())
 }
--- a/crates/balancer/src/spreading/tell.rs
+++ b/crates/balancer/src/spreading/tell.rs
@@ -8,28 +8,28 @@
 use wire::sealed::{AccountKeyring, Header, KeyId, SenderId, control_datagram};
 
 /// Sends notices to agents.
-pub(crate) struct Teller {
+pub(crate) struct AgentNotifier {
     pub(crate) socket: UdpSocket,
-    pub(crate) masters: Vec<(KeyId, [u8; 32])>,
+    pub(crate) master_keys: Vec<(KeyId, [u8; 32])>,
     pub(crate) sender: SenderId,
 }
 
-impl Teller {
+impl AgentNotifier {
     /// Tells the account's agents that `is_notifier` gives to this balancer. A notice that is lost is
     /// made up for by the other notifier, by a packet, or by the agent's next comparison.
-    pub(crate) fn tell(
+    pub(crate) fn notify(
         &self,
         view: &View,
         account: AccountId,
         version: Version,
         is_notifier: impl Fn(UpstreamId) -> bool,
     ) {
-        let Some(ring) = AccountKeyring::derive(&self.masters, account) else { return };
+        let Some(keyring) = AccountKeyring::derive(&self.master_keys, account) else { return };
         let Some(key) = view.find_account(account) else { return };
         let body = notice::encode(Notice::Settings { version: version.0 });
         for service in view.services().iter().filter(|service| service.account == key) {
             let header = Header::control(account, service.id, version, self.sender);
-            let sealed = control_datagram(&ring, &header, notice::CONTROL_TYPE, &body);
+            let sealed = control_datagram(&keyring, &header, notice::CONTROL_TYPE, &body);
             let Ok(datagram) = sealed else { return };
             for upstream in service.upstream_keys().map(|key| view.upstream(key)) {
                 if is_notifier(upstream.id) {
--- a/crates/balancer/src/worker.rs
+++ b/crates/balancer/src/worker.rs
@@ -11,7 +11,7 @@
 use crate::counters::{Counters, Counts, DropReason};
 use crate::forward::{self, Identity, PAYLOAD_START};
 use crate::notices::{self, AgentNotice};
-use crate::snapshot::{Published, Snapshot, Subscription};
+use crate::snapshot::{PublishedSnapshot, Snapshot, Subscription};
 
 /// How often an idle thread looks whether it should end.
 const IDLE_CHECK: Duration = Duration::from_millis(100);
@@ -20,11 +20,11 @@
 pub(crate) struct Worker {
     pub(crate) socket: UdpSocket,
     pub(crate) identity: Identity,
-    pub(crate) published: Arc<Published>,
+    pub(crate) published: Arc<PublishedSnapshot>,
     pub(crate) counters: Counters,
     /// Takes what agents tell to the thread that publishes snapshots.
     pub(crate) notices: mpsc::Sender<AgentNotice>,
-    pub(crate) end: Arc<AtomicBool>,
+    pub(crate) stop: Arc<AtomicBool>,
 }
 
 /// Binds the sockets that share the data address.
@@ -44,7 +44,7 @@
         let mut sender = Sender::default();
         let mut subscription = Subscription::new(self.published.clone());
         let mut counts = Counts::default();
-        while !self.end.load(Ordering::Relaxed) {
+        while !self.stop.load(Ordering::Relaxed) {
             match receiver.receive(&self.socket) {
                 Ok(0) => continue,
                 Ok(received) => counts.received += received as u64,
@@ -90,7 +90,7 @@
         counts: &mut Counts,
     ) {
         let is_control = reason == DropReason::UnsupportedProtocol;
-        match is_control.then(|| notices::read(snapshot, datagram)).flatten() {
+        match is_control.then(|| notices::open(snapshot, datagram)).flatten() {
             Some(notice) => {
                 // The publisher lives as long as the process.
                 let _ = self.notices.send(notice);
--- a/crates/balancer/tests/explain.rs
+++ b/crates/balancer/tests/explain.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use balancer::http;
-use balancer::snapshot::{Published, Snapshot};
+use balancer::snapshot::{PublishedSnapshot, Snapshot};
 use decision::keys::{ServiceId, UpstreamId};
 use rstest::rstest;
 use shell::http::client::{Client, ClientError};
@@ -38,7 +38,7 @@
     store.offer_root(ROOT, Source::Platform);
     store.offer_account("cascadia", SUBTREE, Source::Platform);
     let down = down.iter().map(|name| UpstreamId::of("cascadia", "shelf", name)).collect();
-    let published: Arc<Published> = Arc::default();
+    let published: Arc<PublishedSnapshot> = Arc::default();
     published.publish(Snapshot::build(&store.view(), down, &[(KeyId(1), [7; 32])]).unwrap());
     let shown = Shown {
         instance: "bal-1".into(),
--- a/crates/balancer/tests/forward.rs
+++ b/crates/balancer/tests/forward.rs
@@ -18,7 +18,7 @@
 use wire::inner;
 use wire::sealed::{AccountKeyring, KeyId, Payload};
 
-const MASTERS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
+const MASTER_KEYS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
 
 fn upstream(index: u8) -> UpstreamSpec {
     UpstreamSpec {
@@ -58,7 +58,7 @@
             service("empty", 80, Transport::Tcp, 0),
         ],
     };
-    Snapshot::build(&Arc::new(view::build(&[account])), down, &MASTERS).unwrap()
+    Snapshot::build(&Arc::new(view::build(&[account])), down, &MASTER_KEYS).unwrap()
 }
 
 /// Forwards a datagram with the snapshot and returns receiver and what is sent.
@@ -130,9 +130,9 @@
     let (_, sent) = forwarded(&snapshot(vec![]), "bal-c1", &datagram).unwrap();
     let received = gue::parse(&sent).unwrap();
     assert_eq!(received.payload, packet, "the packet inside is never rewritten");
-    let ring = AccountKeyring::derive(&MASTERS, AccountId::of("cascadia")).unwrap();
+    let keyring = AccountKeyring::derive(&MASTER_KEYS, AccountId::of("cascadia")).unwrap();
     let payload = Payload::Packet { bytes: received.payload, header_bytes: 0 };
-    let header = ring.open(received.private, payload).unwrap().header;
+    let header = keyring.open(received.private, payload).unwrap().header;
     assert_eq!(header.service, ServiceId::of("cascadia", service));
     assert_eq!(header.flow, inner::parse(&packet).unwrap().flow_id(&[1; 16]));
     assert_eq!((header.version, header.hops, header.passed), (Version(7), 0, Passed::Fresh));
--- a/crates/balancer/tests/link.rs
+++ b/crates/balancer/tests/link.rs
@@ -9,12 +9,12 @@
 use wire::exchange::FLEET;
 use wire::sealed::{AccountKeyring, KeyId};
 
-const MASTERS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
-const OTHER_MASTERS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [8; 32])];
+const MASTER_KEYS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
+const OTHER_MASTER_KEYS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [8; 32])];
 
-fn link(masters: &[(KeyId, [u8; 32])], account: &str, node: u64) -> Link {
-    let ring = AccountKeyring::derive(masters, AccountId::of(account)).unwrap();
-    Link::bind("127.0.0.1:0".parse().unwrap(), ring, NodeId(node)).unwrap()
+fn link(master_keys: &[(KeyId, [u8; 32])], account: &str, node: u64) -> Link {
+    let keyring = AccountKeyring::derive(master_keys, AccountId::of(account)).unwrap();
+    Link::bind("127.0.0.1:0".parse().unwrap(), keyring, NodeId(node)).unwrap()
 }
 
 fn message() -> SpreadMessage {
@@ -24,11 +24,11 @@
 /// What a balancer takes from a datagram sent by `sender`. An agent, which holds its account's key
 /// only, could otherwise tell all balancers that the agents of a rival are down.
 #[rstest]
-#[case::balancer(link(&MASTERS, FLEET, 2), Some((NodeId(2), message())))]
-#[case::agent_with_account_key(link(&MASTERS, "cascadia", 2), None)]
-#[case::stranger(link(&OTHER_MASTERS, FLEET, 2), None)]
+#[case::balancer(link(&MASTER_KEYS, FLEET, 2), Some((NodeId(2), message())))]
+#[case::agent_with_account_key(link(&MASTER_KEYS, "cascadia", 2), None)]
+#[case::stranger(link(&OTHER_MASTER_KEYS, FLEET, 2), None)]
 fn receive_from(#[case] sender: Link, #[case] expected: Option<(NodeId, SpreadMessage)>) {
-    let receiver = link(&MASTERS, FLEET, 1);
+    let receiver = link(&MASTER_KEYS, FLEET, 1);
     sender.send(receiver.local_address().unwrap(), &message());
     assert_eq!(receiver.receive(), expected);
 }
@@ -38,7 +38,7 @@
 #[case::not_gue(&[0xff; 40])]
 #[case::truncated(&[0x20, 3, 0, 0, 1, 2])]
 fn receive_garbage(#[case] datagram: &[u8]) {
-    let receiver = link(&MASTERS, FLEET, 1);
+    let receiver = link(&MASTER_KEYS, FLEET, 1);
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.send_to(datagram, receiver.local_address().unwrap()).unwrap();
     assert_eq!(receiver.receive(), None);
--- a/crates/balancer/tests/notices.rs
+++ b/crates/balancer/tests/notices.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use balancer::notices::{LEAVING_MS, LeavingAgents, read};
+use balancer::notices::{LEAVING_TTL_MS, LeavingAgents, open};
 use balancer::snapshot::Snapshot;
 use decision::agent::Passed;
 use decision::keys::{AccountId, FlowId, ServiceId, UpstreamId, Version};
@@ -15,7 +15,7 @@
 use wire::notice::{self, Notice};
 use wire::sealed::{AccountKeyring, Header, KeyId, Payload, SEALED_BYTES, SenderId};
 
-const MASTERS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
+const MASTER_KEYS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
 
 fn account(name: &str, service: &str) -> AccountSpec {
     let upstream = UpstreamSpec {
@@ -60,9 +60,9 @@
         sender: SenderId(shelf().0),
     };
     let body = notice::encode(Notice::Leaving);
-    let ring = AccountKeyring::derive(&MASTERS, AccountId::of(key_of)).unwrap();
+    let keyring = AccountKeyring::derive(&MASTER_KEYS, AccountId::of(key_of)).unwrap();
     let mut private = [0; SEALED_BYTES];
-    ring.seal(&header, Payload::Control(&body), &mut private).unwrap();
+    keyring.seal(&header, Payload::Control(&body), &mut private).unwrap();
     let mut datagram = Vec::new();
     gue::encode(Content::Control(control_type), &private, &body, &mut datagram);
     datagram
@@ -78,20 +78,21 @@
 #[case::message_between_agents(datagram("cascadia", "cascadia", 1), false)]
 #[case::garbage(vec![0x30, 2, 0, 0, 1, 2, 3], false)]
 fn leaving_after_datagram(#[case] datagram: Vec<u8>, #[case] passed_over: bool) {
-    let snapshot = Snapshot::build(&fleet(), vec![], &MASTERS).unwrap();
+    let snapshot = Snapshot::build(&fleet(), vec![], &MASTER_KEYS).unwrap();
     let mut agents = LeavingAgents::default();
-    let heard = read(&snapshot, &datagram);
-    if let Some(heard) = heard.filter(|heard| heard.owns(&fleet(), heard.sender)) {
-        agents.add(Millis(0), heard.sender);
+    let notice = open(&snapshot, &datagram);
+    if let Some(notice) = notice.filter(|notice| notice.is_authorized_for(&fleet(), notice.sender))
+    {
+        agents.add(Millis(0), notice.sender);
     }
-    assert_eq!(agents.at(Millis(0)), if passed_over { vec![shelf()] } else { vec![] });
+    assert_eq!(agents.unexpired(Millis(0)), if passed_over { vec![shelf()] } else { vec![] });
 }
 
 #[rstest]
-#[case::just_told(LEAVING_MS - 1, true)]
-#[case::restarted_meanwhile(LEAVING_MS, false)]
+#[case::just_told(LEAVING_TTL_MS - 1, true)]
+#[case::restarted_meanwhile(LEAVING_TTL_MS, false)]
 fn leaving_expires(#[case] now_ms: u64, #[case] passed_over: bool) {
     let mut agents = LeavingAgents::default();
     agents.add(Millis(0), shelf());
-    assert_eq!(!agents.at(Millis(now_ms)).is_empty(), passed_over);
+    assert_eq!(!agents.unexpired(Millis(now_ms)).is_empty(), passed_over);
 }
--- a/crates/balancer/tests/publish.rs
+++ b/crates/balancer/tests/publish.rs
@@ -4,7 +4,7 @@
 
 use balancer::notices::AgentNotice;
 use balancer::publish::{Publisher, Sources};
-use balancer::snapshot::Published;
+use balancer::snapshot::PublishedSnapshot;
 use decision::keys::{AccountId, ServiceId, UpstreamId};
 use decision::spread::Member;
 use decision::time::Millis;
@@ -35,12 +35,12 @@
 
 fn publisher(
     store: &Arc<Store>,
-    published: &Arc<Published>,
+    published: &Arc<PublishedSnapshot>,
     notices: mpsc::Receiver<AgentNotice>,
     members: mpsc::Sender<Member>,
 ) -> Publisher {
-    let (instances, shared) = (Arc::default(), Arc::default());
-    let sources = Sources { store: store.clone(), instances, shared, notices, members };
+    let (instances, spreading_status) = (Arc::default(), Arc::default());
+    let sources = Sources { store: store.clone(), instances, spreading_status, notices, members };
     Publisher::new(sources, published.clone(), vec![(KeyId(1), [7; 32])])
 }
 
@@ -64,7 +64,7 @@
 #[case::published(&[Step::PeersAsked, Step::SettingsRead, Step::Published], true)]
 fn ready_after_steps(#[case] steps: &[Step], #[case] ready: bool) {
     let store = store();
-    let published = Arc::new(Published::default());
+    let published = Arc::new(PublishedSnapshot::default());
     let (_notices, inbox) = mpsc::channel();
     let (members, _observed) = mpsc::channel();
     let mut publisher = publisher(&store, &published, inbox, members);
@@ -97,7 +97,7 @@
     store.offer_root(ROOT, Source::Platform);
     store.offer_account("cascadia", SUBTREE, Source::Platform);
     let (notices, inbox) = mpsc::channel();
-    let (members, observed) = mpsc::channel();
+    let (members, observed_members) = mpsc::channel();
     let mut publisher = publisher(&store, &Arc::default(), inbox, members);
     let upstream = UpstreamId::of("cascadia", "shelf", about);
     let notice = Notice::Peer { upstream: upstream.0, beat: 5, up: false };
@@ -105,5 +105,5 @@
     notices.send(AgentNotice { account, service, sender: UpstreamId(1), notice }).unwrap();
     publisher.publish_if_changed(Millis(0));
     let expected = passed_on.then_some(Member { upstream, beat: 5, up: false });
-    assert_eq!(observed.try_recv().ok(), expected);
+    assert_eq!(observed_members.try_recv().ok(), expected);
 }
