--- a/crates/balancer/tests/explain.rs
+++ b/crates/balancer/tests/explain.rs
@@ -32,7 +32,7 @@
 ";
 
 /// Asks a balancer for which the agents called `down` are down.
-fn ask(path: &str, down: &[&str]) -> Result<String, ClientError> {
+fn get_from_balancer(path: &str, down: &[&str]) -> Result<String, ClientError> {
     let timeline = Arc::new(Timeline::new("bal".into(), 8));
     let store = Arc::new(Store::new(Scope::All, timeline.clone()));
     store.offer_root(ROOT, Source::Platform);
@@ -55,7 +55,7 @@
     Ok(String::from_utf8(body).unwrap())
 }
 
-fn answer(address: &str) -> String {
+fn expected_reply(address: &str) -> String {
     format!(r#"{{"instance":"bal-1","version":7,"home":"{address}"}}"#)
 }
 
@@ -64,14 +64,14 @@
 #[case::first_down(&["shelf-1"], "127.0.0.1:4")]
 fn explain_home(#[case] down: &[&str], #[case] expected: &str) {
     let service = ServiceId::of("cascadia", "shelf").0;
-    let found = ask(&format!("/explain?service={service:016x}&flow=5"), down);
-    assert_eq!(found, Ok(answer(expected)));
+    let found = get_from_balancer(&format!("/explain?service={service:016x}&flow=5"), down);
+    assert_eq!(found, Ok(expected_reply(expected)));
 }
 
 #[rstest]
 #[case::no_flow("/explain?service=5", 400)]
 #[case::bad_flow("/explain?service=5&flow=xyz", 400)]
 #[case::unknown_service("/explain?service=5&flow=5", 404)]
-fn explain_refused(#[case] path: &str, #[case] status: u16) {
-    assert_eq!(ask(path, &[]), Err(ClientError::Status(status)));
+fn explain_error_status(#[case] path: &str, #[case] status: u16) {
+    assert_eq!(get_from_balancer(path, &[]), Err(ClientError::Status(status)));
 }
--- a/crates/balancer/tests/forward.rs
+++ b/crates/balancer/tests/forward.rs
@@ -45,7 +45,7 @@
     }
 }
 
-fn snapshot(down: Vec<UpstreamId>) -> Snapshot {
+fn build_snapshot(down: Vec<UpstreamId>) -> Snapshot {
     let mut shelf = service("shelf", 8_443, Transport::Tcp, 3);
     let address = "2001:db8::2".parse().unwrap();
     shelf.endpoints.push(Endpoint { address, port: 8_443, transport: Transport::Tcp });
@@ -62,7 +62,7 @@
 }
 
 /// Forwards a datagram with the snapshot and returns receiver and what is sent.
-fn forwarded(
+fn forward_datagram(
     snapshot: &Snapshot,
     instance: &str,
     datagram: &[u8],
@@ -111,13 +111,13 @@
 #[case::not_gue(vec![0xff; 60], DropReason::Malformed)]
 #[case::private_data(frame(Content::Ipv4, &[0; 64], &tcp(8_443)), DropReason::Malformed)]
 #[case::control(frame(Content::Control(1), &[], b"message"), DropReason::UnsupportedProtocol)]
-#[case::half_a_packet(frame(Content::Ipv4, &[], &tcp(8_443)[..30]), DropReason::Malformed)]
+#[case::truncated_packet(frame(Content::Ipv4, &[], &tcp(8_443)[..30]), DropReason::Malformed)]
 #[case::fragment(frame(Content::Ipv4, &[], &fragment()), DropReason::Fragment)]
 #[case::unknown_port(frame(Content::Ipv4, &[], &tcp(22)), DropReason::NoService)]
 #[case::other_transport(frame(Content::Ipv4, &[], &udp(8_443)), DropReason::NoService)]
 #[case::no_upstream(frame(Content::Ipv4, &[], &tcp(80)), DropReason::NoAgent)]
 fn forward_dropped(#[case] datagram: Vec<u8>, #[case] expected: DropReason) {
-    assert_eq!(forwarded(&snapshot(vec![]), "bal-c1", &datagram), Err(expected));
+    assert_eq!(forward_datagram(&build_snapshot(vec![]), "bal-c1", &datagram), Err(expected));
 }
 
 #[rstest]
@@ -127,7 +127,7 @@
 fn forward_sealed(#[case] packet: Vec<u8>, #[case] service: &str) {
     let content = if packet[0] >> 4 == 4 { Content::Ipv4 } else { Content::Ipv6 };
     let datagram = frame(content, &[], &packet);
-    let (_, sent) = forwarded(&snapshot(vec![]), "bal-c1", &datagram).unwrap();
+    let (_, sent) = forward_datagram(&build_snapshot(vec![]), "bal-c1", &datagram).unwrap();
     let received = gue::parse(&sent).unwrap();
     assert_eq!(received.payload, packet, "the packet inside is never rewritten");
     let keyring = AccountKeyring::derive(&MASTER_KEYS, AccountId::of("cascadia")).unwrap();
@@ -141,16 +141,16 @@
 /// Two balancers with the same settings and liveness send a flow to the same agent, and pass over
 /// its home only when that is believed down.
 #[test]
-fn forward_same_home_everywhere() {
+fn forward_same_home_on_all_balancers() {
     let datagram = frame(Content::Ipv4, &[], &tcp(8_443));
-    let to = |down: Vec<UpstreamId>, instance: &str| {
-        forwarded(&snapshot(down), instance, &datagram).unwrap().0
+    let home_for = |down: Vec<UpstreamId>, instance: &str| {
+        forward_datagram(&build_snapshot(down), instance, &datagram).unwrap().0
     };
-    let home = to(vec![], "bal-c1");
-    assert_eq!(to(vec![], "bal-c2"), home);
+    let home = home_for(vec![], "bal-c1");
+    assert_eq!(home_for(vec![], "bal-c2"), home);
     let names = ["shelf-1", "shelf-2", "shelf-3"];
     let ids = names.map(|name| UpstreamId::of("cascadia", "shelf", name));
-    let moved = ids.iter().filter(|id| to(vec![**id], "bal-c1") != home).count();
-    assert_eq!(moved, 1, "only the loss of the home itself moves the flow");
-    assert_eq!(to(ids.to_vec(), "bal-c1"), home, "all down is no reason to drop");
+    let moving = ids.iter().filter(|id| home_for(vec![**id], "bal-c1") != home).count();
+    assert_eq!(moving, 1, "only the loss of the home itself moves the flow");
+    assert_eq!(home_for(ids.to_vec(), "bal-c1"), home, "all down is no reason to drop");
 }
--- a/crates/balancer/tests/link.rs
+++ b/crates/balancer/tests/link.rs
@@ -26,7 +26,7 @@
 #[rstest]
 #[case::balancer(link(&MASTER_KEYS, FLEET, 2), Some((NodeId(2), message())))]
 #[case::agent_with_account_key(link(&MASTER_KEYS, "cascadia", 2), None)]
-#[case::stranger(link(&OTHER_MASTER_KEYS, FLEET, 2), None)]
+#[case::other_master_key(link(&OTHER_MASTER_KEYS, FLEET, 2), None)]
 fn receive_from(#[case] sender: Link, #[case] expected: Option<(NodeId, SpreadMessage)>) {
     let receiver = link(&MASTER_KEYS, FLEET, 1);
     sender.send(receiver.local_address().unwrap(), &message());
@@ -37,7 +37,7 @@
 #[case::empty(&[])]
 #[case::not_gue(&[0xff; 40])]
 #[case::truncated(&[0x20, 3, 0, 0, 1, 2])]
-fn receive_garbage(#[case] datagram: &[u8]) {
+fn receive_malformed(#[case] datagram: &[u8]) {
     let receiver = link(&MASTER_KEYS, FLEET, 1);
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.send_to(datagram, receiver.local_address().unwrap()).unwrap();
--- a/crates/balancer/tests/liveness.rs
+++ b/crates/balancer/tests/liveness.rs
@@ -51,11 +51,11 @@
 /// `lists` come one after the other, each with the names of live agents; `down` is believed after
 /// the last one.
 #[rstest]
-#[case::no_list_yet(&[], &[])]
+#[case::no_list(&[], &[])]
 #[case::never_listed(&["a"], &[])]
-#[case::listed_and_gone(&["a b", "a"], &["b"])]
-#[case::back_again(&["a b", "a", "a b"], &[])]
-#[case::list_lost(&["a b", ""], &[])]
+#[case::delisted(&["a b", "a"], &["b"])]
+#[case::listed_again(&["a b", "a", "a b"], &[])]
+#[case::empty_list(&["a b", ""], &[])]
 #[case::not_in_settings(&["a c", "a"], &[])]
 fn down_after_lists(#[case] lists: &[&str], #[case] expected: &[&str]) {
     let (mut liveness, mut down) = (Liveness::default(), vec![]);
--- a/crates/balancer/tests/notices.rs
+++ b/crates/balancer/tests/notices.rs
@@ -40,27 +40,27 @@
     AccountSpec { name: name.into(), version: Version(1), services: vec![service] }
 }
 
-fn fleet() -> Arc<View> {
+fn view_of_two_accounts() -> Arc<View> {
     Arc::new(view::build(&[account("cascadia", "shelf"), account("bajio", "fitting")]))
 }
 
-fn shelf() -> UpstreamId {
+fn shelf_agent() -> UpstreamId {
     UpstreamId::of("cascadia", "shelf", "1")
 }
 
 /// A notice about `shelf`, sealed with the key of one account and naming another.
-fn datagram(key_of: &str, named: &str, control_type: u8) -> Vec<u8> {
+fn datagram(sealed_by: &str, claimed: &str, control_type: u8) -> Vec<u8> {
     let header = Header {
         hops: 0,
         passed: Passed::Fresh,
-        account: AccountId::of(named),
+        account: AccountId::of(claimed),
         service: ServiceId::of("cascadia", "shelf"),
         flow: FlowId(0),
         version: Version(1),
-        sender: SenderId(shelf().0),
+        sender: SenderId(shelf_agent().0),
     };
     let body = notice::encode(Notice::Leaving);
-    let keyring = AccountKeyring::derive(&MASTER_KEYS, AccountId::of(key_of)).unwrap();
+    let keyring = AccountKeyring::derive(&MASTER_KEYS, AccountId::of(sealed_by)).unwrap();
     let mut private = [0; SEALED_BYTES];
     keyring.seal(&header, Payload::Control(&body), &mut private).unwrap();
     let mut datagram = Vec::new();
@@ -72,27 +72,28 @@
 /// agents, neither under its own name nor under the other's.
 #[rstest]
 #[case::own_agent(datagram("cascadia", "cascadia", notice::CONTROL_TYPE), true)]
-#[case::rival_under_own_name(datagram("bajio", "bajio", notice::CONTROL_TYPE), false)]
-#[case::rival_under_other_name(datagram("bajio", "cascadia", notice::CONTROL_TYPE), false)]
+#[case::other_account_own_name(datagram("bajio", "bajio", notice::CONTROL_TYPE), false)]
+#[case::other_account_forged_name(datagram("bajio", "cascadia", notice::CONTROL_TYPE), false)]
 #[case::unknown_account(datagram("ghost", "ghost", notice::CONTROL_TYPE), false)]
 #[case::message_between_agents(datagram("cascadia", "cascadia", 1), false)]
-#[case::garbage(vec![0x30, 2, 0, 0, 1, 2, 3], false)]
+#[case::malformed(vec![0x30, 2, 0, 0, 1, 2, 3], false)]
 fn leaving_after_datagram(#[case] datagram: Vec<u8>, #[case] passed_over: bool) {
-    let snapshot = Snapshot::build(&fleet(), vec![], &MASTER_KEYS).unwrap();
+    let snapshot = Snapshot::build(&view_of_two_accounts(), vec![], &MASTER_KEYS).unwrap();
     let mut agents = LeavingAgents::default();
     let notice = open(&snapshot, &datagram);
-    if let Some(notice) = notice.filter(|notice| notice.is_authorized_for(&fleet(), notice.sender))
+    if let Some(notice) =
+        notice.filter(|notice| notice.is_authorized_for(&view_of_two_accounts(), notice.sender))
     {
         agents.add(Millis(0), notice.sender);
     }
-    assert_eq!(agents.unexpired(Millis(0)), if passed_over { vec![shelf()] } else { vec![] });
+    assert_eq!(agents.unexpired(Millis(0)), if passed_over { vec![shelf_agent()] } else { vec![] });
 }
 
 #[rstest]
-#[case::just_told(LEAVING_TTL_MS - 1, true)]
-#[case::restarted_meanwhile(LEAVING_TTL_MS, false)]
+#[case::before_expiry(LEAVING_TTL_MS - 1, true)]
+#[case::at_expiry(LEAVING_TTL_MS, false)]
 fn leaving_expires(#[case] now_ms: u64, #[case] passed_over: bool) {
     let mut agents = LeavingAgents::default();
-    agents.add(Millis(0), shelf());
+    agents.add(Millis(0), shelf_agent());
     assert_eq!(!agents.unexpired(Millis(now_ms)).is_empty(), passed_over);
 }
--- a/crates/balancer/tests/publish.rs
+++ b/crates/balancer/tests/publish.rs
@@ -56,7 +56,7 @@
 /// balancer was ready when its settings were read but not yet in its receiving threads: datagrams
 /// of the first 25 ms found no service and were lost (lab --quick, seeds 5 and 7).
 #[rstest]
-#[case::nothing_yet(&[], false)]
+#[case::no_steps(&[], false)]
 #[case::published_empty(&[Step::Published], false)]
 #[case::read_but_not_published(&[Step::PeersAsked, Step::SettingsRead], false)]
 #[case::published_before_read(&[Step::PeersAsked, Step::Published, Step::SettingsRead], false)]
@@ -82,17 +82,17 @@
     assert_eq!(published.is_current(), ready);
     let address = "203.0.113.1".parse().unwrap();
     let endpoint = Endpoint { address, port: 443, transport: Transport::Tcp };
-    let serves = published.newest().find_by_endpoint(endpoint).is_some();
-    assert!(serves || !ready, "ready without a service to forward to");
+    let finds_service = published.newest().find_by_endpoint(endpoint).is_some();
+    assert!(finds_service || !ready, "ready without a service to forward to");
 }
 
 /// Members that spreading gets to hear of after one notice. An account that could report another's
 /// agents as down would turn their traffic away.
 #[rstest]
 #[case::own_peer("cascadia", "shelf-1", true)]
-#[case::rival_account("bajio", "shelf-1", false)]
+#[case::other_account("bajio", "shelf-1", false)]
 #[case::unknown_upstream("cascadia", "shelf-2", false)]
-fn take_peer_notice(#[case] sealed_by: &str, #[case] about: &str, #[case] passed_on: bool) {
+fn peer_notice_authorization(#[case] sealed_by: &str, #[case] about: &str, #[case] accepted: bool) {
     let store = store();
     store.offer_root(ROOT, Source::Platform);
     store.offer_account("cascadia", SUBTREE, Source::Platform);
@@ -104,6 +104,6 @@
     let (account, service) = (AccountId::of(sealed_by), ServiceId::of("cascadia", "shelf"));
     notices.send(AgentNotice { account, service, sender: UpstreamId(1), notice }).unwrap();
     publisher.publish_if_changed(Millis(0));
-    let expected = passed_on.then_some(Member { upstream, beat: 5, up: false });
+    let expected = accepted.then_some(Member { upstream, beat: 5, up: false });
     assert_eq!(observed_members.try_recv().ok(), expected);
 }
--- a/crates/balancer/tests/start.rs
+++ b/crates/balancer/tests/start.rs
@@ -22,21 +22,21 @@
 "#;
 
 /// Settings with addresses that nothing is bound to, since these starts fail before.
-fn valid() -> String {
+fn valid_settings() -> String {
     SETTINGS.replace("DATA", "127.0.0.1:1").replace("CONTROL", "127.0.0.1:2")
 }
 
-fn write(name: &str, yaml: &str) -> PathBuf {
+fn write_settings(name: &str, yaml: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.yaml"));
     fs::write(&path, yaml).unwrap();
     path
 }
 
-fn start(arguments: &[&str]) -> Output {
+fn run_balancer(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_gooseberrysill-balancer")).args(arguments).output().unwrap()
 }
 
-fn check(output: &Output, exit_code: i32, expected: &str) {
+fn assert_failed_start(output: &Output, exit_code: i32, expected: &str) {
     let text = String::from_utf8(output.stderr.clone()).unwrap();
     let lines: Vec<&str> = text.lines().filter(|line| !line.starts_with('{')).collect();
     assert_eq!(lines.len(), 1, "{text}");
@@ -59,9 +59,9 @@
 ) {
     let path = match replaced {
         "" => PathBuf::from("no-such-file.yaml"),
-        _ => write(name, &valid().replace(replaced, by)),
+        _ => write_settings(name, &valid_settings().replace(replaced, by)),
     };
-    check(&start(&["--settings", path.to_str().unwrap()]), 1, expected);
+    assert_failed_start(&run_balancer(&["--settings", path.to_str().unwrap()]), 1, expected);
 }
 
 #[test]
@@ -69,8 +69,12 @@
     let taken = UdpSocket::bind("127.0.0.1:0").unwrap();
     let data = taken.local_addr().unwrap().to_string();
     let yaml = SETTINGS.replace("DATA", &data).replace("CONTROL", "127.0.0.1:1");
-    let path = write("data_port_taken", &yaml);
-    check(&start(&["--settings", path.to_str().unwrap()]), 1, "E3004: cannot listen on");
+    let path = write_settings("data_port_taken", &yaml);
+    assert_failed_start(
+        &run_balancer(&["--settings", path.to_str().unwrap()]),
+        1,
+        "E3004: cannot listen on",
+    );
 }
 
 #[test]
@@ -79,20 +83,24 @@
     let control = taken.local_addr().unwrap().to_string();
     let free = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
     let yaml = SETTINGS.replace("DATA", &free).replace("CONTROL", &control);
-    let path = write("control_port_taken", &yaml);
-    check(&start(&["--settings", path.to_str().unwrap()]), 1, "E3004: cannot listen on");
+    let path = write_settings("control_port_taken", &yaml);
+    assert_failed_start(
+        &run_balancer(&["--settings", path.to_str().unwrap()]),
+        1,
+        "E3004: cannot listen on",
+    );
 }
 
 #[test]
 fn start_wrong_option() {
-    check(&start(&["--port", "1"]), 2, "E3001: invalid option '--port'");
+    assert_failed_start(&run_balancer(&["--port", "1"]), 2, "E3001: invalid option '--port'");
 }
 
 #[rstest]
 #[case::help("--help", "Usage: gooseberrysill-balancer --settings FILE")]
 #[case::version("--version", env!("CARGO_PKG_VERSION"))]
-fn start_asked_for(#[case] option: &str, #[case] expected: &str) {
-    let output = start(&[option]);
+fn start_help_and_version(#[case] option: &str, #[case] expected: &str) {
+    let output = run_balancer(&[option]);
     assert!(String::from_utf8(output.stdout).unwrap().contains(expected));
     assert_eq!(output.status.code(), Some(0));
 }
