--- a/crates/balancer/benches/forward.rs
+++ b/crates/balancer/benches/forward.rs
@@ -1,4 +1,4 @@
-//! Cost of one packet in the balancer at target size, sockets left out. The columns for
+//! Time per packet in a balancer with a fleet of the target size, without sockets. The columns for
 //! allocations must read zero.
 
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 #[global_allocator]
 static ALLOCATOR: AllocProfiler = AllocProfiler::system();
 
-/// Services and upstreams of the fleet in two years.
+/// Services in the target fleet, which is the size expected in two years.
 const SERVICES: u32 = 1_900;
 const UPSTREAMS_PER_SERVICE: u32 = 5;
 const PACKETS: u32 = 4_096;
@@ -65,7 +65,7 @@
     Snapshot::build(&Arc::new(view::build(&[spec])), vec![], &[(KeyId(1), [7; 32])]).unwrap()
 }
 
-/// Datagrams of many callers to all services, in an order that no cache likes.
+/// Datagrams of many callers to all services, in a scattered order that defeats CPU caches.
 fn datagrams() -> Vec<Vec<u8>> {
     let datagram = |index: u32| {
         let service = index.wrapping_mul(2_654_435_761) % SERVICES;
@@ -79,7 +79,7 @@
     (0..PACKETS).map(datagram).collect()
 }
 
-/// 4,096 packets through parsing, lookup, routing and sealing.
+/// Parses, looks up, routes and seals 4,096 packets.
 #[divan::bench]
 fn forward_packets(bencher: Bencher<'_, '_>) {
     let (snapshot, datagrams) = (snapshot(), datagrams());
@@ -92,7 +92,7 @@
     });
 }
 
-/// The share of parsing and the flow hash.
+/// Only parses the packets and computes their flow hashes.
 #[divan::bench]
 fn parse_packets(bencher: Bencher<'_, '_>) {
     let datagrams = datagrams();
@@ -104,7 +104,7 @@
     });
 }
 
-/// A snapshot of everything, as built after a change.
+/// Builds the view and the snapshot of the whole fleet.
 #[divan::bench(sample_count = 10)]
 fn build_snapshot() -> Snapshot {
     snapshot()
--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -1,4 +1,5 @@
-//! What a balancer counts. Threads count for themselves and add up once per batch.
+//! Counters of a balancer. Each thread keeps its own counts and adds them to the shared counters
+//! once per batch.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -9,23 +10,23 @@
 /// Why a packet was not forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// Not GUE, or the packet inside contradicts itself.
+    /// Not GUE, or the headers of the inner packet are invalid or inconsistent.
     Malformed,
-    /// A fragment.
+    /// An IP fragment.
     Fragment,
     /// Neither TCP nor UDP, or not a packet at all.
     UnsupportedProtocol,
-    /// Longer headers than can be sealed.
+    /// The headers are longer than can be sealed.
     TooLarge,
     /// No service has this address, port and protocol.
     NoService,
-    /// The service has no agent, or the balancer no key for its account.
+    /// The service has no agent.
     NoAgent,
-    /// The kernel did not take it.
+    /// The kernel did not accept the packet for sending.
     SendFailed,
 }
 
-/// All reasons in the order of their counters.
+/// All reasons, in the order of the enum: a reason's discriminant is the index of its counter.
 const DROP_REASONS: [DropReason; 7] = [
     DropReason::Malformed,
     DropReason::Fragment,
@@ -36,18 +37,18 @@
     DropReason::SendFailed,
 ];
 
-/// Counts of one thread since it last added them up.
+/// Counts of one thread since it last added them to the [`Counters`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams that arrived.
     pub received: u64,
-    /// Packets that were sent on.
+    /// Packets sent to agents.
     pub forwarded: u64,
-    /// Packets that were not, by reason.
+    /// Packets not forwarded, by reason.
     dropped: [u64; DROP_REASONS.len()],
 }
 
-/// Counters of the process. Clones share them.
+/// Counters of the process. Clones share their values.
 #[derive(Clone, Debug)]
 pub struct Counters {
     received: Counter,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Adds what a thread has counted and sets its counts to zero.
+    /// Adds the counts of a thread and resets them to zero.
     pub fn add(&self, counts: &mut Counts) {
         self.received.inc_by(counts.received);
         self.forwarded.inc_by(counts.forwarded);
@@ -128,7 +129,7 @@
         self.received.get()
     }
 
-    /// Names and values for `/status`.
+    /// Names and values, as shown by `/status`.
     pub fn list(&self) -> Vec<(&'static str, u64)> {
         let mut list = vec![
             ("packets_received_total", self.received.get()),
--- a/crates/balancer/src/forward.rs
+++ b/crates/balancer/src/forward.rs
@@ -1,4 +1,4 @@
-//! What happens to one datagram of the fabric. Pure: bytes in, destination and headers out.
+//! Forwards one datagram of the fabric. Does no I/O: bytes in, destination and headers out.
 
 use std::net::SocketAddr;
 
@@ -12,12 +12,12 @@
 use crate::counters::DropReason;
 use crate::snapshot::Snapshot;
 
-/// What stays the same for all packets of a process.
+/// Values that are the same for all packets of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity {
     /// Key of the flow hash.
     pub flow_key: [u8; 16],
-    /// This balancer, as agents see it.
+    /// Id of this balancer in the headers that agents receive.
     pub sender: SenderId,
 }
 
@@ -30,17 +30,17 @@
     /// assert_ne!(one.sender, Identity::new([0; 16], "bal-c2").sender);
     /// ```
     pub fn new(flow_key: [u8; 16], instance: &str) -> Self {
-        // Balancers belong to no account; any stable hash of the name will do.
+        // Balancers belong to no account. Any stable hash of the name serves as id.
         Self { flow_key, sender: SenderId(AccountId::of(instance).0) }
     }
 }
 
-/// Where the packet starts in a datagram of the fabric, which carries no private data.
+/// Offset of the packet in a datagram of the fabric, which carries no GUE private data.
 pub const PAYLOAD_START: usize = gue::HEADER_BYTES;
 
-/// Finds the home of a datagram's packet, writes the headers that replace those of the fabric into
-/// `prefix` and returns the home's address. The packet itself stays where it is, from
-/// [`PAYLOAD_START`] on.
+/// Finds the home of the packet in `datagram`, writes the headers that replace those of the fabric
+/// into `prefix` and returns the home's address. The packet is not copied: it stays in `datagram`
+/// from [`PAYLOAD_START`] on.
 pub fn forward(
     snapshot: &Snapshot,
     identity: &Identity,
@@ -51,7 +51,8 @@
     if matches!(frame.content, Content::Control(_)) {
         return Err(DropReason::UnsupportedProtocol);
     }
-    // Private data in a frame of the fabric can only be an attempt to look like a balancer.
+    // The fabric sends no private data. A frame that carries some can only be an attempt to pose as
+    // a balancer.
     if !frame.private.is_empty() {
         return Err(DropReason::Malformed);
     }
--- a/crates/balancer/src/http.rs
+++ b/crates/balancer/src/http.rs
@@ -1,4 +1,4 @@
-//! The balancer's HTTP endpoint.
+//! HTTP routes of the balancer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 use crate::snapshot::PublishedSnapshot;
 
-/// The answer of `/explain?service=ID&flow=ID`.
+/// Reply of `/explain?service=ID&flow=ID`.
 #[derive(Debug, Serialize)]
 struct Explanation {
     instance: Arc<str>,
@@ -21,7 +21,8 @@
     home: Option<SocketAddr>,
 }
 
-/// All routes of a balancer. `/explain?service=ID&flow=ID` says where `published` sends a flow.
+/// All routes of a balancer. `/explain?service=ID&flow=ID` returns the home of a flow by the
+/// snapshot in `published`.
 pub fn routes(shown: &Shown, keyrings: &Keyrings, published: Arc<PublishedSnapshot>) -> Routes {
     let routes = status::routes(Routes::default(), shown);
     let instance = shown.instance.clone();
@@ -36,7 +37,7 @@
     };
     let snapshot = published.newest();
     let Some(key) = snapshot.find_by_id(ServiceId(service)) else {
-        return Reply::error(404, "no such service here");
+        return Reply::error(404, "this balancer knows no such service");
     };
     Reply::json(&Explanation {
         instance: instance.clone(),
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,7 +1,8 @@
 //! Balancer daemon: receives encapsulated packets and forwards them to agents.
 //!
-//! A balancer keeps nothing about flows. It knows the settings, works out the home of each packet
-//! and seals it for that agent, so it can be replaced at any moment without breaking a flow.
+//! A balancer keeps no state about flows. For each packet it computes the home agent from the
+//! settings and seals the packet for that agent. It can therefore be replaced at any moment without
+//! breaking a flow.
 
 pub mod counters;
 pub mod forward;
--- a/crates/balancer/src/liveness.rs
+++ b/crates/balancer/src/liveness.rs
@@ -1,4 +1,4 @@
-//! Which agents are believed unable to take packets.
+//! Finds the agents that presumably cannot take packets.
 
 use std::sync::Arc;
 
@@ -6,19 +6,20 @@
 use decision::view::View;
 use shell::settings_sync::instances::{Instance, Kind};
 
-/// Follows the platform's list of instances.
+/// Tracks the platform's list of instances.
 #[derive(Debug, Default)]
 pub struct Liveness {
-    /// Agents that some list has named, sorted.
+    /// Agents that any list so far has named, sorted.
     ever_listed: Vec<UpstreamId>,
 }
 
 impl Liveness {
     /// Agents of `view` that an earlier list named and this one does not.
     ///
-    /// The list lags, so an agent that no list has named yet is taken as alive: it may have
-    /// started a moment ago, and while all balancers send its buckets to it they agree on the home.
-    /// An empty list says nothing: a platform that has lost its list must not take down the fleet.
+    /// The list lags. An agent that no list has named yet therefore counts as alive: it may have
+    /// just started, and as long as all balancers send it the packets of its buckets, they agree on
+    /// the home. An empty list is ignored, since a platform that has lost its list must not take
+    /// down the fleet.
     ///
     /// ```
     /// use balancer::liveness::Liveness;
--- a/crates/balancer/src/notices.rs
+++ b/crates/balancer/src/notices.rs
@@ -1,4 +1,4 @@
-//! What agents tell this balancer about themselves and their peers.
+//! Notices in which agents report to this balancer on themselves and their peers.
 
 use decision::keys::{AccountId, ServiceId, UpstreamId};
 use decision::time::Millis;
@@ -9,29 +9,31 @@
 
 use crate::snapshot::Snapshot;
 
-/// How long an agent is passed over after its notice: longer than a restart takes, and short
-/// enough that its successor soon is home again. An agent that still leaves says so again.
+/// How long an agent is passed over after its notice. Longer than a restart takes, and short enough
+/// that its next incarnation soon becomes a home again. An agent that is still leaving repeats the
+/// notice.
 pub const LEAVING_TTL_MS: u64 = 3_000;
-/// Notices kept at a time; more than a zone's agents that all leave together.
+/// Largest number of leaving agents kept. Even if all agents of an availability zone leave together,
+/// there are fewer.
 const LEAVING_AGENTS_MAX: usize = 4_096;
 
-/// A notice whose seal is right. That the account by whose key it was sealed owns the agents that
-/// it is about is as yet only a claim: see [`AgentNotice::is_authorized_for`].
+/// An authenticated notice: sealed with the key of `account`. Whether that account owns the agents
+/// that the notice names is not checked yet, see [`AgentNotice::is_authorized_for`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgentNotice {
-    /// Account by whose key the notice was sealed.
+    /// Account with whose key the notice was sealed.
     pub account: AccountId,
     /// Service of the sender.
     pub service: ServiceId,
-    /// The agent that sent it.
+    /// Agent that sent the notice.
     pub sender: UpstreamId,
-    /// What it says.
+    /// The notice itself.
     pub notice: Notice,
 }
 
 impl AgentNotice {
-    /// Whether, by `view`, the sealing account owns the service and the service the upstream. An
-    /// account could otherwise turn another's traffic away from its agents.
+    /// Whether in `view` the sealing account owns the service, and the service lists the upstream.
+    /// Without this check an account could divert another account's traffic from its agents.
     pub fn is_authorized_for(&self, view: &View, upstream: UpstreamId) -> bool {
         view.find_service(self.service).is_some_and(|service| {
             let owner = view.account(view.service(service).account).id;
@@ -40,14 +42,15 @@
     }
 }
 
-/// Agents that leave, with the time until which they are passed over.
+/// Agents that are leaving, each with the time until which it is passed over.
 #[derive(Debug, Default)]
 pub struct LeavingAgents {
     /// Sorted by agent.
     entries: Vec<(UpstreamId, Millis)>,
 }
 
-/// The notice in a control datagram; `None` if it is none, or not by a holder of the account's key.
+/// Opens the notice in a control datagram. `None` if the datagram holds no notice or was not sealed
+/// with the key of the account that it claims.
 pub fn open(snapshot: &Snapshot, datagram: &[u8]) -> Option<AgentNotice> {
     let frame = gue::parse(datagram).ok()?;
     if frame.content != Content::Control(notice::CONTROL_TYPE) {
@@ -63,7 +66,7 @@
 }
 
 impl LeavingAgents {
-    /// Takes in an agent that has said that it leaves.
+    /// Adds an agent that has announced that it leaves, or extends its time.
     ///
     /// ```
     /// use balancer::notices::LeavingAgents;
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Sorted ids of the agents to be passed over now; forgets the others.
+    /// Sorted ids of the agents to be passed over at `now`; removes the expired ones.
     pub fn unexpired(&mut self, now: Millis) -> Vec<UpstreamId> {
         self.entries.retain(|(_, until)| now < *until);
         self.entries.iter().map(|(id, _)| *id).collect()
--- a/crates/balancer/src/publish.rs
+++ b/crates/balancer/src/publish.rs
@@ -1,5 +1,5 @@
-//! Publishing snapshots after each change of settings or liveness. The receiving threads go on with
-//! the old one while a new one is built.
+//! Publishes a snapshot after each change of settings or liveness. The receiving threads continue
+//! with the old snapshot while the new one is built.
 
 use std::sync::{Arc, mpsc};
 
@@ -17,17 +17,17 @@
 use crate::snapshot::{PublishedSnapshot, Snapshot};
 use crate::spreading::SpreadingStatus;
 
-/// From where a publisher learns of changes.
+/// Inputs of a publisher, and the channel to which it passes agents' reports on their peers.
 pub struct Sources {
-    /// Settings.
+    /// Settings in force.
     pub store: Arc<Store>,
-    /// The platform's list.
+    /// The platform's list of instances.
     pub instances: Arc<Instances>,
-    /// What spreading has found out about membership.
+    /// Membership as known from gossip.
     pub spreading_status: Arc<SpreadingStatus>,
-    /// What agents say about themselves and their peers.
+    /// Notices in which agents report on themselves and their peers.
     pub notices: mpsc::Receiver<AgentNotice>,
-    /// Takes what they say about their peers to the spreading thread.
+    /// Takes agents' reports on their peers to the spreading thread.
     pub members: mpsc::Sender<Member>,
 }
 
@@ -38,11 +38,12 @@
     master_keys: Vec<(KeyId, [u8; 32])>,
     liveness: Liveness,
     leaving: LeavingAgents,
-    /// Generations of settings, list and membership at the last look.
+    /// Generations of settings, instance list and membership at the last check; `None` before the
+    /// first.
     seen_generations: Option<[u64; 3]>,
-    /// Agents that the list no longer names, or that their peers miss.
+    /// Agents that the instance list no longer names or that their peers report as failed.
     missing: Vec<UpstreamId>,
-    /// Agents down in the snapshot in force: missing or leaving.
+    /// Agents that count as down in the published snapshot: missing or leaving.
     down: Vec<UpstreamId>,
 }
 
@@ -67,7 +68,8 @@
 
     /// Publishes a snapshot if anything has changed since the last call.
     pub fn publish_if_changed(&mut self, now: Millis) {
-        // Asked before the settings are read: what counts as current then is in the snapshot.
+        // Read before the settings: if they are current by now, the snapshot contains current
+        // settings.
         let current = self.sources.store.is_current();
         let generations = self.sources.generations();
         let view = self.sources.store.view();
@@ -81,7 +83,7 @@
         let settings_changed = self.seen_generations.is_none_or(|seen| seen[0] != generations[0]);
         self.seen_generations = Some(generations);
         if settings_changed || down != self.down {
-            // The settings file lists one key at least, so there always is a snapshot.
+            // The settings file lists at least one key, so building never fails here.
             if let Some(snapshot) = Snapshot::build(&view, down.clone(), &self.master_keys) {
                 self.published.publish(snapshot);
             }
@@ -102,10 +104,11 @@
                     if received.is_authorized_for(view, UpstreamId(upstream)) =>
                 {
                     let member = Member { upstream: UpstreamId(upstream), beat, up };
-                    // The spreading thread lives as long as the process.
+                    // Fails only during a shutdown, after the spreading thread has ended.
                     let _ = self.sources.members.send(member);
                 }
-                // Not an account's own agent, or not for a balancer.
+                // The agent is not one of the sealing account, or the notice is not meant for a
+                // balancer.
                 Notice::Leaving | Notice::Peer { .. } | Notice::Settings { .. } => {}
             }
         }
--- a/crates/balancer/src/run.rs
+++ b/crates/balancer/src/run.rs
@@ -1,4 +1,4 @@
-//! Life of the process: start, publish snapshots, shut down gracefully.
+//! Runs the process: starts the threads, publishes snapshots and shuts down gracefully.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -35,12 +35,13 @@
 };
 use crate::worker::{self, Worker};
 
-/// Events kept for the time line.
+/// Capacity of the time line, in events.
 const TIMELINE_EVENTS: usize = 4_096;
-/// How often changes of settings and liveness are looked for. Adds to the time until settings are
-/// in force, of which seconds are allowed.
+/// Interval between checks for changes of settings and liveness. It adds to the time until new
+/// settings are in force, which may take seconds.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(25);
-/// A fabric that has sent nothing for this long has taken the balancer out.
+/// If the fabric sends nothing for this long during a shutdown, it has taken the balancer out of
+/// rotation.
 const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
 struct Balancer {
@@ -54,10 +55,10 @@
     spreading_status: Arc<SpreadingStatus>,
 }
 
-/// Runs a balancer until it is told to shut down.
+/// Runs a balancer until a signal shuts it down.
 ///
-/// Errors: a [`StartFault`] if an address is taken or a thread cannot be started; nothing has been
-/// served then.
+/// Errors: a [`StartFault`] if an address is in use, a thread cannot be started or the settings
+/// file holds no key. The balancer has not been ready by then, so the fabric has sent it nothing.
 pub fn run(settings: BalancerSettings) -> Result<(), StartFault> {
     telemetry::log::start(&settings.instance);
     let metrics = Arc::new(Metrics::default());
@@ -86,7 +87,7 @@
     balancer.forward_until_drained(inbox, members);
     stop.store(true, Ordering::Relaxed);
     for worker in workers {
-        // A worker that panicked has already said so; the shutdown goes on.
+        // The panic of a worker has been printed already; the shutdown continues.
         let _ = worker.join();
     }
     log::info!("stopped");
@@ -118,7 +119,8 @@
         Ok(workers)
     }
 
-    /// Starts what reads the platform and the peers; returns where to ask for more.
+    /// Starts the threads that read settings and instances from the platform and from peers. The
+    /// returned channel takes requests for further fetches.
     fn start_readers(&self) -> Result<mpsc::Sender<Fetch>, StartFault> {
         let platform = self.settings.platform_address;
         let reader = Reader::new(platform, self.store.clone(), self.instances.clone());
@@ -191,8 +193,8 @@
         }
     }
 
-    /// Keeps forwarding by the newest settings until told to shut down and, after that, until the
-    /// fabric has stopped sending or the grace time is over.
+    /// Publishes snapshots of the newest settings until a shutdown is requested, and from then on
+    /// until the fabric has stopped sending or the grace period is over.
     fn forward_until_drained(
         &self,
         notices: mpsc::Receiver<AgentNotice>,
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! What the receiving threads work with: everything that a packet needs, packed so that a lookup
-//! touches few cache lines, and replaced whole.
+//! Immutable tables that the receiving threads use to forward packets. They are laid out so that a
+//! lookup touches few cache lines, and are replaced as a whole.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,16 +11,17 @@
 use decision::view::{Account, Endpoint, Service, Transport, View};
 use wire::sealed::{AccountKeyring, KeyId};
 
-/// In [`Snapshot::homes`] where a service has no agent.
+/// Entry of [`Snapshot::homes`] if the service has no agent.
 const NO_AGENT: u32 = u32::MAX;
 
-/// Routes and keys at one moment.
+/// Routes and keys at a point in time.
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    /// IPv4 endpoints as sorted numbers, see [`pack_ipv4`]. Comparing numbers instead of endpoints
-    /// halves the time of a lookup among 1,900 services: eight bytes each stay in the first cache.
+    /// IPv4 endpoints as sorted integers, see [`pack_ipv4`]. Comparing integers instead of
+    /// endpoints halves the time of a lookup among 1,900 services, since a table of eight bytes
+    /// per endpoint stays in the L1 cache.
     packed_endpoints: Vec<u64>,
-    /// Service of each packed endpoint.
+    /// Service of each packed endpoint, at the same index.
     packed_services: Vec<ServiceKey>,
     /// IPv6 endpoints, sorted.
     ipv6_endpoints: Vec<(Endpoint, ServiceKey)>,
@@ -28,27 +29,27 @@
     keyrings: Vec<(AccountId, AccountKeyring)>,
     /// Services in the order of the view's keys.
     services: Vec<ServiceEntry>,
-    /// Index of the home in `agents`, for each service and bucket, as the router says.
+    /// Index in `agents` of the home for each service and bucket, as chosen by the router.
     homes: Vec<u32>,
     /// Data addresses of the agents in the order of the view's keys.
     agents: Vec<SocketAddr>,
 }
 
-/// What is sealed into the packets of a service.
+/// Values that are sealed into the packets of a service, and the keyring that seals them.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceEntry {
-    /// Owner.
+    /// Client account that owns the service.
     pub account: AccountId,
-    /// Service.
+    /// Id of the service.
     pub service: ServiceId,
-    /// Version of the owner's settings.
+    /// Settings version of the account.
     pub version: Version,
-    /// Keyring of the owner.
+    /// Keyring of the account.
     pub keyring: AccountKeyring,
 }
 
-/// The newest snapshot. A thread compares [`PublishedSnapshot::generation`] with its own once per batch and
-/// takes the lock only after a change.
+/// The newest snapshot. A thread compares [`PublishedSnapshot::generation`] with its own once per
+/// batch and takes the lock only after a change.
 #[derive(Debug, Default)]
 pub struct PublishedSnapshot {
     generation: AtomicU64,
@@ -56,7 +57,7 @@
     current: AtomicBool,
 }
 
-/// One thread's hold on the newest snapshot.
+/// One thread's reference to the newest snapshot.
 #[derive(Debug)]
 pub struct Subscription {
     published: Arc<PublishedSnapshot>,
@@ -65,8 +66,8 @@
 }
 
 impl Snapshot {
-    /// Builds a snapshot that passes over the agents in `down`; derives the key of every account
-    /// from the master keys. `None` if there is no master key.
+    /// Builds a snapshot that passes over the agents in `down`, and derives the keyring of every
+    /// account from the master keys. `None` if there is no master key.
     ///
     /// ```
     /// use balancer::snapshot::Snapshot;
@@ -97,7 +98,7 @@
         Some(snapshot)
     }
 
-    /// Finds the service of a packet's destination.
+    /// Finds the service of a packet by its destination.
     pub fn find_by_endpoint(&self, endpoint: Endpoint) -> Option<ServiceKey> {
         if let Some(number) = pack_ipv4(endpoint) {
             let index = self.packed_endpoints.binary_search(&number).ok()?;
@@ -110,7 +111,7 @@
 
     /// Finds a service by id.
     pub fn find_by_id(&self, id: ServiceId) -> Option<ServiceKey> {
-        // The view's keys follow the order of ids.
+        // The view assigns keys in the order of ids, so `services` is sorted by id.
         let index = self.services.binary_search_by_key(&id, |entry| entry.service).ok()?;
         Some(ServiceKey(index as u32))
     }
@@ -121,12 +122,12 @@
         Some(&self.keyrings[index].1)
     }
 
-    /// What is sealed into the packets of a service.
+    /// The entry of a service.
     pub fn service(&self, key: ServiceKey) -> &ServiceEntry {
         &self.services[key.0 as usize]
     }
 
-    /// Data address of a flow's home, `None` if the service has no agent.
+    /// Data address of a flow's home; `None` if the service has no agent.
     pub fn home(&self, service: ServiceKey, flow: FlowId) -> Option<SocketAddr> {
         let bucket = usize::from(rank::bucket_of(flow).0);
         let home = self.homes[service.0 as usize * usize::from(BUCKET_COUNT) + bucket];
@@ -166,7 +167,7 @@
     }
 }
 
-/// An IPv4 endpoint as a number: address, port and transport.
+/// Packs address, port and transport of an IPv4 endpoint into an integer; `None` for IPv6.
 fn pack_ipv4(endpoint: Endpoint) -> Option<u64> {
     let IpAddr::V4(address) = endpoint.address else { return None };
     let transport = match endpoint.transport {
@@ -183,15 +184,16 @@
         self.generation.fetch_add(1, Ordering::Release);
     }
 
-    /// Notes that the settings in the snapshot are known to be current enough.
+    /// Records that the settings in the snapshot are known to be current enough.
     pub fn mark_current(&self) {
         self.current.store(true, Ordering::Release);
     }
 
     /// Whether a snapshot of current settings has been published.
     ///
-    /// A balancer must not be ready before. The fabric sends to it from that moment, and packets
-    /// that meet the empty first snapshot are dropped; a caller's datagram is not sent again.
+    /// A balancer must not report itself ready before. As soon as it does, the fabric sends to it,
+    /// and packets that arrive while the empty first snapshot is in force are dropped. Nothing
+    /// retransmits the datagrams of a caller.
     pub fn is_current(&self) -> bool {
         self.current.load(Ordering::Acquire)
     }
@@ -203,7 +205,7 @@
 }
 
 impl Subscription {
-    /// A subscription at the newest snapshot.
+    /// Creates a subscription that starts with the newest snapshot.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -220,7 +222,7 @@
         Self { published, generation, snapshot }
     }
 
-    /// Takes the newest snapshot if there is a newer one; says whether there was.
+    /// Switches to the newest snapshot. Returns whether it differs from the previous one.
     pub fn refresh(&mut self) -> bool {
         let generation = self.published.generation.load(Ordering::Acquire);
         if generation == self.generation {
--- a/crates/balancer/src/spreading/fetch.rs
+++ b/crates/balancer/src/spreading/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching the versions that spreading has shown to be lacking.
+//! Fetches the settings versions that this balancer lacks according to gossip.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, mpsc};
@@ -10,21 +10,22 @@
 use shell::settings_sync::peers::{PeerError, PeerReader};
 use shell::settings_sync::platform::Reader;
 
-/// Something to fetch.
+/// A request to fetch settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Fetch {
     /// Accounts that a peer has in a newer version.
     FromPeer {
-        /// Its control address.
+        /// Control address of the peer.
         peer: SocketAddr,
         /// The accounts.
         accounts: Vec<AccountId>,
     },
-    /// An account, or everything for [`ROOT`], of which no peer has delivered the newer version.
+    /// An account whose newer version no peer has delivered, or [`ROOT`] for all settings. They
+    /// are read from the configuration service.
     FromPlatform(AccountId),
 }
 
-/// The fetching thread.
+/// Thread that fetches settings.
 pub(crate) struct Fetcher {
     pub(crate) store: Arc<Store>,
     pub(crate) peers: PeerReader,
@@ -33,7 +34,7 @@
 }
 
 impl Fetcher {
-    /// Fetches until nobody can ask any more.
+    /// Serves requests until the sending side of the channel is closed.
     pub(crate) fn run(self) {
         while let Ok(fetch) = self.inbox.recv() {
             match fetch {
@@ -50,7 +51,8 @@
         }
     }
 
-    /// An account without a name here, or the root, is found by comparing everything.
+    /// Fetches the accounts by name. If one has no name here yet or is the root, compares all
+    /// settings with the peer instead.
     fn try_fetch_from_peer(
         &self,
         peer: SocketAddr,
--- a/crates/balancer/src/spreading/link.rs
+++ b/crates/balancer/src/spreading/link.rs
@@ -1,9 +1,9 @@
 //! Datagrams between balancers: GUE control frames, sealed with the fleet's key, on the UDP port of
 //! the control address.
 //!
-//! A replayed datagram is harmless: versions and heartbeat numbers only grow, and a comparison ends
-//! in an answer to its sender. A replayed comparison can make settings look confirmed for as long as
-//! they are equal to the sender's, that is while they are the newest that anybody had.
+//! A replayed datagram is harmless: versions and heartbeat numbers only grow, and a comparison only
+//! causes a reply to its sender. A replayed comparison can make settings look confirmed, but only
+//! as long as they equal the sender's, that is, while they are the newest that any balancer had.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -16,12 +16,12 @@
 use wire::sealed::{AccountKeyring, Header, Payload, SenderId, control_datagram};
 use wire::spread;
 
-/// Longest wait for a datagram. A fraction of a round, so that rounds are on time.
+/// Longest wait for a datagram. A fraction of a gossip round, so that rounds start on time.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(ROUND_INTERVAL_MS / 4);
-/// Largest datagram that is taken.
+/// Largest datagram accepted.
 const DATAGRAM_BYTES_MAX: usize = 2_048;
 
-/// The socket and the key of the fleet.
+/// Socket between balancers, with the fleet's keyring.
 #[derive(Debug)]
 pub struct Link {
     socket: UdpSocket,
@@ -46,7 +46,7 @@
         self.socket.local_addr()
     }
 
-    /// Sends a message. One that is lost is repeated by the next comparison.
+    /// Sends a message. It is not retransmitted: the next comparison makes up for a lost message.
     pub fn send(&self, to: SocketAddr, message: &SpreadMessage) {
         let header =
             Header::control(AccountId::of(FLEET), ServiceId(0), Version(0), SenderId(self.own.0));
@@ -57,14 +57,15 @@
         }
     }
 
-    /// Waits a while for a message. Anything that is not a balancer's is passed over.
+    /// Waits for a datagram up to a fraction of a gossip round. `None` if none arrives or if it is
+    /// not a balancer's message.
     pub fn receive(&self) -> Option<(NodeId, SpreadMessage)> {
         let mut buffer = [0; DATAGRAM_BYTES_MAX];
         let (bytes, _) = self.socket.recv_from(&mut buffer).ok()?;
         self.open(&buffer[..bytes])
     }
 
-    /// The sender and the message in a datagram.
+    /// Authenticates a datagram and returns its sender and message.
     pub fn open(&self, datagram: &[u8]) -> Option<(NodeId, SpreadMessage)> {
         let frame = gue::parse(datagram).ok()?;
         if frame.content != Content::Control(spread::CONTROL_TYPE) {
--- a/crates/balancer/src/spreading/mod.rs
+++ b/crates/balancer/src/spreading/mod.rs
@@ -1,8 +1,9 @@
-//! Spreading settings versions and membership: the shell around [`decision::spread`].
+//! Gossip of settings versions and membership among the balancers: sockets, threads and time around
+//! the pure core [`decision::spread`].
 //!
-//! One thread owns the core's state. It takes in what other balancers send, what agents report and
-//! what the store has put in force; what must be fetched goes to a second thread, so that a slow
-//! peer never holds up the spreading.
+//! One thread owns the core's state. Its inputs are messages of other balancers, agents' reports
+//! and the settings that the store has put in force. Fetches run in a second thread, so that a slow
+//! peer never delays the gossip.
 
 mod fetch;
 pub mod link;
@@ -27,7 +28,7 @@
 use link::Link;
 pub(crate) use tell::AgentNotifier;
 
-/// What other threads read of the spreading.
+/// State of the spreading thread that other threads read.
 #[derive(Debug)]
 pub struct SpreadingStatus {
     is_reader: AtomicBool,
@@ -35,7 +36,7 @@
     down: Mutex<Vec<UpstreamId>>,
 }
 
-/// What the spreading thread is given.
+/// Configuration and channels of the spreading thread.
 pub(crate) struct SpreadingConfig {
     pub(crate) own: Peer,
     pub(crate) link: Link,
@@ -53,13 +54,14 @@
     spread: Spread,
     /// Control addresses of the other balancers, sorted by node.
     addresses: Vec<(NodeId, SocketAddr)>,
-    /// Generations of settings and list at the last look; `None` before the first.
+    /// Generations of settings and instance list at the last check; `None` before the first.
     seen_generations: (Option<u64>, Option<u64>),
     actions: Vec<SpreadAction>,
 }
 
 impl Default for SpreadingStatus {
-    /// Before the first list is heard everybody reads: better too many readers than none.
+    /// Until the first instance list arrives, every balancer reads the configuration service: too
+    /// many readers are better than none.
     fn default() -> Self {
         let (is_reader, generation) = (AtomicBool::new(true), AtomicU64::new(0));
         Self { is_reader, generation, down: Mutex::default() }
@@ -67,7 +69,7 @@
 }
 
 impl SpreadingStatus {
-    /// Whether this instance watches the configuration service for its zone.
+    /// Whether this instance watches the configuration service for its availability zone.
     pub fn is_reader(&self) -> bool {
         self.is_reader.load(Ordering::Relaxed)
     }
@@ -95,7 +97,7 @@
         Self { config, spread, addresses, seen_generations: (None, None), actions }
     }
 
-    /// Spreads until the shutdown.
+    /// Takes part in the gossip until the shutdown.
     pub(crate) fn run(mut self, shutdown: &Shutdown) {
         while !shutdown.is_requested() {
             let received = self.config.link.receive();
@@ -132,8 +134,8 @@
         self.handle(now, SpreadEvent::Peers(peers));
     }
 
-    /// Tells the core what the store has put in force since the last look, and the agents that this
-    /// balancer is to tell.
+    /// Reports to the core the versions that the store has put in force since the last check, and
+    /// notifies the agents for which this balancer is responsible.
     fn apply_settings(&mut self, now: Millis) {
         if self.config.store.is_current() {
             let age_ms = self.config.store.confirmed_age_ms();
@@ -157,7 +159,7 @@
                 continue;
             }
             self.handle(now, SpreadEvent::Installed { account, version });
-            // What a starting balancer finds in force is news to no agent.
+            // Versions already in force when a balancer starts are not new to the agents.
             if !is_first {
                 self.notify_agents(&view, account, version);
             }
@@ -198,7 +200,7 @@
     }
 
     fn fetch(&self, fetch: Fetch) {
-        // The fetching thread lives as long as the process.
+        // The fetching thread runs until this sender is dropped.
         let _ = self.config.fetches.send(fetch);
     }
 
--- a/crates/balancer/src/spreading/tell.rs
+++ b/crates/balancer/src/spreading/tell.rs
@@ -1,4 +1,4 @@
-//! Telling agents that a newer version of their account is in force.
+//! Notifies agents that a newer settings version of their account is in force.
 
 use std::net::UdpSocket;
 
@@ -7,7 +7,7 @@
 use wire::notice::{self, Notice};
 use wire::sealed::{AccountKeyring, Header, KeyId, SenderId, control_datagram};
 
-/// Sends notices to agents.
+/// Sends settings notices to agents.
 pub(crate) struct AgentNotifier {
     pub(crate) socket: UdpSocket,
     pub(crate) master_keys: Vec<(KeyId, [u8; 32])>,
@@ -15,8 +15,9 @@
 }
 
 impl AgentNotifier {
-    /// Tells the account's agents that `is_notifier` gives to this balancer. A notice that is lost is
-    /// made up for by the other notifier, by a packet, or by the agent's next comparison.
+    /// Notifies those agents of the account for which `is_notifier` holds. If a notice is lost, the
+    /// agent learns of the version from its other notifier, from a packet or from its next
+    /// comparison.
     pub(crate) fn notify(
         &self,
         view: &View,
--- a/crates/balancer/src/worker.rs
+++ b/crates/balancer/src/worker.rs
@@ -1,4 +1,4 @@
-//! A receiving thread: batch in, batch out, nothing else.
+//! A receiving thread: receives a batch of datagrams, forwards it and repeats.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -13,7 +13,7 @@
 use crate::notices::{self, AgentNotice};
 use crate::snapshot::{PublishedSnapshot, Snapshot, Subscription};
 
-/// How often an idle thread looks whether it should end.
+/// How often an idle thread checks whether it must stop.
 const IDLE_CHECK: Duration = Duration::from_millis(100);
 
 /// One receiving thread.
@@ -22,23 +22,24 @@
     pub(crate) identity: Identity,
     pub(crate) published: Arc<PublishedSnapshot>,
     pub(crate) counters: Counters,
-    /// Takes what agents tell to the thread that publishes snapshots.
+    /// Takes agents' notices to the thread that publishes snapshots.
     pub(crate) notices: mpsc::Sender<AgentNotice>,
     pub(crate) stop: Arc<AtomicBool>,
 }
 
 /// Binds the sockets that share the data address.
 ///
-/// A socket that shares its port can be bound beside those of another process of ours, which would
-/// then lose a part of its packets unnoticed. A socket that does not share it is therefore bound
-/// first, and closed again: it fails if anybody has the port.
+/// A socket that shares its port (`SO_REUSEPORT`) can also be bound beside those of another process
+/// of the same user, which would then silently lose part of its packets. Therefore a socket that
+/// does not share the port is bound first and closed again. This fails if any other process uses
+/// the port.
 pub(crate) fn bind(address: SocketAddr, count: usize) -> io::Result<Vec<UdpSocket>> {
     drop(udp::bind(address, false, IDLE_CHECK)?);
     (0..count).map(|_| udp::bind(address, true, IDLE_CHECK)).collect()
 }
 
 impl Worker {
-    /// Forwards until told to end.
+    /// Forwards datagrams until `stop` is set.
     pub(crate) fn run(self) {
         let mut receiver = Receiver::default();
         let mut sender = Sender::default();
@@ -92,7 +93,7 @@
         let is_control = reason == DropReason::UnsupportedProtocol;
         match is_control.then(|| notices::open(snapshot, datagram)).flatten() {
             Some(notice) => {
-                // The publisher lives as long as the process.
+                // Fails only at the end of a shutdown, after the publisher has stopped.
                 let _ = self.notices.send(notice);
             }
             None => counts.add_dropped(reason, 1),
--- a/crates/balancer/tests/explain.rs
+++ b/crates/balancer/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Contract of `/explain`: where the snapshot in force sends a flow.
+//! Tests of `/explain`: the home of a flow by the published snapshot.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
          address: \"127.0.0.1:6\"}
 ";
 
-/// Asks a balancer for which the agents called `down` are down.
+/// Sends a request to a balancer whose snapshot passes over the agents named in `down`.
 fn get_from_balancer(path: &str, down: &[&str]) -> Result<String, ClientError> {
     let timeline = Arc::new(Timeline::new("bal".into(), 8));
     let store = Arc::new(Store::new(Scope::All, timeline.clone()));
--- a/crates/balancer/tests/forward.rs
+++ b/crates/balancer/tests/forward.rs
@@ -1,4 +1,4 @@
-//! What becomes of a datagram of the fabric.
+//! Tests of forwarding: for each datagram of the fabric its destination or the reason of its drop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -61,7 +61,7 @@
     Snapshot::build(&Arc::new(view::build(&[account])), down, &MASTER_KEYS).unwrap()
 }
 
-/// Forwards a datagram with the snapshot and returns receiver and what is sent.
+/// Forwards a datagram by the snapshot. Returns the destination and the datagram sent there.
 fn forward_datagram(
     snapshot: &Snapshot,
     instance: &str,
@@ -129,7 +129,7 @@
     let datagram = frame(content, &[], &packet);
     let (_, sent) = forward_datagram(&build_snapshot(vec![]), "bal-c1", &datagram).unwrap();
     let received = gue::parse(&sent).unwrap();
-    assert_eq!(received.payload, packet, "the packet inside is never rewritten");
+    assert_eq!(received.payload, packet, "the inner packet must not be rewritten");
     let keyring = AccountKeyring::derive(&MASTER_KEYS, AccountId::of("cascadia")).unwrap();
     let payload = Payload::Packet { bytes: received.payload, header_bytes: 0 };
     let header = keyring.open(received.private, payload).unwrap().header;
@@ -138,8 +138,8 @@
     assert_eq!((header.version, header.hops, header.passed), (Version(7), 0, Passed::Fresh));
 }
 
-/// Two balancers with the same settings and liveness send a flow to the same agent, and pass over
-/// its home only when that is believed down.
+/// Two balancers with the same settings and liveness send a flow to the same agent. They pass over
+/// its home only if that is believed down.
 #[test]
 fn forward_same_home_on_all_balancers() {
     let datagram = frame(Content::Ipv4, &[], &tcp(8_443));
@@ -152,5 +152,9 @@
     let ids = names.map(|name| UpstreamId::of("cascadia", "shelf", name));
     let moving = ids.iter().filter(|id| home_for(vec![**id], "bal-c1") != home).count();
     assert_eq!(moving, 1, "only the loss of the home itself moves the flow");
-    assert_eq!(home_for(ids.to_vec(), "bal-c1"), home, "all down is no reason to drop");
+    assert_eq!(
+        home_for(ids.to_vec(), "bal-c1"),
+        home,
+        "a flow keeps its home while all agents are down"
+    );
 }
--- a/crates/balancer/tests/link.rs
+++ b/crates/balancer/tests/link.rs
@@ -1,4 +1,4 @@
-//! Contract of the datagrams between balancers.
+//! Tests of the datagrams between balancers.
 
 use std::net::UdpSocket;
 
@@ -21,8 +21,8 @@
     SpreadMessage::Notices(vec![Notice::Settings { account: AccountId(1), version: Version(9) }])
 }
 
-/// What a balancer takes from a datagram sent by `sender`. An agent, which holds its account's key
-/// only, could otherwise tell all balancers that the agents of a rival are down.
+/// A balancer accepts messages only from other balancers. An agent, which holds only its account's
+/// key, could otherwise report the agents of another account as down to all balancers.
 #[rstest]
 #[case::balancer(link(&MASTER_KEYS, FLEET, 2), Some((NodeId(2), message())))]
 #[case::agent_with_account_key(link(&MASTER_KEYS, "cascadia", 2), None)]
--- a/crates/balancer/tests/liveness.rs
+++ b/crates/balancer/tests/liveness.rs
@@ -1,4 +1,4 @@
-//! Which agents a balancer passes over.
+//! Tests of the agents that a balancer passes over because of the instance list.
 
 use balancer::liveness::Liveness;
 use decision::keys::{UpstreamId, Version};
@@ -48,8 +48,8 @@
     view::build(&[account])
 }
 
-/// `lists` come one after the other, each with the names of live agents; `down` is believed after
-/// the last one.
+/// `lists` arrive one after the other, each with the names of its live agents. `expected` are the
+/// agents believed down after the last one.
 #[rstest]
 #[case::no_list(&[], &[])]
 #[case::never_listed(&["a"], &[])]
@@ -69,7 +69,8 @@
     assert_eq!(down, expected);
 }
 
-/// A leaving agent still knows its flows and passes openings on; it is not passed over.
+/// An agent listed as leaving still knows its flows and passes openings on, so it does not count as
+/// down.
 #[test]
 fn down_leaving_agent() {
     let list = [instance("a", State::Live), instance("b", State::Leaving)];
--- a/crates/balancer/tests/notices.rs
+++ b/crates/balancer/tests/notices.rs
@@ -1,4 +1,4 @@
-//! What agents may tell a balancer.
+//! Tests of the notices that a balancer accepts from agents.
 
 use std::sync::Arc;
 
@@ -48,7 +48,7 @@
     UpstreamId::of("cascadia", "shelf", "1")
 }
 
-/// A notice about `shelf`, sealed with the key of one account and naming another.
+/// A leaving notice of [`shelf_agent`], sealed with the key of one account and claiming another.
 fn datagram(sealed_by: &str, claimed: &str, control_type: u8) -> Vec<u8> {
     let header = Header {
         hops: 0,
@@ -68,8 +68,8 @@
     datagram
 }
 
-/// Agents passed over after a datagram. An account must not turn another's traffic away from its
-/// agents, neither under its own name nor under the other's.
+/// Agents passed over after a datagram. An account must not be able to divert another's traffic
+/// from its agents, neither under its own name nor under the other's.
 #[rstest]
 #[case::own_agent(datagram("cascadia", "cascadia", notice::CONTROL_TYPE), true)]
 #[case::other_account_own_name(datagram("bajio", "bajio", notice::CONTROL_TYPE), false)]
--- a/crates/balancer/tests/publish.rs
+++ b/crates/balancer/tests/publish.rs
@@ -1,4 +1,4 @@
-//! When a balancer counts as ready.
+//! Tests of when a balancer becomes ready and which reports on peers it accepts.
 
 use std::sync::{Arc, mpsc};
 
@@ -44,7 +44,7 @@
     Publisher::new(sources, published.clone(), vec![(KeyId(1), [7; 32])])
 }
 
-/// What has happened, in this order, before the balancer is asked whether it is ready.
+/// A step of the start. The test performs them in the given order, then checks readiness.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Step {
     PeersAsked,
@@ -52,9 +52,10 @@
     Published,
 }
 
-/// The fabric sends to a balancer as soon as it is ready, and a datagram is sent only once. One
-/// balancer was ready when its settings were read but not yet in its receiving threads: datagrams
-/// of the first 25 ms found no service and were lost (lab --quick, seeds 5 and 7).
+/// Guards against a balancer that is ready as soon as its settings are read, but before its
+/// receiving threads use them. The fabric then sends to it at once, and the datagrams of the first
+/// 25 ms find no service and are lost, since nothing retransmits them (seen in lab --quick, seeds 5
+/// and 7).
 #[rstest]
 #[case::no_steps(&[], false)]
 #[case::published_empty(&[Step::Published], false)]
@@ -86,8 +87,8 @@
     assert!(finds_service || !ready, "ready without a service to forward to");
 }
 
-/// Members that spreading gets to hear of after one notice. An account that could report another's
-/// agents as down would turn their traffic away.
+/// A notice about a peer is passed on to the gossip only if the sealing account owns the peer.
+/// An account that could report another's agents as down would divert their traffic.
 #[rstest]
 #[case::own_peer("cascadia", "shelf-1", true)]
 #[case::other_account("bajio", "shelf-1", false)]
--- a/crates/balancer/tests/start.rs
+++ b/crates/balancer/tests/start.rs
@@ -1,4 +1,4 @@
-//! What an operator sees when a balancer cannot start: one line with a code, and nothing served.
+//! Tests of the command line. A balancer that cannot start prints one line with a code and exits.
 
 use std::fs;
 use std::net::{TcpListener, UdpSocket};
@@ -21,7 +21,7 @@
 shutdown_grace_ms: 0
 "#;
 
-/// Settings with addresses that nothing is bound to, since these starts fail before.
+/// Settings whose addresses are never bound, since the tests that use them fail earlier.
 fn valid_settings() -> String {
     SETTINGS.replace("DATA", "127.0.0.1:1").replace("CONTROL", "127.0.0.1:2")
 }
