--- a/crates/balancer/src/notices.rs
+++ b/crates/balancer/src/notices.rs
@@ -13,8 +13,8 @@
 /// that its next incarnation soon becomes a home again. An agent that is still leaving repeats the
 /// notice.
 pub const LEAVING_TTL_MS: u64 = 3_000;
-/// Largest number of leaving agents kept. Even if all agents of an availability zone leave together,
-/// there are fewer.
+/// Largest number of leaving agents kept. Even if all agents of an availability zone leave
+/// together, there are fewer.
 const LEAVING_AGENTS_MAX: usize = 4_096;
 
 /// An authenticated notice: sealed with the key of `account`. Whether that account owns the agents
