--- a/crates/wire/src/peers/body.rs
+++ b/crates/wire/src/peers/body.rs
@@ -16,7 +16,7 @@
 /// Most shares of a route.
 const SHARES_MAX: usize = 64;
 /// Most services that routes have left.
-const FORMER_MAX: usize = 65_536;
+const FORMER_SERVICES_MAX: usize = 65_536;
 /// Most availability zones that are closed at once.
 const ZONES_MAX: usize = 1_024;
 /// Most regions of a route.
@@ -183,7 +183,7 @@
 fn former_list<'de, D: serde::Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Vec<FormerBody>, D::Error> {
-    bounded::list::<D, FormerBody, FORMER_MAX>(deserializer)
+    bounded::list::<D, FormerBody, FORMER_SERVICES_MAX>(deserializer)
 }
 
 fn upstream_list<'de, D: serde::Deserializer<'de>>(
--- a/crates/wire/src/peers/mod.rs
+++ b/crates/wire/src/peers/mod.rs
@@ -14,8 +14,8 @@
 
 use body::{MessageBody, RoutesBody, ViewBody};
 use translate::{
-    delta_body, delta_of, history_body, history_of, limit, news, news_body, record_of, route_body,
-    route_of, upstream_body,
+    delta_body, delta_from, history_body, history_from, openings_limit, record_from, route_body,
+    route_from, state_summary_body, state_summary_from, upstream_body,
 };
 
 /// Most balancers named in one message: they fit into a datagram of 1,300 bytes.
@@ -36,16 +36,16 @@
     /// Balancers that the sender knows.
     Peers(Vec<Ipv4Addr>),
     /// The sender reads the configuration service, and this is what it knows.
-    Beacon(News),
+    Beacon(StateSummary),
     /// The sender knows this, but need not be a reader.
-    Knows(News),
+    Knows(StateSummary),
     /// A beacon that brings the changes which lead to it.
-    Changes(News, Delta),
+    Changes(StateSummary, Delta),
 }
 
 /// What a balancer knows, and how far its list can be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct News {
+pub struct StateSummary {
     /// What it knows, in short.
     pub summary: Summary,
     /// For how much longer its list of upstreams may lack some that live.
@@ -87,9 +87,11 @@
         Message::Peers(peers) => {
             MessageBody::Peers(peers.iter().take(PEERS_MAX).map(|peer| peer.to_bits()).collect())
         }
-        Message::Beacon(news) => MessageBody::Beacon(news_body(news)),
-        Message::Knows(news) => MessageBody::Knows(news_body(news)),
-        Message::Changes(news, delta) => MessageBody::Changes(news_body(news), delta_body(delta)),
+        Message::Beacon(state) => MessageBody::Beacon(state_summary_body(state)),
+        Message::Knows(state) => MessageBody::Knows(state_summary_body(state)),
+        Message::Changes(state, delta) => {
+            MessageBody::Changes(state_summary_body(state), delta_body(delta))
+        }
     };
     rmp_serde::to_vec(&body).expect("a plain enumeration always encodes")
 }
@@ -101,20 +103,22 @@
         MessageBody::Peers(peers) => {
             Message::Peers(peers.into_iter().map(Ipv4Addr::from_bits).collect())
         }
-        MessageBody::Beacon(body) => Message::Beacon(news(&body)),
-        MessageBody::Knows(body) => Message::Knows(news(&body)),
-        MessageBody::Changes(body, delta) => Message::Changes(news(&body), delta_of(delta)),
+        MessageBody::Beacon(body) => Message::Beacon(state_summary_from(&body)),
+        MessageBody::Knows(body) => Message::Knows(state_summary_from(&body)),
+        MessageBody::Changes(body, delta) => {
+            Message::Changes(state_summary_from(&body), delta_from(delta))
+        }
     })
 }
 
 /// The message with which a reader tells what it knows now: with the changes that led there, if
 /// they fit into a datagram and nothing else has changed.
-pub fn beacon(news: News, delta: Option<Delta>) -> Message {
+pub fn beacon(state: StateSummary, delta: Option<Delta>) -> Message {
     let Some(delta) = delta.filter(|delta| delta.changes.len() <= CHANGES_MAX) else {
-        return Message::Beacon(news);
+        return Message::Beacon(state);
     };
-    let message = Message::Changes(news, delta);
-    if encode(&message).len() <= MESSAGE_BYTES_MAX { message } else { Message::Beacon(news) }
+    let message = Message::Changes(state, delta);
+    if encode(&message).len() <= MESSAGE_BYTES_MAX { message } else { Message::Beacon(state) }
 }
 
 /// Encodes a view.
@@ -126,7 +130,7 @@
         routes: view.routes.as_ref().map(|table| RoutesBody {
             routes: table.routes().iter().map(route_body).collect(),
             services: table.services().iter().map(|service| service.stamp.0).collect(),
-            limits: table.services().iter().filter_map(limit).collect(),
+            limits: table.services().iter().filter_map(openings_limit).collect(),
         }),
         upstreams: view.upstreams.iter().map(upstream_body).collect(),
         closed_zones: view.closed_zones.iter().map(|zone| zone.0).collect(),
@@ -143,7 +147,7 @@
         cold_openings_per_ks,
     };
     let table = |RoutesBody { routes, services, limits }| {
-        let routes = routes.into_iter().map(route_of).collect();
+        let routes = routes.into_iter().map(route_from).collect();
         let unlimited = services.into_iter().map(|stamp| Service::unlimited(ServiceStamp(stamp)));
         let services = limits.into_iter().map(limited).chain(unlimited);
         Arc::new(RouteTable::new(body.version, routes, services))
@@ -153,8 +157,8 @@
         whole_in_ms: body.whole_in_ms,
         routes: body.routes.map(table),
         routes_version: body.version,
-        upstreams: body.upstreams.into_iter().map(record_of).collect(),
+        upstreams: body.upstreams.into_iter().map(record_from).collect(),
         closed_zones: body.closed_zones.into_iter().map(ZoneStamp).collect(),
-        history: history_of(body.version, body.history),
+        history: history_from(body.version, body.history),
     })
 }
--- a/crates/wire/src/peers/translate.rs
+++ b/crates/wire/src/peers/translate.rs
@@ -8,7 +8,7 @@
 use steering::peers::Summary;
 use steering::view::{RegionStamp, Route, RoutesDelta, Service, ServiceStamp, Share, ZoneStamp};
 
-use super::News;
+use super::StateSummary;
 use super::body::{
     DeltaBody, FormerBody, HistoryBody, HistorySummaryBody, RouteBody, RoutesDeltaBody,
     SummaryBody, UpstreamBody,
@@ -33,15 +33,15 @@
     body
 }
 
-pub(super) fn delta_of(body: DeltaBody) -> Delta {
-    let listed = body.listed.into_iter().map(|body| Change::Listed(record_of(body)));
+pub(super) fn delta_from(body: DeltaBody) -> Delta {
+    let listed = body.listed.into_iter().map(|body| Change::Listed(record_from(body)));
     let gone = body.gone.into_iter().map(Change::Gone);
     let zones = body.zones.into_iter().map(|(zone, closed)| match closed {
         true => Change::ZoneClosed(ZoneStamp(zone)),
         false => Change::ZoneOpened(ZoneStamp(zone)),
     });
     let delta = Delta::new(body.from_revision, listed.chain(gone).chain(zones).collect());
-    Delta { routes: body.routes.map(routes_delta_of), ..delta }
+    Delta { routes: body.routes.map(routes_delta_from), ..delta }
 }
 
 pub(super) fn routes_delta_body(delta: &RoutesDelta) -> RoutesDeltaBody {
@@ -53,12 +53,12 @@
     }
 }
 
-pub(super) fn routes_delta_of(body: RoutesDeltaBody) -> RoutesDelta {
+pub(super) fn routes_delta_from(body: RoutesDeltaBody) -> RoutesDelta {
     RoutesDelta {
         from_version: body.from_version,
         from_digest: body.from_digest,
-        changed: body.changed.into_iter().map(route_of).collect(),
-        removed: body.removed.into_iter().map(endpoint_of).collect(),
+        changed: body.changed.into_iter().map(route_from).collect(),
+        removed: body.removed.into_iter().map(endpoint_from).collect(),
     }
 }
 
@@ -76,10 +76,10 @@
     }
 }
 
-pub(super) fn route_of(body: RouteBody) -> Route {
+pub(super) fn route_from(body: RouteBody) -> Route {
     let share = |(service, weight): (u32, u32)| Share { service: ServiceStamp(service), weight };
     Route {
-        endpoint: endpoint_of((body.address, body.port)),
+        endpoint: endpoint_from((body.address, body.port)),
         shares: body.shares.into_iter().map(share).collect(),
         slo_ms: body.slo_ms,
         repeatable: body.repeatable,
@@ -102,7 +102,7 @@
     }
 }
 
-pub(super) fn record_of(body: UpstreamBody) -> UpstreamRecord {
+pub(super) fn record_from(body: UpstreamBody) -> UpstreamRecord {
     UpstreamRecord {
         id: body.id,
         born_ms: body.born_ms,
@@ -115,14 +115,14 @@
     }
 }
 
-pub(super) fn news_body(news: &News) -> SummaryBody {
+pub(super) fn state_summary_body(state: &StateSummary) -> SummaryBody {
     SummaryBody {
-        revision: news.summary.revision,
-        routes_version: news.summary.routes_version,
-        routes_digest: news.summary.routes_digest,
-        upstreams_digest: news.summary.upstreams_digest,
-        whole_in_ms: news.whole_in_ms,
-        history: history_summary_body(news.history),
+        revision: state.summary.revision,
+        routes_version: state.summary.routes_version,
+        routes_digest: state.summary.routes_digest,
+        upstreams_digest: state.summary.upstreams_digest,
+        whole_in_ms: state.whole_in_ms,
+        history: history_summary_body(state.history),
     }
 }
 
@@ -131,7 +131,7 @@
     HistorySummaryBody { version, whole_in_ms }
 }
 
-pub(super) fn history_summary(body: HistorySummaryBody) -> HistorySummary {
+pub(super) fn history_summary_from(body: HistorySummaryBody) -> HistorySummary {
     let HistorySummaryBody { version, whole_in_ms } = body;
     HistorySummary { version, whole_in_ms }
 }
@@ -147,30 +147,34 @@
     }
 }
 
-pub(super) fn history_of(routes_version: u64, body: HistoryBody) -> HistoryContents {
+pub(super) fn history_from(routes_version: u64, body: HistoryBody) -> HistoryContents {
     let former = |body: FormerBody| FormerService {
-        endpoint: endpoint_of((body.address, body.port)),
+        endpoint: endpoint_from((body.address, body.port)),
         service: ServiceStamp(body.service),
         left_ms: body.left_ms,
     };
     HistoryContents {
-        summary: history_summary(body.summary),
+        summary: history_summary_from(body.summary),
         routes_version,
         former: body.former.into_iter().map(former).collect(),
     }
 }
 
-pub(super) fn news(body: &SummaryBody) -> News {
+pub(super) fn state_summary_from(body: &SummaryBody) -> StateSummary {
     let summary = Summary {
         revision: body.revision,
         routes_version: body.routes_version,
         routes_digest: body.routes_digest,
         upstreams_digest: body.upstreams_digest,
     };
-    News { summary, whole_in_ms: body.whole_in_ms, history: history_summary(body.history) }
+    StateSummary {
+        summary,
+        whole_in_ms: body.whole_in_ms,
+        history: history_summary_from(body.history),
+    }
 }
 
-pub(super) fn limit(service: &Service) -> Option<(u32, u32)> {
+pub(super) fn openings_limit(service: &Service) -> Option<(u32, u32)> {
     let limit = service.cold_openings_per_ks;
     (limit > 0).then_some((service.stamp.0, limit))
 }
@@ -179,6 +183,6 @@
     (endpoint.ip().to_bits(), endpoint.port())
 }
 
-fn endpoint_of((address, port): (u32, u16)) -> SocketAddrV4 {
+fn endpoint_from((address, port): (u32, u16)) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::from_bits(address), port)
 }
--- a/crates/wire/tests/peers.rs
+++ b/crates/wire/tests/peers.rs
@@ -11,11 +11,11 @@
     RegionStamp, Route, RouteTable, RoutesDelta, Service, ServiceStamp, Share, ZoneStamp,
 };
 use wire::peers::{
-    CHANGES_MAX, MESSAGE_BYTES_MAX, Message, News, PEERS_MAX, ViewContents, beacon, decode,
+    CHANGES_MAX, MESSAGE_BYTES_MAX, Message, PEERS_MAX, StateSummary, ViewContents, beacon, decode,
     decode_view, encode, encode_view,
 };
 
-const NEWS: News = News { summary: SUMMARY, whole_in_ms: 900, history: HISTORY };
+const STATE: StateSummary = StateSummary { summary: SUMMARY, whole_in_ms: 900, history: HISTORY };
 const HISTORY: HistorySummary = HistorySummary { version: 6, whole_in_ms: 4_000 };
 const SUMMARY: Summary =
     Summary { revision: 9, routes_version: 7, routes_digest: u64::MAX, upstreams_digest: 1 };
@@ -75,21 +75,21 @@
 #[rstest]
 #[case::hello(Message::Hello { revision: 3 })]
 #[case::peers(Message::Peers(vec![Ipv4Addr::new(10, 1, 0, 1)]))]
-#[case::beacon(Message::Beacon(NEWS))]
-#[case::knows(Message::Knows(NEWS))]
-#[case::changes(Message::Changes(NEWS, delta(3, 12)))]
-#[case::closed_zone(Message::Changes(NEWS, Delta::new(8, vec![Change::ZoneClosed(ZoneStamp(3))])))]
-#[case::opened_zone(Message::Changes(NEWS, Delta::new(8, vec![Change::ZoneOpened(ZoneStamp(3))])))]
-#[case::routes(Message::Changes(NEWS, Delta { routes: Some(routes_delta()), ..delta(3, 12) }))]
-#[case::removal(Message::Changes(NEWS, Delta::new(8, vec![Change::Gone("i-7f3a91c2".into())])))]
-fn message_there_and_back(#[case] message: Message) {
+#[case::beacon(Message::Beacon(STATE))]
+#[case::knows(Message::Knows(STATE))]
+#[case::changes(Message::Changes(STATE, delta(3, 12)))]
+#[case::closed_zone(Message::Changes(STATE, Delta::new(8, vec![Change::ZoneClosed(ZoneStamp(3))])))]
+#[case::opened_zone(Message::Changes(STATE, Delta::new(8, vec![Change::ZoneOpened(ZoneStamp(3))])))]
+#[case::routes(Message::Changes(STATE, Delta { routes: Some(routes_delta()), ..delta(3, 12) }))]
+#[case::removal(Message::Changes(STATE, Delta::new(8, vec![Change::Gone("i-7f3a91c2".into())])))]
+fn message_round_trip(#[case] message: Message) {
     assert_eq!(decode(&encode(&message)), Some(message));
 }
 
 #[rstest]
 #[case::whole(true)]
 #[case::without_routes(false)]
-fn view_there_and_back(#[case] routes: bool) {
+fn view_round_trip(#[case] routes: bool) {
     assert_eq!(decode_view(&encode_view(&view(routes))), Some(view(routes)));
 }
 
@@ -121,7 +121,7 @@
 #[case::too_many(CHANGES_MAX + 1, 12, false)]
 #[case::long_names(20, 200, false)]
 fn beacon_brings_changes_that_fit(#[case] count: usize, #[case] bytes: usize, #[case] fits: bool) {
-    let message = beacon(NEWS, Some(delta(count, bytes)));
+    let message = beacon(STATE, Some(delta(count, bytes)));
     assert_eq!(matches!(message, Message::Changes(..)), fits);
     assert!(encode(&message).len() <= MESSAGE_BYTES_MAX);
 }
@@ -129,15 +129,15 @@
 /// A sender that puts more changes into a message than any balancer does is refused.
 #[test]
 fn oversized_changes_are_refused() {
-    let message = Message::Changes(NEWS, delta(CHANGES_MAX + 1, 1));
+    let message = Message::Changes(STATE, delta(CHANGES_MAX + 1, 1));
     assert_eq!(decode(&encode(&message)), None);
 }
 
 #[test]
 fn cut_messages_are_refused() {
-    let whole = encode(&Message::Changes(NEWS, delta(3, 12)));
+    let whole = encode(&Message::Changes(STATE, delta(3, 12)));
     assert!((0..whole.len()).all(|length| decode(&whole[..length]).is_none()));
-    let whole = encode(&Message::Beacon(NEWS));
+    let whole = encode(&Message::Beacon(STATE));
     assert!((0..whole.len()).all(|length| decode(&whole[..length]).is_none()));
     let whole = encode_view(&view(true));
     assert!((0..whole.len()).all(|length| decode_view(&whole[..length]).is_none()));
