--- a/crates/loadgen/src/control/fleet.rs
+++ b/crates/loadgen/src/control/fleet.rs
@@ -23,8 +23,8 @@
     let ring = AccountKeyring::new(&[(KeyId(1), [7; 32])]).expect("a keyring of one key");
     let account = account_name(0).into();
     let question = Question { kind: Kind::Subtree, account, nonce: u64::MAX };
-    let path = question.ask(&ring).expect("the ring has a key");
-    let answer = question.answer(&ring, &()).expect("nothing can be sealed");
+    let path = question.signed_path(&ring).expect("the ring has a key");
+    let answer = question.seal_answer(&ring, &()).expect("nothing can be sealed");
     // One byte of the answer is the body that stands for nothing.
     HEADS_BYTES + (path.len() + answer.len() - 1) as u64
 }
--- a/crates/shell/src/settings_sync/peers.rs
+++ b/crates/shell/src/settings_sync/peers.rs
@@ -190,11 +190,11 @@
     ) -> Result<T, PeerError> {
         let question = Question { kind, account: account.into(), nonce: rand::random() };
         let ring = (self.keyrings)(account).ok_or(PeerError::NoKey)?;
-        let mut path = question.ask(&ring).ok_or(PeerError::NoKey)?;
+        let mut path = question.signed_path(&ring).ok_or(PeerError::NoKey)?;
         if !have.is_empty() {
             path.push_str("&have=");
             path.push_str(have);
         }
-        Ok(question.open(&ring, &self.client.get(peer, &path)?)?)
+        Ok(question.open_answer(&ring, &self.client.get(peer, &path)?)?)
     }
 }
--- a/crates/shell/src/settings_sync/serve.rs
+++ b/crates/shell/src/settings_sync/serve.rs
@@ -26,7 +26,7 @@
 
 fn answer(store: &Store, keyrings: &Keyrings, kind: Kind, request: &Request) -> Reply {
     let keyring = |account: &str| keyrings(account);
-    let checked = Question::check(kind, |name| request.parameter(name), keyring);
+    let checked = Question::verify(kind, |name| request.parameter(name), keyring);
     let Some((question, ring)) = checked else {
         return Reply::error(403, "the question is not proven");
     };
@@ -94,7 +94,7 @@
 }
 
 fn sealed(question: &Question, ring: &AccountKeyring, value: &impl Serialize) -> Reply {
-    match question.answer(ring, value) {
+    match question.seal_answer(ring, value) {
         Some(body) => Reply { status: 200, content_type: "application/msgpack", body },
         None => Reply::error(500, "the answer cannot be sealed"),
     }
--- a/crates/shell/tests/peers.rs
+++ b/crates/shell/tests/peers.rs
@@ -132,8 +132,8 @@
     let digest = Digest { current: true, confirmed_age_ms: 0, root_version: 3, accounts };
     let routes = Routes::default().get(Kind::Digest.path(), move |request| {
         let parameter = |name: &str| request.parameter(name);
-        let (question, ring) = Question::check(Kind::Digest, parameter, &*keyrings()).unwrap();
-        let body = question.answer(&ring, &digest).unwrap();
+        let (question, ring) = Question::verify(Kind::Digest, parameter, &*keyrings()).unwrap();
+        let body = question.seal_answer(&ring, &digest).unwrap();
         Reply { status: 200, content_type: "application/msgpack", body }
     });
     let result = reader(&own, vec![]).compare(serve(routes));
--- a/crates/wire/src/exchange/question.rs
+++ b/crates/wire/src/exchange/question.rs
@@ -13,8 +13,8 @@
 /// account's and no account can have this name.
 pub const FLEET: &str = "";
 
-const ASK: &[u8] = b"ask";
-const ANSWER: &[u8] = b"answer";
+const QUESTION_LABEL: &[u8] = b"ask";
+const ANSWER_LABEL: &[u8] = b"answer";
 
 /// What is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,15 +61,15 @@
     /// use wire::sealed::{AccountKeyring, KeyId};
     /// let ring = AccountKeyring::new(&[(KeyId(1), [9; 32])]).unwrap();
     /// let question = Question { kind: Kind::Root, account: "cascadia".into(), nonce: 7 };
-    /// let path = question.ask(&ring).unwrap();
+    /// let path = question.signed_path(&ring).unwrap();
     /// let (_, query) = path.split_once('?').unwrap();
     /// let parameter = |name: &str| {
     ///     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
     /// };
-    /// assert_eq!(Question::check(Kind::Root, parameter, |_| Some(ring)), Some((question, ring)));
+    /// assert_eq!(Question::verify(Kind::Root, parameter, |_| Some(ring)), Some((question, ring)));
     /// ```
-    pub fn ask(&self, ring: &AccountKeyring) -> Option<String> {
-        let (KeyId(key), proof) = self.tag(ring, ASK, &[])?;
+    pub fn signed_path(&self, ring: &AccountKeyring) -> Option<String> {
+        let (KeyId(key), proof) = self.tag(ring, QUESTION_LABEL, &[])?;
         let Self { kind, account, nonce } = self;
         let mut path =
             format!("{}?account={account}&nonce={nonce:x}&key={key}&proof=", kind.path());
@@ -82,7 +82,7 @@
 
     /// The question in the parameters of a request and the keyring of its account; `None` if a
     /// parameter is missing, the account unknown or the proof wrong.
-    pub fn check<'q>(
+    pub fn verify<'q>(
         kind: Kind,
         parameter: impl Fn(&str) -> Option<&'q str>,
         keyring: impl FnOnce(&str) -> Option<AccountKeyring>,
@@ -93,7 +93,7 @@
         let proof = mac_from_hex(parameter("proof")?)?;
         let question = Self { kind, account: account.into(), nonce };
         let ring = keyring(account)?;
-        question.check_tag(&ring, (key, proof), ASK, &[]).then_some((question, ring))
+        question.verify_tag(&ring, (key, proof), QUESTION_LABEL, &[]).then_some((question, ring))
     }
 
     /// Seals an answer to this question: key id, MAC, and the value in MessagePack.
@@ -104,28 +104,28 @@
     /// let ring = AccountKeyring::new(&[(KeyId(1), [9; 32])]).unwrap();
     /// let question = Question { kind: Kind::Root, account: "cascadia".into(), nonce: 7 };
     /// let document = Document { version: 3, yaml: "version: 3".into() };
-    /// let answer = question.answer(&ring, &document).unwrap();
-    /// assert_eq!(question.open::<Document>(&ring, &answer), Ok(document));
+    /// let answer = question.seal_answer(&ring, &document).unwrap();
+    /// assert_eq!(question.open_answer::<Document>(&ring, &answer), Ok(document));
     /// let later = Question { nonce: 8, ..question };
-    /// assert!(later.open::<Document>(&ring, &answer).is_err());
+    /// assert!(later.open_answer::<Document>(&ring, &answer).is_err());
     /// ```
-    pub fn answer(&self, ring: &AccountKeyring, value: &impl Serialize) -> Option<Vec<u8>> {
+    pub fn seal_answer(&self, ring: &AccountKeyring, value: &impl Serialize) -> Option<Vec<u8>> {
         let body = rmp_serde::to_vec(value).ok()?;
-        let (KeyId(key), mac) = self.tag(ring, ANSWER, &body)?;
+        let (KeyId(key), mac) = self.tag(ring, ANSWER_LABEL, &body)?;
         Some([&[key], &mac[..], &body].concat())
     }
 
     /// Opens the answer to this question.
     ///
     /// Errors: [`ExchangeError`] if it is not one, or not by a holder of the account's key.
-    pub fn open<T: DeserializeOwned>(
+    pub fn open_answer<T: DeserializeOwned>(
         &self,
         ring: &AccountKeyring,
         bytes: &[u8],
     ) -> Result<T, ExchangeError> {
         let (key, rest) = bytes.split_first().ok_or(ExchangeError)?;
         let (mac, body) = rest.split_first_chunk().ok_or(ExchangeError)?;
-        if !self.check_tag(ring, (KeyId(*key), *mac), ANSWER, body) {
+        if !self.verify_tag(ring, (KeyId(*key), *mac), ANSWER_LABEL, body) {
             return Err(ExchangeError);
         }
         decode(body)
@@ -134,23 +134,23 @@
     fn tag(
         &self,
         ring: &AccountKeyring,
-        what: &[u8],
+        label: &[u8],
         body: &[u8],
     ) -> Option<(KeyId, [u8; MAC_BYTES])> {
         let nonce = self.nonce.to_be_bytes();
-        ring.tag(&[what, self.kind.path().as_bytes(), self.account.as_bytes(), &nonce, body])
+        ring.tag(&[label, self.kind.path().as_bytes(), self.account.as_bytes(), &nonce, body])
     }
 
-    fn check_tag(
+    fn verify_tag(
         &self,
         ring: &AccountKeyring,
         (key, mac): (KeyId, [u8; MAC_BYTES]),
-        what: &[u8],
+        label: &[u8],
         body: &[u8],
     ) -> bool {
         let nonce = self.nonce.to_be_bytes();
         let path = self.kind.path().as_bytes();
-        ring.check_tag(key, &mac, &[what, path, self.account.as_bytes(), &nonce, body])
+        ring.verify_tag(key, &mac, &[label, path, self.account.as_bytes(), &nonce, body])
     }
 }
 
--- a/crates/wire/src/sealed/mod.rs
+++ b/crates/wire/src/sealed/mod.rs
@@ -340,11 +340,11 @@
         }
         let key = self.find(layout.key_id)?;
         let covered = covered_bytes(payload, layout.covered)?;
-        if !equal_in_constant_time(&mac(key, layout, covered), &layout.mac) {
+        if !constant_time_eq(&mac(key, layout, covered), &layout.mac) {
             return Err(SealError::BadMac);
         }
         let passed = passed_from_byte(layout.passed).ok_or(SealError::Field)?;
-        Ok(Opened { header: header_of(layout, passed), covered: covered.len() })
+        Ok(Opened { header: header_from_layout(layout, passed), covered: covered.len() })
     }
 
     fn find(&self, id: u8) -> Result<&MacKey, SealError> {
@@ -353,7 +353,7 @@
     }
 }
 
-fn header_of(layout: &Layout, passed: Passed) -> Header {
+fn header_from_layout(layout: &Layout, passed: Passed) -> Header {
     Header {
         hops: layout.hops,
         passed,
@@ -382,7 +382,7 @@
 
 /// Compares without branching on content: an early return would tell a forger by its timing how
 /// many bytes of a guessed MAC are right.
-fn equal_in_constant_time(one: &[u8; MAC_BYTES], other: &[u8; MAC_BYTES]) -> bool {
+fn constant_time_eq(one: &[u8; MAC_BYTES], other: &[u8; MAC_BYTES]) -> bool {
     let difference = u128::from_ne_bytes(*one) ^ u128::from_ne_bytes(*other);
     std::hint::black_box(difference) == 0
 }
--- a/crates/wire/src/sealed/tag.rs
+++ b/crates/wire/src/sealed/tag.rs
@@ -4,7 +4,7 @@
 
 use siphasher::sip128::{Hasher128 as _, SipHasher24};
 
-use super::{AccountKeyring, KeyId, MAC_BYTES, MacKey, equal_in_constant_time};
+use super::{AccountKeyring, KeyId, MAC_BYTES, MacKey, constant_time_eq};
 
 /// First byte under every MAC of this kind; no sealed frame begins with it.
 const FORMAT_TAG: u8 = 3;
@@ -17,8 +17,8 @@
     /// use wire::sealed::{AccountKeyring, KeyId};
     /// let ring = AccountKeyring::new(&[(KeyId(1), [9; 32])]).unwrap();
     /// let (id, tag) = ring.tag(&[b"ab", b"c"]).unwrap();
-    /// assert!(ring.check_tag(id, &tag, &[b"ab", b"c"]));
-    /// assert!(!ring.check_tag(id, &tag, &[b"a", b"bc"]));
+    /// assert!(ring.verify_tag(id, &tag, &[b"ab", b"c"]));
+    /// assert!(!ring.verify_tag(id, &tag, &[b"a", b"bc"]));
     /// ```
     pub fn tag(&self, parts: &[&[u8]]) -> Option<(KeyId, [u8; MAC_BYTES])> {
         let key = self.keys.iter().flatten().next()?;
@@ -26,8 +26,8 @@
     }
 
     /// Whether [`AccountKeyring::tag`] made this MAC over these parts with a key of this ring.
-    pub fn check_tag(&self, id: KeyId, mac: &[u8; MAC_BYTES], parts: &[&[u8]]) -> bool {
-        self.find(id.0).is_ok_and(|key| equal_in_constant_time(&tag(key, parts), mac))
+    pub fn verify_tag(&self, id: KeyId, mac: &[u8; MAC_BYTES], parts: &[&[u8]]) -> bool {
+        self.find(id.0).is_ok_and(|key| constant_time_eq(&tag(key, parts), mac))
     }
 }
 
--- a/crates/wire/tests/exchange.rs
+++ b/crates/wire/tests/exchange.rs
@@ -38,11 +38,11 @@
 /// `from` in its query was replaced by `to`.
 fn checked(kind: Kind, asker: &str, from: &str, to: &str) -> Option<Question> {
     let question = Question { kind: Kind::Subtree, account: "cascadia".into(), nonce: 7 };
-    let path = question.ask(&ring(asker)).unwrap().replace(from, to);
+    let path = question.signed_path(&ring(asker)).unwrap().replace(from, to);
     let (_, query) = path.split_once('?').unwrap();
     let parameter =
         |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
-    Some(Question::check(kind, parameter, |account| Some(ring(account)))?.0)
+    Some(Question::verify(kind, parameter, |account| Some(ring(account)))?.0)
 }
 
 /// A rival's machine holds only its own key: it can neither ask for another account's subtree nor
@@ -82,11 +82,11 @@
 ) {
     let question = |nonce| Question { kind: Kind::Subtree, account: "cascadia".into(), nonce };
     let document = Document { version: 7, yaml: "version: 7".into() };
-    let mut answer = question(nonce).answer(&ring(answerer), &document).unwrap();
+    let mut answer = question(nonce).seal_answer(&ring(answerer), &document).unwrap();
     if let Some(offset) = damaged {
         answer[offset] ^= 1;
     }
-    let opened = question(7).open::<Document>(&ring("cascadia"), &answer);
+    let opened = question(7).open_answer::<Document>(&ring("cascadia"), &answer);
     assert_eq!(opened, if accepted { Ok(document) } else { Err(ExchangeError) });
 }
 
@@ -98,6 +98,6 @@
         let _ = decode::<Digest>(&bytes);
         let _ = decode::<Document>(&bytes);
         let question = Question { kind: Kind::Root, account: FLEET.into(), nonce: 7 };
-        prop_assert!(question.open::<Document>(&ring(FLEET), &bytes).is_err());
+        prop_assert!(question.open_answer::<Document>(&ring(FLEET), &bytes).is_err());
     }
 }
