--- a/crates/wire/src/bounded.rs
+++ b/crates/wire/src/bounded.rs
@@ -25,11 +25,11 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<Self::Value, A::Error> {
-        let announced = sequence.size_hint().unwrap_or(0);
-        if announced > MAX {
-            return Err(A::Error::invalid_length(announced, &self));
+        let length_hint = sequence.size_hint().unwrap_or(0);
+        if length_hint > MAX {
+            return Err(A::Error::invalid_length(length_hint, &self));
         }
-        let mut list = Vec::with_capacity(announced);
+        let mut list = Vec::with_capacity(length_hint);
         while let Some(entry) = sequence.next_element()? {
             if list.len() == MAX {
                 return Err(A::Error::invalid_length(MAX + 1, &self));
--- a/crates/wire/src/control/dto.rs
+++ b/crates/wire/src/control/dto.rs
@@ -204,8 +204,8 @@
 }
 
 impl From<RecordCompleteness> for MemoryDto {
-    fn from(memory: RecordCompleteness) -> Self {
-        match memory {
+    fn from(completeness: RecordCompleteness) -> Self {
+        match completeness {
             RecordCompleteness::Complete => Self::Complete,
             RecordCompleteness::Newborn => Self::Newborn,
             RecordCompleteness::Forgetful => Self::Forgetful,
@@ -214,8 +214,8 @@
 }
 
 impl From<MemoryDto> for RecordCompleteness {
-    fn from(memory: MemoryDto) -> Self {
-        match memory {
+    fn from(completeness: MemoryDto) -> Self {
+        match completeness {
             MemoryDto::Complete => Self::Complete,
             MemoryDto::Newborn => Self::Newborn,
             MemoryDto::Forgetful => Self::Forgetful,
--- a/crates/wire/src/delta.rs
+++ b/crates/wire/src/delta.rs
@@ -70,17 +70,17 @@
     pub fn apply(&self, old: &str) -> Option<String> {
         let old = lines(old);
         let mut text = String::new();
-        let mut at = 0usize;
+        let mut position = 0usize;
         for Hunk(keep, drop, insert) in &self.hunks {
-            let kept_to = at.checked_add(*keep as usize)?;
-            text.extend(old.get(at..kept_to)?.iter().copied());
+            let kept_to = position.checked_add(*keep as usize)?;
+            text.extend(old.get(position..kept_to)?.iter().copied());
             text.push_str(insert);
-            at = kept_to.checked_add(*drop as usize)?;
+            position = kept_to.checked_add(*drop as usize)?;
             if text.len() > TEXT_BYTES_MAX {
                 return None;
             }
         }
-        text.extend(old.get(at..)?.iter().copied());
+        text.extend(old.get(position..)?.iter().copied());
         Some(text)
     }
 }
--- a/crates/wire/src/inner.rs
+++ b/crates/wire/src/inner.rs
@@ -11,7 +11,7 @@
 use siphasher::sip::SipHasher13;
 
 /// Longest input of the flow hash: protocol, two IPv6 addresses and two ports.
-const FLOW_KEY_BYTES_MAX: usize = 1 + 2 * (16 + 2);
+const FLOW_HASH_INPUT_BYTES_MAX: usize = 1 + 2 * (16 + 2);
 
 /// Flags of a TCP segment that matter for the life of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -157,13 +157,13 @@
     /// assert_ne!(parsed.flow_id(&[0; 16]), parsed.flow_id(&[1; 16]));
     /// ```
     pub fn flow_id(&self, key: &[u8; 16]) -> FlowId {
-        let mut bytes = [0; FLOW_KEY_BYTES_MAX];
+        let mut bytes = [0; FLOW_HASH_INPUT_BYTES_MAX];
         bytes[0] = match self.endpoint.transport {
             Transport::Tcp => ip_number::TCP.0,
             Transport::Udp => ip_number::UDP.0,
         };
-        let end = put_address(&mut bytes, 1, self.source.ip(), self.source.port());
-        let end = put_address(&mut bytes, end, self.endpoint.address, self.endpoint.port);
+        let end = write_address(&mut bytes, 1, self.source.ip(), self.source.port());
+        let end = write_address(&mut bytes, end, self.endpoint.address, self.endpoint.port);
         FlowId(SipHasher13::new_with_key(key).hash(&bytes[..end]))
     }
 }
@@ -232,8 +232,8 @@
     part.as_ptr().addr() - whole.as_ptr().addr()
 }
 
-fn put_address(
-    bytes: &mut [u8; FLOW_KEY_BYTES_MAX],
+fn write_address(
+    bytes: &mut [u8; FLOW_HASH_INPUT_BYTES_MAX],
     start: usize,
     address: IpAddr,
     port: u16,
--- a/crates/wire/src/refusal.rs
+++ b/crates/wire/src/refusal.rs
@@ -42,8 +42,8 @@
         Segment::Tcp { flags, .. } if flags.rst => {}
         Segment::Tcp { sequence, acknowledgement, flags, payload } => {
             let consumed = payload.len() as u32 + u32::from(flags.syn) + u32::from(flags.fin);
-            let acknowledge = sequence.wrapping_add(consumed);
-            write_reset(inner, flags, acknowledgement, acknowledge, out);
+            let segment_end = sequence.wrapping_add(consumed);
+            write_reset(inner, flags, acknowledgement, segment_end, out);
         }
         Segment::Udp { .. } => write_unreachable(inner, packet, udp, out),
     }
@@ -55,21 +55,21 @@
     inner: &Inner<'_>,
     flags: TcpFlags,
     acknowledgement: u32,
-    acknowledge: u32,
+    segment_end: u32,
     out: &mut Vec<u8>,
 ) {
-    let Some(builder) = reply_to(inner) else { return };
+    let Some(builder) = reply_builder(inner) else { return };
     let (from, to) = (inner.endpoint.port, inner.source.port());
     let result = if flags.ack {
         builder.tcp(from, to, acknowledgement, 0).rst().write(out, &[])
     } else {
-        builder.tcp(from, to, 0, 0).rst().ack(acknowledge).write(out, &[])
+        builder.tcp(from, to, 0, 0).rst().ack(segment_end).write(out, &[])
     };
-    discard_on_error(result.is_ok(), out);
+    clear_unless_written(result.is_ok(), out);
 }
 
 fn write_unreachable(inner: &Inner<'_>, packet: &[u8], udp: UdpRefusal, out: &mut Vec<u8>) {
-    let Some(builder) = reply_to(inner) else { return };
+    let Some(builder) = reply_builder(inner) else { return };
     let quote = &packet[..packet.len().min(QUOTE_BYTES_MAX)];
     let result = match inner.source.ip() {
         IpAddr::V4(_) => {
@@ -87,11 +87,11 @@
             builder.icmpv6(Icmpv6Type::DestinationUnreachable(code)).write(out, quote)
         }
     };
-    discard_on_error(result.is_ok(), out);
+    clear_unless_written(result.is_ok(), out);
 }
 
 /// An IP header from the service's address to the caller.
-fn reply_to(inner: &Inner<'_>) -> Option<PacketBuilderStep<IpHeaders>> {
+fn reply_builder(inner: &Inner<'_>) -> Option<PacketBuilderStep<IpHeaders>> {
     match (inner.endpoint.address, inner.source.ip()) {
         (IpAddr::V4(from), IpAddr::V4(to)) => {
             Some(PacketBuilder::ipv4(from.octets(), to.octets(), HOP_LIMIT))
@@ -104,7 +104,7 @@
 }
 
 /// Half an answer is worse than none.
-fn discard_on_error(written: bool, out: &mut Vec<u8>) {
+fn clear_unless_written(written: bool, out: &mut Vec<u8>) {
     if !written {
         out.clear();
     }
--- a/crates/wire/tests/control.rs
+++ b/crates/wire/tests/control.rs
@@ -13,34 +13,48 @@
 
 const OPENING: Opening = Opening { flow: FlowId(u64::MAX), nonce: u32::MAX };
 const VIEW: Version = Version(7);
-const LIFE: Incarnation = Incarnation(u64::MAX);
-const STATE: HandedOver = HandedOver { peer_timeouts: u32::MAX, informed_agents: 3 };
+const INCARNATION: Incarnation = Incarnation(u64::MAX);
+const HANDED_OVER: HandedOver = HandedOver { peer_timeouts: u32::MAX, informed_agents: 3 };
 
 fn note() -> FlowNote {
     FlowNote { opening: OPENING, open: true, age_ms: u32::MAX }
 }
 
 fn announce(notes: usize) -> Message {
-    Message::Announce { incarnation: LIFE, sequence: u64::MAX, notes: vec![note(); notes] }
+    Message::Announce { incarnation: INCARNATION, sequence: u64::MAX, notes: vec![note(); notes] }
 }
 
-fn page(openings: usize) -> Message {
+fn relearn_reply(openings: usize) -> Message {
     let (from, next) = (FlowId(1), Some(FlowId(u64::MAX)));
     let openings = vec![OPENING; openings];
     let entrusted = Vec::new();
-    Message::RelearnReply { incarnation: LIFE, from, openings, entrusted, next, complete: true }
+    Message::RelearnReply {
+        incarnation: INCARNATION,
+        from,
+        openings,
+        entrusted,
+        next,
+        complete: true,
+    }
 }
 
-fn entrusted_page(entries: usize) -> Message {
+fn relearn_reply_entrusted(entries: usize) -> Message {
     let (from, next) = (FlowId(1), Some(FlowId(u64::MAX)));
     let entrusted = vec![Entrusted { opening: OPENING, holder: UpstreamId(u64::MAX) }; entries];
     let openings = Vec::new();
-    Message::RelearnReply { incarnation: LIFE, from, openings, entrusted, next, complete: true }
+    Message::RelearnReply {
+        incarnation: INCARNATION,
+        from,
+        openings,
+        entrusted,
+        next,
+        complete: true,
+    }
 }
 
 fn claim_reply(answer: ClaimAnswer) -> Message {
     let claim = Claim::Run(UpstreamId(3));
-    Message::ClaimReply { opening: OPENING, claim, answer, view: VIEW, incarnation: LIFE }
+    Message::ClaimReply { opening: OPENING, claim, answer, view: VIEW, incarnation: INCARNATION }
 }
 
 fn ask_reply(knowledge: Knowledge) -> Message {
@@ -49,8 +63,8 @@
 
 fn heartbeat() -> Message {
     Message::Heartbeat(Heartbeat {
-        incarnation: LIFE,
-        born: Some(LIFE),
+        incarnation: INCARNATION,
+        born: Some(INCARNATION),
         beat: 77,
         view: VIEW,
         open_flows: 1,
@@ -63,13 +77,13 @@
 
 #[rstest]
 #[case::claim(Message::ClaimRequest {
-    opening: OPENING, claim: Claim::Refuse, view: VIEW, incarnation: LIFE,
+    opening: OPENING, claim: Claim::Refuse, view: VIEW, incarnation: INCARNATION,
 })]
-#[case::recall(Message::Recall { incarnation: LIFE, from: 9 })]
+#[case::recall(Message::Recall { incarnation: INCARNATION, from: 9 })]
 #[case::recall_reply(Message::RecallReply {
-    incarnation: LIFE,
+    incarnation: INCARNATION,
     from: 9,
-    records: vec![ClaimRecord { opening: OPENING, claim: Claim::Refuse, incarnation: LIFE }],
+    records: vec![ClaimRecord { opening: OPENING, claim: Claim::Refuse, incarnation: INCARNATION }],
     next: Some(37),
     memory: RecordCompleteness::Newborn,
     met_before: true,
@@ -80,25 +94,25 @@
 #[case::abstained(claim_reply(ClaimAnswer::Abstained))]
 #[case::stale_view(claim_reply(ClaimAnswer::StaleView))]
 #[case::announce(announce(2))]
-#[case::announce_ack(Message::AnnounceAck { incarnation: LIFE, sequence: 8 })]
+#[case::announce_ack(Message::AnnounceAck { incarnation: INCARNATION, sequence: 8 })]
 #[case::ask(Message::Ask { flow: FlowId(4), question: 5 })]
 #[case::mine(ask_reply(Knowledge::Mine))]
 #[case::held_by(ask_reply(Knowledge::HeldBy(UpstreamId(6))))]
 #[case::closing(ask_reply(Knowledge::Closing))]
 #[case::not_mine(ask_reply(Knowledge::NotMine))]
 #[case::unsure(ask_reply(Knowledge::Unsure))]
-#[case::relearn(Message::Relearn { incarnation: LIFE, from: FlowId(3) })]
-#[case::page(page(2))]
-#[case::entrusted(entrusted_page(2))]
+#[case::relearn(Message::Relearn { incarnation: INCARNATION, from: FlowId(3) })]
+#[case::relearn_reply(relearn_reply(2))]
+#[case::entrusted(relearn_reply_entrusted(2))]
 #[case::heartbeat(heartbeat())]
 #[case::outdated(Message::Outdated(Outdated { from: Version(3), next: VIEW, expires_in_ms: 9 }))]
 #[case::ask_about(Message::AskAbout { flow: OPENING.flow, question: u64::MAX, sequence: u32::MAX })]
 #[case::tell_likely(Message::Tell { flow: OPENING.flow, question: 1, knowledge: Knowledge::Likely, view: VIEW })]
 #[case::tell_unlikely(Message::Tell { flow: OPENING.flow, question: 1, knowledge: Knowledge::Unlikely, view: VIEW })]
 #[case::tell(Message::Tell { flow: OPENING.flow, question: 1, knowledge: Knowledge::Unsure, view: VIEW })]
-#[case::handed_over(Message::HandedOver { incarnation: LIFE, state: STATE })]
-#[case::former(Message::Former { incarnation: LIFE, former: PreviousIncarnation { incarnation: Some(Incarnation(3)), handed_over: Some(STATE), resumed: true } })]
-#[case::former_unknown(Message::Former { incarnation: LIFE, former: PreviousIncarnation { incarnation: None, handed_over: None, resumed: false } })]
+#[case::handed_over(Message::HandedOver { incarnation: INCARNATION, state: HANDED_OVER })]
+#[case::former(Message::Former { incarnation: INCARNATION, former: PreviousIncarnation { incarnation: Some(Incarnation(3)), handed_over: Some(HANDED_OVER), resumed: true } })]
+#[case::former_unknown(Message::Former { incarnation: INCARNATION, former: PreviousIncarnation { incarnation: None, handed_over: None, resumed: false } })]
 fn decode_own_encoding(#[case] message: Message) {
     let envelope = Envelope { clock: u64::MAX, message };
     let mut bytes = Vec::new();
@@ -106,7 +120,7 @@
     assert_eq!(decode(&bytes).unwrap(), envelope);
 }
 
-fn records(count: usize) -> Message {
+fn recall_reply(count: usize) -> Message {
     let opening = Opening { flow: FlowId(u64::MAX), nonce: u32::MAX };
     let claim = Claim::Run(UpstreamId(u64::MAX));
     let record = ClaimRecord { opening, claim, incarnation: Incarnation(u64::MAX) };
@@ -123,9 +137,9 @@
 /// The largest messages of the core, with the largest numbers, fit one datagram.
 #[rstest]
 #[case::announce(announce(decision::agent::limits::NOTES_PER_ANNOUNCE))]
-#[case::page(page(decision::agent::limits::OPENINGS_PER_PAGE))]
-#[case::entrusted(entrusted_page(decision::agent::limits::OPENINGS_PER_PAGE))]
-#[case::records(records(decision::agent::limits::RECORDS_PER_PAGE))]
+#[case::relearn_reply(relearn_reply(decision::agent::limits::OPENINGS_PER_PAGE))]
+#[case::entrusted(relearn_reply_entrusted(decision::agent::limits::OPENINGS_PER_PAGE))]
+#[case::recall_reply(recall_reply(decision::agent::limits::RECORDS_PER_PAGE))]
 fn encode_largest_message(#[case] message: Message) {
     let mut bytes = Vec::new();
     encode(&Envelope { clock: u64::MAX, message }, &mut bytes).unwrap();
@@ -134,7 +148,7 @@
 
 #[rstest]
 #[case::list(announce(LIST_MAX + 1), ControlError::ListTooLong(LIST_MAX + 1))]
-#[case::bytes(page(LIST_MAX), ControlError::TooLarge(1_961))]
+#[case::bytes(relearn_reply(LIST_MAX), ControlError::TooLarge(1_961))]
 fn encode_refused(#[case] message: Message, #[case] expected: ControlError) {
     let mut bytes = b"before".to_vec();
     assert_eq!(encode(&Envelope { clock: 1, message }, &mut bytes), Err(expected));
--- a/crates/wire/tests/exchange.rs
+++ b/crates/wire/tests/exchange.rs
@@ -36,7 +36,7 @@
 
 /// What a server makes of a question asked under `kind` by a holder of the key of `asker`, after
 /// `from` in its query was replaced by `to`.
-fn checked(kind: Kind, asker: &str, from: &str, to: &str) -> Option<Question> {
+fn verified(kind: Kind, asker: &str, from: &str, to: &str) -> Option<Question> {
     let question = Question { kind: Kind::Subtree, account: "cascadia".into(), nonce: 7 };
     let path = question.signed_path(&ring(asker)).unwrap().replace(from, to);
     let (_, query) = path.split_once('?').unwrap();
@@ -49,7 +49,7 @@
 /// change a question that it saw.
 #[rstest]
 #[case::own(Kind::Subtree, "cascadia", "", "", true)]
-#[case::rival(Kind::Subtree, "bajio", "", "", false)]
+#[case::key_of_other_account(Kind::Subtree, "bajio", "", "", false)]
 #[case::fleet_key_for_account(Kind::Subtree, FLEET, "", "", false)]
 #[case::other_account(Kind::Subtree, "bajio", "account=cascadia", "account=bajio", false)]
 #[case::other_kind(Kind::Root, "cascadia", "", "", false)]
@@ -64,12 +64,12 @@
     #[case] to: &str,
     #[case] accepted: bool,
 ) {
-    assert_eq!(checked(kind, asker, from, to).is_some(), accepted);
+    assert_eq!(verified(kind, asker, from, to).is_some(), accepted);
 }
 
 #[rstest]
 #[case::own("cascadia", 7, None, true)]
-#[case::by_rival("bajio", 7, None, false)]
+#[case::by_other_account("bajio", 7, None, false)]
 #[case::to_older_question("cascadia", 6, None, false)]
 #[case::changed_key_id("cascadia", 7, Some(0), false)]
 #[case::changed_mac("cascadia", 7, Some(1), false)]
--- a/crates/wire/tests/peers.rs
+++ b/crates/wire/tests/peers.rs
@@ -103,8 +103,8 @@
 
 /// Whatever arrives on the internal port is refused whole, without a panic.
 #[rstest]
-#[case::nothing(b"")]
-#[case::no_messagepack(b"\xc1\xc1")]
+#[case::empty(b"")]
+#[case::not_message_pack(b"\xc1\xc1")]
 #[case::text(b"GET / HTTP/1.1\r\n")]
 #[case::unknown_kind(b"\x81\xa4What\x01")]
 #[case::endless_list(b"\x81\xa5Peers\xdd\xff\xff\xff\xff")]
