--- a/crates/wire/benches/sealed.rs
+++ b/crates/wire/benches/sealed.rs
@@ -1,4 +1,4 @@
-//! Cost of sealing and opening one packet's private data.
+//! Benchmarks of sealing and opening the private data of one packet, and of deriving a keyring.
 
 use decision::agent::Passed;
 use decision::keys::{AccountId, FlowId, ServiceId, Version};
@@ -6,7 +6,7 @@
 use wire::sealed::{AccountKeyring, Header, KeyId, Payload, SEALED_BYTES, SenderId};
 
 const PACKET: [u8; 240] = [7; 240];
-/// Headers of IPv4 and TCP without options.
+/// A packet with IPv4 and TCP headers without options.
 const PAYLOAD: Payload<'static> = Payload::Packet { bytes: &PACKET, header_bytes: 40 };
 
 fn main() {
--- a/crates/wire/src/bounded.rs
+++ b/crates/wire/src/bounded.rs
@@ -1,12 +1,12 @@
-//! Lists with a bound on what a sender may make the receiver allocate.
+//! Decoding of lists with a bound on the memory that a sender can make the receiver allocate.
 
 use std::fmt;
 use std::marker::PhantomData;
 
 use serde::de::{Deserialize, Deserializer, Error as _, SeqAccess, Visitor};
 
-/// Decodes a list of at most `MAX` entries; a longer one is refused by its announced length,
-/// before any room is made for it.
+/// Decodes a list of at most `MAX` entries. A longer one is rejected by its announced length,
+/// before any memory is allocated for it.
 pub(crate) fn list<'de, D, T, const MAX: usize>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
--- a/crates/wire/src/control/dto.rs
+++ b/crates/wire/src/control/dto.rs
@@ -1,4 +1,4 @@
-//! Types with serde that mirror the messages of the core.
+//! Serializable types that mirror the messages of the core.
 
 use decision::keys::{FlowId, Incarnation, UpstreamId, Version};
 use decision::message::{
@@ -164,7 +164,7 @@
     },
 }
 
-/// Entries of the list in a message, zero where it has none.
+/// Number of entries in the longest list of a message; zero if it has no list.
 pub(super) fn list_entries(message: &Message) -> usize {
     match message {
         Message::Announce { notes, .. } => notes.len(),
--- a/crates/wire/src/control/mod.rs
+++ b/crates/wire/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! Control messages of the agents as bytes: MessagePack of types that mirror the core's.
+//! Encoding of the agents' control messages: MessagePack of types that mirror those of the core.
 //!
-//! The types of [`dto`] carry serde; the core's stay free of it. Lists are bounded: a decoder
-//! refuses a longer one before it makes room for it.
+//! Only the types of [`dto`] derive the traits of serde, so that the core does not depend on it.
+//! Lists are bounded: the decoder rejects a longer one before it allocates memory for it.
 
 pub mod dto;
 
@@ -9,8 +9,8 @@
 
 /// GUE control type of the agents' messages.
 pub const CONTROL_TYPE: u8 = 1;
-/// Largest encoded message. With GUE header, private data and IPv6 it stays below the smallest
-/// MTU of today's clouds (1,460 bytes), so that a message is never fragmented.
+/// Most bytes of an encoded message. With GUE header, private data and IPv6 header it stays below
+/// the smallest MTU of current clouds (1,460 bytes), so that a message is never fragmented.
 pub const MESSAGE_BYTES_MAX: usize = 1_300;
 /// Longest list in one message; the core sends at most 48 notes and 72 openings.
 pub const LIST_MAX: usize = 128;
@@ -18,7 +18,7 @@
 /// A message and the hybrid logical clock of its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// Clock of the sender; orders the time line across processes.
+    /// Clock of the sender, by which events of all processes are ordered in the time line.
     pub clock: u64,
     /// The message.
     pub message: Message,
@@ -28,13 +28,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ControlError {
     /// More than [`MESSAGE_BYTES_MAX`] bytes.
-    #[error("message of {0} bytes is too large")]
+    #[error("control message of {0} bytes is too large")]
     TooLarge(usize),
     /// A list is longer than its bound.
-    #[error("list of {0} entries is too long")]
+    #[error("control message has a list of {0} entries, which is too long")]
     ListTooLong(usize),
-    /// Not a message of this version.
-    #[error("message cannot be decoded")]
+    /// Not a message that this release knows.
+    #[error("malformed or unknown control message")]
     Malformed,
 }
 
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-/// Decodes a message; never makes more room than the bounds allow.
+/// Decodes a message and never allocates more memory than the bounds allow.
 ///
 /// ```
 /// use wire::control::{self, ControlError};
--- a/crates/wire/src/delta.rs
+++ b/crates/wire/src/delta.rs
@@ -1,13 +1,14 @@
-//! The difference between two versions of a settings text, by lines.
+//! Line-based differences between two versions of a settings text.
 //!
-//! A change of settings touches the version line and one or two others. Sending just these keeps a
-//! storm of changes within the byte budget, where whole subtrees would not be.
+//! A change of settings touches the version line and one or two others. Sending only these keeps a
+//! burst of many changes within the byte budget, which whole subtrees would exceed.
 
 use decision::keys::Version;
 use serde::{Deserialize, Serialize};
 use similar::{Algorithm, DiffOp, capture_diff_slices};
 
-/// Largest text that a delta may produce: a value of the configuration service.
+/// Most bytes of the text that a delta may produce: the limit of a value in the configuration
+/// service.
 const TEXT_BYTES_MAX: usize = 1 << 20;
 
 /// Turns the text of one version into that of a later one.
@@ -17,7 +18,7 @@
     hunks: Vec<Hunk>,
 }
 
-/// Keeps some lines, then replaces some.
+/// Number of lines to keep, number of lines to drop after them, and the text to insert instead.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Hunk(u32, u32, String);
 
@@ -59,7 +60,7 @@
         Version(self.base)
     }
 
-    /// The new text, or nothing if the delta does not fit `old`.
+    /// The new text; `None` if the delta does not fit `old` or the text becomes too large.
     ///
     /// ```
     /// use decision::keys::Version;
@@ -85,7 +86,7 @@
     }
 }
 
-/// Lines with their ends.
+/// Splits a text into lines, each with its line ending.
 fn lines(text: &str) -> Vec<&str> {
     text.split_inclusive('\n').collect()
 }
--- a/crates/wire/src/exchange/mod.rs
+++ b/crates/wire/src/exchange/mod.rs
@@ -1,7 +1,7 @@
-//! What instances tell each other about settings over HTTP, in MessagePack.
+//! Exchange of settings between instances over HTTP, encoded in MessagePack.
 //!
-//! Questions and answers carry a MAC by the account's key: no account sees another's subtree, and
-//! nobody but a holder of the key can put a document in force. See [`Question`].
+//! Questions and answers carry a MAC with the account's key. No account can therefore read
+//! another's subtree, and only a holder of the key can put a document in force. See [`Question`].
 
 mod question;
 
@@ -16,16 +16,16 @@
 
 pub use question::{FLEET, Kind, Question};
 
-/// Accounts that one digest may list: several times the target of two years.
+/// Most accounts in one digest: several times the number targeted for the next two years.
 pub const ACCOUNTS_MAX: usize = 4_096;
 
 /// Versions in force at an instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Whether the instance knows its settings to be current enough.
+    /// Whether the instance considers its settings current.
     pub current: bool,
-    /// Milliseconds since the configuration service confirmed these versions, there or at the
-    /// instance that passed the confirmation on.
+    /// Milliseconds since the configuration service confirmed these versions, either to this
+    /// instance or to the one that passed the confirmation on to it.
     pub confirmed_age_ms: u64,
     /// Version of the root, zero if it has none.
     pub root_version: u64,
@@ -43,7 +43,7 @@
     pub version: u64,
 }
 
-/// A published document, passed on as it was published.
+/// A published document, with its text unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
     /// Version in the text.
@@ -52,22 +52,23 @@
     pub yaml: Arc<str>,
 }
 
-/// A subtree, whole or as a change to the version that the asker named.
+/// A subtree, either whole or as a delta to the version that the asking instance named.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
     /// The whole document.
     Whole(Document),
-    /// Lines that differ from the asker's version.
+    /// The difference to the asking instance's version.
     Changed {
         /// Version that results.
         version: u64,
-        /// The change.
+        /// The difference.
         delta: Delta,
     },
 }
 
 impl Update {
-    /// The new text, given the asker's own; `None` if the change does not fit it.
+    /// The new text, given the asking instance's own version and text; `None` if the delta does not
+    /// fit them.
     ///
     /// ```
     /// use decision::keys::Version;
@@ -88,14 +89,15 @@
     }
 }
 
-/// Accounts that are asked for in one question, at most.
+/// Most accounts in one question.
 pub const SUBTREES_MAX: usize = 32;
 
 /// Subtrees of several accounts, each with its name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Updates(#[serde(deserialize_with = "updates")] pub Vec<(Arc<str>, Update)>);
 
-/// The wanted accounts and the versions that the asker has, as a parameter of a question.
+/// Formats the wanted accounts, each with the version that the asking instance has, as a parameter
+/// of a question.
 ///
 /// ```
 /// use decision::keys::Version;
@@ -109,7 +111,8 @@
     entries.collect::<Vec<_>>().join(",")
 }
 
-/// The inverse of [`format_wanted`]; `None` if it is malformed or asks for too many.
+/// The inverse of [`format_wanted`]; `None` if `text` is malformed or names more than
+/// [`SUBTREES_MAX`] accounts.
 ///
 /// ```
 /// assert_eq!(wire::exchange::parse_wanted("cascadia"), None);
@@ -124,9 +127,9 @@
     (wanted.len() <= SUBTREES_MAX).then_some(wanted)
 }
 
-/// The bytes are not what was expected.
+/// The answer is malformed, not authentic or does not apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("answer cannot be decoded")]
+#[error("answer about settings is malformed, not authentic or does not apply")]
 pub struct ExchangeError;
 
 /// Decodes an answer.
--- a/crates/wire/src/exchange/question.rs
+++ b/crates/wire/src/exchange/question.rs
@@ -1,4 +1,5 @@
-//! Questions about settings, and answers that nobody else can have given.
+//! Authenticated questions about settings, and answers that only a holder of the account's key can
+//! give.
 
 use std::fmt::Write as _;
 use std::sync::Arc;
@@ -9,8 +10,8 @@
 use super::{ExchangeError, decode};
 use crate::sealed::{AccountKeyring, KeyId, MAC_BYTES};
 
-/// In place of an account: the balancers, who may see everything. Its key is derived as an
-/// account's and no account can have this name.
+/// Name that stands for the balancers in place of an account; they may read all settings. Its key
+/// is derived like an account's. No account can have this name.
 pub const FLEET: &str = "";
 
 const QUESTION_LABEL: &[u8] = b"ask";
@@ -19,30 +20,30 @@
 /// What is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Versions that the asking account may know of.
+    /// Versions of the documents that the asking account may read.
     Digest,
-    /// The root.
+    /// The root document.
     Root,
     /// The account's subtree.
     Subtree,
-    /// Subtrees of several accounts; only for the fleet.
+    /// Subtrees of several accounts; only for [`FLEET`].
     Subtrees,
 }
 
-/// A question, proven by a MAC to come from the account. The nonce keeps an old answer from being
-/// taken for the present one.
+/// A question, authenticated by a MAC with the account's key. The nonce prevents an old answer from
+/// being accepted for a new question.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
     /// What is asked for.
     pub kind: Kind,
-    /// Account by whose key it is asked, or [`FLEET`].
+    /// Account whose key authenticates the question, or [`FLEET`].
     pub account: Arc<str>,
     /// Different in every question.
     pub nonce: u64,
 }
 
 impl Kind {
-    /// Path under which it is asked for.
+    /// HTTP path of the question.
     pub fn path(self) -> &'static str {
         match self {
             Self::Digest => "/v1/settings/digest",
@@ -54,7 +55,7 @@
 }
 
 impl Question {
-    /// Path and query of the question, `None` if the ring has no key.
+    /// Path and query of the question, with its MAC; `None` if the ring has no key.
     ///
     /// ```
     /// use wire::exchange::{Kind, Question};
@@ -80,8 +81,9 @@
         Some(path)
     }
 
-    /// The question in the parameters of a request and the keyring of its account; `None` if a
-    /// parameter is missing, the account unknown or the proof wrong.
+    /// Reads the question from the parameters of a request and verifies its MAC. Returns it with
+    /// the keyring of its account; `None` if a parameter is missing or malformed, the account is
+    /// unknown or the MAC is wrong.
     pub fn verify<'q>(
         kind: Kind,
         parameter: impl Fn(&str) -> Option<&'q str>,
@@ -115,9 +117,10 @@
         Some([&[key], &mac[..], &body].concat())
     }
 
-    /// Opens the answer to this question.
+    /// Verifies and decodes the answer to this question.
     ///
-    /// Errors: [`ExchangeError`] if it is not one, or not by a holder of the account's key.
+    /// Errors: [`ExchangeError`] if it is malformed, answers another question, or was not sealed by
+    /// a holder of the account's key.
     pub fn open_answer<T: DeserializeOwned>(
         &self,
         ring: &AccountKeyring,
--- a/crates/wire/src/gue.rs
+++ b/crates/wire/src/gue.rs
@@ -7,9 +7,9 @@
 
 /// UDP port registered for GUE.
 pub const PORT: u16 = 6080;
-/// Bytes of the header without private data.
+/// Length of the header in bytes, without private data.
 pub const HEADER_BYTES: usize = 4;
-/// Largest private data that the five-bit length can express.
+/// Most bytes of private data that the five-bit length field can express.
 pub const PRIVATE_BYTES_MAX: usize = 31 * 4;
 
 const CONTROL_BIT: u8 = 0x20;
@@ -17,7 +17,7 @@
 const PROTOCOL_IPV4: u8 = 4;
 const PROTOCOL_IPV6: u8 = 41;
 
-/// What a frame carries after its header.
+/// Kind of payload that a frame carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Content {
     /// An IPv4 packet.
@@ -31,15 +31,15 @@
 /// A parsed frame; borrows from the datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// What the payload is.
+    /// Kind of the payload.
     pub content: Content,
-    /// Private data, empty on a frame from the fabric or to an upstream.
+    /// Private data, empty in a frame from the fabric or to an upstream.
     pub private: &'a [u8],
     /// Inner packet or control message.
     pub payload: &'a [u8],
 }
 
-/// Why a datagram is not a frame that we take.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GueError {
     /// Shorter than its header says.
@@ -48,7 +48,7 @@
     /// Variant other than 0.
     #[error("unknown GUE variant {0}")]
     Variant(u8),
-    /// Flags that we do not know change the meaning of the private data.
+    /// Unknown flags, which could change the meaning of the private data.
     #[error("unknown GUE flags {0:#06x}")]
     Flags(u16),
     /// Neither IPv4 nor IPv6.
@@ -81,7 +81,8 @@
     Ok(Frame { content, private, payload })
 }
 
-/// Appends a frame to `out`. `private` is a multiple of four and at most [`PRIVATE_BYTES_MAX`].
+/// Appends a frame to `out`. The length of `private` must be a multiple of four and at most
+/// [`PRIVATE_BYTES_MAX`].
 ///
 /// ```
 /// use wire::gue;
--- a/crates/wire/src/inner.rs
+++ b/crates/wire/src/inner.rs
@@ -1,6 +1,6 @@
-//! Reading the encapsulated packet: just enough of it to find its service and its flow.
+//! Parsing of the encapsulated packet, as far as is needed to find its service and its flow.
 //!
-//! Nothing is copied or allocated. Every malformed input is a typed error; none panics.
+//! Nothing is copied or allocated. Malformed input gives a typed error and never a panic.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -13,7 +13,7 @@
 /// Longest input of the flow hash: protocol, two IPv6 addresses and two ports.
 const FLOW_HASH_INPUT_BYTES_MAX: usize = 1 + 2 * (16 + 2);
 
-/// Flags of a TCP segment that matter for the life of a flow.
+/// Flags of a TCP segment that change the state of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TcpFlags {
     /// Opens a connection.
@@ -60,7 +60,7 @@
     pub header_bytes: usize,
 }
 
-/// Why a packet was not understood. The packet is counted and dropped.
+/// Why a packet could not be parsed. Such a packet is counted and dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InnerError {
     /// Lengths, versions or header fields contradict each other.
@@ -104,8 +104,9 @@
 }
 
 impl Inner<'_> {
-    /// What the packet means for its flow. UDP has no opening of its own; `datagram_nonce` gives
-    /// the nonce of a datagram from its payload, see [`payload_nonce`] and [`FLOW_NONCE`].
+    /// Role of the packet in its flow. UDP does not mark the packet that opens a flow, so every
+    /// datagram counts as an opening. `datagram_nonce` computes its nonce from the payload, see
+    /// [`payload_nonce`] and [`FLOW_NONCE`].
     ///
     /// ```
     /// use decision::agent::PacketKind;
@@ -144,9 +145,9 @@
         }
     }
 
-    /// Id of the flow, the same in every process that has the same `key`.
+    /// Id of the flow, which is the same in every process with the same `key`.
     ///
-    /// The key keeps callers from choosing ports that all fall into one bucket.
+    /// The key prevents callers from choosing ports that all fall into the same bucket.
     ///
     /// ```
     /// use wire::inner;
@@ -168,11 +169,11 @@
     }
 }
 
-/// Nonce of datagrams that belong together as one flow, whatever they carry.
+/// Nonce of datagrams that belong to one flow regardless of their payload.
 pub const FLOW_NONCE: u32 = 0;
 
-/// Nonce of a datagram that is a request of its own: a copy has the same nonce, another request
-/// of the same caller has another one but for one chance in four thousand million.
+/// Nonce of a datagram that is a request of its own. A copy has the same nonce; another request of
+/// the same caller has the same one with a probability of one in four thousand million.
 ///
 /// ```
 /// use wire::inner;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,6 @@
-//! What travels between the processes: GUE frames, the sealed private data of our own hop, and the
-//! control messages. Wire types stay here; the core sees only its own types.
+//! Formats of what the processes send each other: GUE frames, the sealed private data between
+//! balancers and agents, and control messages. Types that exist only for encoding stay in this
+//! crate; the cores work with their own types.
 
 mod bounded;
 pub mod control;
--- a/crates/wire/src/notice.rs
+++ b/crates/wire/src/notice.rs
@@ -1,36 +1,37 @@
-//! What agents and balancers tell each other, as GUE control datagrams of their own type.
+//! Notices between agents and balancers, as GUE control datagrams of their own type.
 //!
-//! *Leaving.* A balancer learns from the instance list that an agent leaves only seconds later. Until then it
-//! goes on sending, and a datagram that arrives between the end of the process and its successor
-//! is lost: nobody sends it again. The agent therefore tells them itself, and stays until they
-//! have stopped.
+//! *Leaving.* A balancer learns only seconds later from the instance list that an agent is leaving.
+//! Until then it keeps sending, and a datagram that arrives between the end of the process and the
+//! start of its successor is lost, since nobody retransmits it. The agent therefore notifies the
+//! balancers itself and keeps running until they have stopped sending.
 //!
-//! *Peer.* The agents of a service hear each other's heartbeats, long before the instance list
-//! changes. Who notices a failure tells a balancer, and the balancers spread it.
+//! *Peer.* The agents of a service receive each other's heartbeats and thus detect a failure long
+//! before the instance list changes. An agent that detects one notifies a balancer, and the
+//! balancers spread the report.
 //!
-//! *Settings.* An agent of an idle service gets no packet that shows a newer version. Two balancers
-//! tell it.
+//! *Settings.* An agent of an idle service receives no packets, from whose headers it would learn
+//! of a newer version of its settings. Two balancers notify it.
 
 use serde::{Deserialize, Serialize};
 
 /// GUE control type of these datagrams.
 pub const CONTROL_TYPE: u8 = 2;
 
-/// Something that the receiver should know. The sender of the sealed frame is who says so.
+/// Content of a notice. The header of the sealed frame names the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Notice {
-    /// The sending agent leaves: pass it over for a while.
+    /// The sending agent is leaving: do not choose it for a while.
     Leaving,
-    /// An agent of the sender's service was seen to fail or to be back.
+    /// The sender detected that an agent of its service has failed or recovered.
     Peer {
-        /// The agent.
+        /// Upstream of that agent.
         upstream: u64,
-        /// Its last heartbeat.
+        /// Number of the last heartbeat received from it.
         beat: u64,
         /// Whether it is up.
         up: bool,
     },
-    /// The sending balancer has this version of the receiver's account in force.
+    /// Version of the settings of the receiver's account that the sending balancer has in force.
     Settings {
         /// The version.
         version: u64,
@@ -48,7 +49,7 @@
     rmp_serde::to_vec(&notice).expect("a plain enumeration always encodes")
 }
 
-/// Decodes a notice; `None` if it is not one that this version knows.
+/// Decodes a notice; `None` if it is malformed or of a kind that this release does not know.
 pub fn decode(bytes: &[u8]) -> Option<Notice> {
     rmp_serde::from_slice(bytes).ok()
 }
--- a/crates/wire/src/peers/body.rs
+++ b/crates/wire/src/peers/body.rs
@@ -1,4 +1,4 @@
-//! What travels between balancers, field by field, with a bound for each list.
+//! Encoded types of the messages between balancers, with a bound for each list.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 const SERVICES_MAX: usize = 16_384;
 /// Most shares of a route.
 const SHARES_MAX: usize = 64;
-/// Most services that routes have left.
+/// Most former services of routes in a view.
 const FORMER_SERVICES_MAX: usize = 65_536;
 /// Most availability zones that are closed at once.
 const ZONES_MAX: usize = 1_024;
@@ -38,7 +38,7 @@
     pub(super) listed: Vec<UpstreamBody>,
     #[serde(deserialize_with = "gone_list")]
     pub(super) gone: Vec<Arc<str>>,
-    /// Zones, and whether they are closed now.
+    /// Availability zones, and whether each is closed now.
     #[serde(default, deserialize_with = "zone_changes")]
     pub(super) zones: Vec<(u32, bool)>,
     #[serde(default)]
@@ -107,7 +107,8 @@
     pub(super) routes: Vec<RouteBody>,
     #[serde(deserialize_with = "service_list")]
     pub(super) services: Vec<u32>,
-    /// Services whose cold upstreams bear so many openings in a thousand seconds.
+    /// Services whose cold upstreams have a limit, with the openings that one of them accepts in a
+    /// thousand seconds.
     #[serde(default, deserialize_with = "limit_list")]
     pub(super) limits: Vec<(u32, u32)>,
 }
--- a/crates/wire/src/peers/mod.rs
+++ b/crates/wire/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! What balancers of the direct-return path tell each other: short messages in datagrams, and whole
-//! views over HTTP, both as MessagePack.
+//! Messages between balancers of the direct-return path: short ones in datagrams, and whole views
+//! over HTTP, both encoded in MessagePack.
 
 mod body;
 mod translate;
@@ -20,60 +20,61 @@
 
 /// Most balancers named in one message: they fit into a datagram of 1,300 bytes.
 pub const PEERS_MAX: usize = NAMED_MAX;
-/// Most changes in one message: at 45 bytes each they fit into a datagram with room for long names.
+/// Most changes in one message: at 45 bytes each they fit into a datagram and leave room for long
+/// names.
 pub const CHANGES_MAX: usize = 24;
-/// Most bytes of a message: what an Ethernet frame takes without being cut.
+/// Most bytes of a message, so that it fits into an Ethernet frame without fragmentation.
 pub const MESSAGE_BYTES_MAX: usize = 1_400;
 /// A message between balancers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// The sender lives and knows this revision; the receiver answers with the balancers it knows,
-    /// and with what it knows itself, if that is more.
+    /// The sender is running and knows this revision. The receiver replies with the balancers that
+    /// it knows, and with its own state if it knows more.
     Hello {
         /// Revision that the sender knows; zero if it knows nothing.
         revision: u64,
     },
     /// Balancers that the sender knows.
     Peers(Vec<Ipv4Addr>),
-    /// The sender reads the configuration service, and this is what it knows.
+    /// State of a sender that reads the configuration service itself.
     Beacon(StateSummary),
-    /// The sender knows this, but need not be a reader.
+    /// State of a sender that does not necessarily read the configuration service.
     Knows(StateSummary),
-    /// A beacon that brings the changes which lead to it.
+    /// A beacon together with the changes that lead to its state.
     Changes(StateSummary, Delta),
 }
 
-/// What a balancer knows, and how far its list can be trusted.
+/// Summary of what a balancer knows, and for how long that may be incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateSummary {
-    /// What it knows, in short.
+    /// Revision, version of the routes, and digests of routes and upstreams.
     pub summary: Summary,
-    /// For how much longer its list of upstreams may lack some that live.
+    /// For how much longer its list may lack upstreams that are running.
     pub whole_in_ms: u64,
-    /// The services that routes have left, in short.
+    /// Summary of the former services of routes.
     pub history: HistorySummary,
 }
 
-/// Everything that a balancer needs to know, as another one gives it.
+/// Complete state of a balancer, from which another one can start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewContents {
     /// Revision of the configuration service.
     pub revision: u64,
-    /// For how much longer the list of upstreams may lack some that live.
+    /// For how much longer the list may lack upstreams that are running.
     pub whole_in_ms: u64,
-    /// Routes in force; `None` if the receiver has the same ones.
+    /// Routes in force; `None` if the receiver already has them.
     pub routes: Option<Arc<RouteTable>>,
-    /// Their version.
+    /// Version of the routes.
     pub routes_version: u64,
     /// The listed upstreams.
     pub upstreams: Vec<UpstreamRecord>,
     /// Availability zones that take no new flows.
     pub closed_zones: Vec<ZoneStamp>,
-    /// Services that routes have left.
+    /// Former services of routes, at which flows may still be open.
     pub history: HistoryContents,
 }
 
-/// Encodes a message. A list of balancers is cut after [`PEERS_MAX`].
+/// Encodes a message. A list of balancers is truncated to [`PEERS_MAX`].
 ///
 /// ```
 /// use wire::peers::{Message, decode, encode};
@@ -96,7 +97,7 @@
     rmp_serde::to_vec(&body).expect("a plain enumeration always encodes")
 }
 
-/// Decodes a message; `None` if it is not one that this version knows.
+/// Decodes a message; `None` if it is malformed or of a kind that this release does not know.
 pub fn decode(bytes: &[u8]) -> Option<Message> {
     Some(match rmp_serde::from_slice(bytes).ok()? {
         MessageBody::Hello { revision } => Message::Hello { revision },
@@ -111,8 +112,9 @@
     })
 }
 
-/// The message with which a reader tells what it knows now: with the changes that led there, if
-/// they fit into a datagram and nothing else has changed.
+/// Builds the message by which a balancer that reads the configuration service announces its state.
+/// The changes that led to this state are included if they fit into a datagram; `delta` is `None`
+/// if something else has changed too.
 pub fn beacon(state: StateSummary, delta: Option<Delta>) -> Message {
     let Some(delta) = delta.filter(|delta| delta.changes.len() <= CHANGES_MAX) else {
         return Message::Beacon(state);
@@ -139,7 +141,7 @@
     rmp_serde::to_vec(&body).expect("plain structs always encode")
 }
 
-/// Decodes a view; `None` if it makes no sense.
+/// Decodes a view; `None` if it is malformed.
 pub fn decode_view(bytes: &[u8]) -> Option<ViewContents> {
     let body: ViewBody = rmp_serde::from_slice(bytes).ok()?;
     let limited = |(stamp, cold_openings_per_ks)| Service {
--- a/crates/wire/src/peers/translate.rs
+++ b/crates/wire/src/peers/translate.rs
@@ -1,4 +1,4 @@
-//! Between what travels and the core's types.
+//! Conversions between the encoded types and those of the steering core.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
--- a/crates/wire/src/refusal.rs
+++ b/crates/wire/src/refusal.rs
@@ -8,23 +8,24 @@
 
 use crate::inner::{Inner, Segment, TcpFlags};
 
-/// Hops that an answer may take.
+/// Hop limit of an answer (time to live in IPv4).
 const HOP_LIMIT: u8 = 64;
-/// Bytes of the refused packet that an ICMP error quotes: headers and a few bytes, well below the
-/// 576 bytes that every IPv4 host takes.
+/// Bytes of the refused packet that an ICMP error quotes: the headers and some payload. The answer
+/// stays well below the 576 bytes that every IPv4 host accepts.
 const QUOTE_BYTES_MAX: usize = 128;
 
-/// Why a datagram was refused, as ICMP can say it.
+/// Reason for refusing a datagram, as reported by ICMP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UdpRefusal {
-    /// Nobody serves the flow.
+    /// No upstream serves the flow.
     PortUnreachable,
-    /// The service does not take the request now.
+    /// The service does not accept the request at present.
     AdminProhibited,
 }
 
-/// Writes the answer to a refused packet into `out`, which is cleared. Leaves `out` empty where
-/// no answer may be given: a reset is never answered with a reset, lest two ends reset for ever.
+/// Clears `out` and writes the answer to a refused packet into it. `out` stays empty if there must
+/// be no answer: a reset is never answered with a reset, since two endpoints could otherwise reset
+/// each other without end.
 ///
 /// ```
 /// use wire::{inner, refusal};
@@ -49,8 +50,9 @@
     }
 }
 
-/// A reset by RFC 9293, 3.5.2: it takes its sequence number from the refused segment's
-/// acknowledgement, or acknowledges the segment if that carried none. Callers ignore any other.
+/// Writes a reset as specified by RFC 9293, 3.5.2: it takes its sequence number from the refused
+/// segment's acknowledgement, or acknowledges the segment if that carried none. Callers ignore a
+/// reset with other numbers.
 fn write_reset(
     inner: &Inner<'_>,
     flags: TcpFlags,
@@ -90,7 +92,8 @@
     clear_unless_written(result.is_ok(), out);
 }
 
-/// An IP header from the service's address to the caller.
+/// Starts an IP packet from the service's address to the caller; `None` if one address is IPv4 and
+/// the other IPv6.
 fn reply_builder(inner: &Inner<'_>) -> Option<PacketBuilderStep<IpHeaders>> {
     match (inner.endpoint.address, inner.source.ip()) {
         (IpAddr::V4(from), IpAddr::V4(to)) => {
@@ -103,7 +106,7 @@
     }
 }
 
-/// Half an answer is worse than none.
+/// Clears `out` if writing failed, so that no incomplete answer is sent.
 fn clear_unless_written(written: bool, out: &mut Vec<u8>) {
     if !written {
         out.clear();
--- a/crates/wire/src/sealed/control.rs
+++ b/crates/wire/src/sealed/control.rs
@@ -1,4 +1,4 @@
-//! Whole control datagrams: a GUE control frame with sealed private data.
+//! Complete control datagrams: GUE control frames with sealed private data.
 
 use decision::agent::Passed;
 use decision::keys::{AccountId, FlowId, ServiceId, Version};
@@ -7,7 +7,8 @@
 use crate::gue::{self, Content};
 
 impl Header {
-    /// The header of a control message, which belongs to no flow and is never passed on.
+    /// The header of a control message, which belongs to no flow and is never passed on to another
+    /// agent.
     ///
     /// ```
     /// use decision::keys::{AccountId, FlowId, ServiceId, Version};
@@ -25,7 +26,7 @@
     }
 }
 
-/// A control datagram of type `kind` with `body`.
+/// Builds a control datagram of type `kind` with `body`.
 ///
 /// Errors: those of [`AccountKeyring::seal`].
 ///
--- a/crates/wire/src/sealed/mod.rs
+++ b/crates/wire/src/sealed/mod.rs
@@ -1,4 +1,4 @@
-//! Private data of the hop from balancer to agent and from agent to agent, sealed with a MAC.
+//! Private data of GUE frames from balancer to agent and from agent to agent, sealed with a MAC.
 //!
 //! ```text
 //!  0        1        2        3        4        5..8
@@ -9,21 +9,23 @@
 //! All numbers are in network byte order; 64 bytes in total.
 //!
 //! **What the MAC covers.** The 48 bytes before it and the first `covered` bytes of the payload.
-//! For a packet that is everything to the end of its transport header: addresses, ports, sequence
-//! number and flags, hence all that a receiver decides by. The caller's bytes after it are not
-//! covered: whoever can change them on the way could also have sent them as caller through the
-//! fabric, and the ends protect them by their own means (TLS). A receiver must check that the
-//! transport header that it parsed ends within [`Header::covered`]. For a control message the
-//! whole body is covered.
+//! For a packet, these reach to the end of its transport header: addresses, ports, sequence number
+//! and flags, hence everything on which a receiver bases a decision. The caller's data after the
+//! header is not covered: whoever can change it in transit could also have sent it through the
+//! fabric as a caller, and the endpoints protect it by their own means (TLS). A receiver must check
+//! that the transport header that it parsed ends within [`Opened::covered`]. For a control message
+//! the whole body is covered.
 //!
-//! **Replays** are harmless, so there is no window or counter to keep. A replayed packet is a
-//! duplicate, which IP may deliver at any time: an opening meets the entry or the tombstone of its
-//! first copy, a middle packet is discarded by the transport's sequence numbers. Control messages
-//! are idempotent by design. A replay to another agent of the account is a misrouted packet, which
-//! is passed on as any other; an agent of another account has another key.
+//! **Replays** are harmless, so no replay window or counter is kept. A replayed packet is a
+//! duplicate, which IP may deliver at any time: for an opening, the receiver finds the entry or the
+//! tombstone of the first copy; a later packet of a flow is discarded by the transport because of
+//! its sequence number. Control messages are idempotent by design. A packet that is replayed to
+//! another agent of the account is passed on like any other misrouted packet; an agent of another
+//! account has another key.
 //!
 //! **Keys.** Each account has its own key, derived from the fleet's master key, which only
-//! balancers hold. Two key ids may be valid at once, so that keys are rotated without a gap.
+//! balancers hold. Two key ids may be valid at the same time, so that keys can be rotated without
+//! interruption.
 
 mod control;
 mod tag;
@@ -38,49 +40,51 @@
 use zerocopy::byteorder::network_endian::U64;
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// Length of the private data.
+/// Length of the private data in bytes.
 pub const SEALED_BYTES: usize = size_of::<Layout>();
-/// Bytes of an account's key, of which the first sixteen key the MAC.
+/// Length of an account's key in bytes. The first sixteen are the key of the MAC.
 pub const ACCOUNT_KEY_BYTES: usize = 32;
 
-/// Bytes of a MAC.
+/// Length of a MAC in bytes.
 pub const MAC_BYTES: usize = 16;
 const AUTHENTICATED_BYTES: usize = SEALED_BYTES - MAC_BYTES;
 const _: () = assert!(SEALED_BYTES.is_multiple_of(4));
 const _: () = assert!(SEALED_BYTES <= crate::gue::PRIVATE_BYTES_MAX);
 
-/// Separates this derivation from any other use of the master key.
+/// Context string of the key derivation. It separates the account keys from any other use of the
+/// master key.
 const KEY_CONTEXT: &str = "gooseberrysill 2026-12 account key";
 
 /// Format of a sealed packet.
 const FORMAT_PACKET: u8 = 1;
-/// Format of a sealed control message. It differs from a packet's under the MAC, so that neither
-/// can be passed off as the other by flipping the C bit of the GUE header.
+/// Format of a sealed control message. The MAC covers the format, so that flipping the C bit of the
+/// GUE header cannot turn a packet into a control message or the reverse.
 const FORMAT_CONTROL: u8 = 2;
 
-/// Number of an account's key; only the holder of both keys can tell which one is meant.
+/// Id of an account's key. It tells a receiver that holds both keys of a rotation which one was
+/// used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u8);
 
-/// Who sent a sealed frame: the id of an upstream's agent, or a hash of a balancer's name.
+/// Sender of a sealed frame: the id of an upstream's agent, or a hash of a balancer's name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SenderId(pub u64);
 
-/// What a sealed frame says about its payload.
+/// Fields of a sealed frame that describe its payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Agents that handled the packet before.
+    /// Number of agents that handled the packet before.
     pub hops: u8,
-    /// How it was passed on.
+    /// Why the packet was passed on to the receiver.
     pub passed: Passed,
-    /// Owner of the service.
+    /// Account that owns the service.
     pub account: AccountId,
     /// Service.
     pub service: ServiceId,
-    /// Flow. In a control message between agents the id of the receiver, see [`Header::is_for`]; zero in
-    /// those of balancers.
+    /// Flow. In a control message between agents this is the id of the receiver, see
+    /// [`Header::is_for`]; in control messages of balancers it is zero.
     pub flow: FlowId,
-    /// Version of the account's settings at the sender.
+    /// Version of the account's settings that the sender has in force.
     pub version: Version,
     /// Sender.
     pub sender: SenderId,
@@ -89,8 +93,9 @@
 impl Header {
     /// Whether a control message is for the agent beside `upstream`.
     ///
-    /// Another upstream may have had the address before. Agents of an earlier release name no receiver; their
-    /// messages are for whoever gets them.
+    /// The address may have belonged to another upstream before, to which the message was
+    /// addressed. Agents of an earlier release name no receiver; whichever agent receives their
+    /// messages accepts them.
     ///
     /// ```
     /// use decision::agent::Passed;
@@ -114,16 +119,16 @@
     }
 }
 
-/// A frame whose MAC is right.
+/// A frame whose MAC was verified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Opened {
-    /// What the sender said.
+    /// Fields set by the sender.
     pub header: Header,
     /// Bytes of the payload that the MAC covers.
     pub covered: usize,
 }
 
-/// What is sealed, and thereby how much of it the MAC covers.
+/// Payload of a sealed frame. Its kind determines how much of it the MAC covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Payload<'a> {
     /// A packet of a caller and the length of its headers.
@@ -137,36 +142,36 @@
     Control(&'a [u8]),
 }
 
-/// Why private data was not accepted.
+/// Why private data could not be written or was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SealError {
     /// Shorter than the layout, or the payload is shorter than what the MAC covers.
     #[error("private data or payload is truncated")]
     Truncated,
-    /// A layout that this process does not know.
-    #[error("unknown format {0}")]
+    /// A format that is unknown, or not the one of this kind of payload.
+    #[error("unexpected format {0} of the private data")]
     Format(u8),
     /// A key that this process does not hold.
-    #[error("unknown key id {0}")]
+    #[error("no key with id {0}")]
     UnknownKey(u8),
-    /// The MAC does not match: forged, of another account, or damaged.
+    /// The MAC does not match: the frame is forged, from another account, or damaged.
     #[error("MAC does not match")]
     BadMac,
-    /// The fields contradict the layout although the MAC is right.
-    #[error("field out of range")]
+    /// The MAC matches, but a field has a value that the format does not define.
+    #[error("undefined value in a field of the private data")]
     Field,
     /// The headers of a packet are longer than the MAC can cover.
-    #[error("headers of {0} bytes are too long to be sealed")]
+    #[error("packet headers of {0} bytes are longer than a MAC can cover (255 bytes)")]
     HeadersTooLong(usize),
 }
 
-/// An account's key with its number, ready to seal.
+/// Keys of an account with their ids, ready to seal and to open frames.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct AccountKeyring {
     keys: [Option<MacKey>; KEYS_MAX],
 }
 
-/// Keys of one account that are valid at a time: the old and the new one of a rotation.
+/// Most keys of one account that are valid at the same time: the old and the new one of a rotation.
 pub const KEYS_MAX: usize = 2;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -213,8 +218,8 @@
     *hasher.finalize().as_bytes()
 }
 
-/// The account that private data claims to come from, to find its keyring; proven only by
-/// [`AccountKeyring::open`].
+/// The account that private data claims to come from, by which its keyring is found. Only
+/// [`AccountKeyring::open`] proves the claim.
 ///
 /// ```
 /// assert_eq!(wire::sealed::claimed_account(&[0; 8]), None);
@@ -225,14 +230,15 @@
 }
 
 impl std::fmt::Debug for AccountKeyring {
-    /// Prints the ids only: a key in a log is a key lost.
+    /// Prints only the ids, so that keys never appear in logs.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_list().entries(self.keys.iter().flatten().map(|key| key.id)).finish()
     }
 }
 
 impl AccountKeyring {
-    /// A keyring of the first [`KEYS_MAX`] keys; the first one seals, all of them open.
+    /// Creates a keyring of the first [`KEYS_MAX`] keys. The first one seals, all of them open.
+    /// `None` if there are no keys.
     ///
     /// ```
     /// use wire::sealed::{AccountKeyring, KeyId};
@@ -252,7 +258,7 @@
         Some(ring)
     }
 
-    /// Derives the keyring of an account from master keys.
+    /// Derives the keyring of an account from master keys; `None` if there are none.
     ///
     /// ```
     /// use decision::keys::AccountId;
@@ -326,7 +332,8 @@
         Ok(())
     }
 
-    /// Checks private data that came with `payload`; `header_bytes` of a packet is ignored.
+    /// Verifies private data that was received with `payload`. `header_bytes` of a packet is
+    /// ignored, since the private data states how much of the packet is covered.
     ///
     /// Errors: see [`SealError`].
     pub fn open(&self, private: &[u8], payload: Payload<'_>) -> Result<Opened, SealError> {
@@ -380,8 +387,8 @@
     hasher.hash(covered).as_bytes()
 }
 
-/// Compares without branching on content: an early return would tell a forger by its timing how
-/// many bytes of a guessed MAC are right.
+/// Compares without branching on content. The timing of an early return would reveal to a forger
+/// how many bytes of a guessed MAC are right.
 fn constant_time_eq(one: &[u8; MAC_BYTES], other: &[u8; MAC_BYTES]) -> bool {
     let difference = u128::from_ne_bytes(*one) ^ u128::from_ne_bytes(*other);
     std::hint::black_box(difference) == 0
--- a/crates/wire/src/sealed/tag.rs
+++ b/crates/wire/src/sealed/tag.rs
@@ -1,4 +1,4 @@
-//! MACs by an account's key over what does not travel in GUE.
+//! MACs with an account's key over data that is not sent in GUE frames.
 
 use std::hash::Hasher as _;
 
@@ -6,12 +6,14 @@
 
 use super::{AccountKeyring, KeyId, MAC_BYTES, MacKey, constant_time_eq};
 
-/// First byte under every MAC of this kind; no sealed frame begins with it.
+/// First byte of the input of every MAC of this kind. No sealed frame begins with it, so that a MAC
+/// of one kind is never valid as one of the other.
 const FORMAT_TAG: u8 = 3;
 
 impl AccountKeyring {
-    /// A MAC over `parts` by the first key, for what does not travel in GUE. Each part is hashed
-    /// with its length, so that bytes cannot move from one part to the next.
+    /// Computes a MAC over `parts` with the first key, for data that is not sent in GUE frames.
+    /// Each part is hashed with its length, so that bytes cannot be moved from one part to the
+    /// next.
     ///
     /// ```
     /// use wire::sealed::{AccountKeyring, KeyId};
@@ -25,7 +27,8 @@
         Some((key.id, tag(key, parts)))
     }
 
-    /// Whether [`AccountKeyring::tag`] made this MAC over these parts with a key of this ring.
+    /// Whether `mac` is the result of [`AccountKeyring::tag`] for `parts` with the key `id` of this
+    /// ring.
     pub fn verify_tag(&self, id: KeyId, mac: &[u8; MAC_BYTES], parts: &[&[u8]]) -> bool {
         self.find(id.0).is_ok_and(|key| constant_time_eq(&tag(key, parts), mac))
     }
--- a/crates/wire/src/spread.rs
+++ b/crates/wire/src/spread.rs
@@ -1,6 +1,7 @@
-//! Spreading messages in MessagePack.
+//! Encoding of spreading messages in MessagePack.
 //!
-//! Field order is the format: structs are encoded as arrays, so fields are only ever appended.
+//! Structs are encoded as arrays, so the order of fields is part of the format: new fields are only
+//! ever appended.
 
 use decision::keys::{AccountId, UpstreamId, Version};
 use decision::spread::{Digest, Member, Notice, SHARES, SpreadMessage};
@@ -8,7 +9,7 @@
 
 /// GUE control type of these messages.
 pub const CONTROL_TYPE: u8 = 3;
-/// Most notices that are taken from one message; no honest node sends more than
+/// Most notices accepted in one message. A correct node sends at most
 /// [`decision::spread::DIFFERENCES_MAX`].
 pub const NOTICES_MAX: usize = 256;
 
@@ -18,12 +19,13 @@
     /// Not MessagePack of the expected shape.
     #[error("malformed spreading message: {0}")]
     Malformed(#[from] rmp_serde::decode::Error),
-    /// More notices than any honest node sends.
-    #[error("{0} notices in one message")]
+    /// More than [`NOTICES_MAX`] notices.
+    #[error("spreading message with too many notices: {0}")]
     TooMany(usize),
 }
 
-/// Notices by kind, so that none repeats its kind: 12 bytes for a version, 19 for a member.
+/// Notices grouped by kind, so that the kind is not encoded with each: 12 bytes for a version, 19
+/// for a member.
 #[derive(Serialize, Deserialize)]
 struct NoticesDto(Vec<(u64, u64)>, Vec<MemberDto>);
 
--- a/crates/wire/tests/common/mod.rs
+++ b/crates/wire/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! What the property tests share.
+//! Helpers that the property tests share.
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// The same inputs in every run, so that a verdict never changes by itself.
+/// Generates the same inputs in every run, so that results are reproducible.
 pub(crate) fn fixed_seed() -> Config {
     Config { rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..Config::default() }
 }
--- a/crates/wire/tests/control.rs
+++ b/crates/wire/tests/control.rs
@@ -1,4 +1,4 @@
-//! Contract of the control messages.
+//! Tests of the encoding of control messages.
 
 mod common;
 
@@ -134,7 +134,7 @@
     }
 }
 
-/// The largest messages of the core, with the largest numbers, fit one datagram.
+/// The largest messages that the core sends fit into one datagram, also with the largest numbers.
 #[rstest]
 #[case::announce(announce(decision::agent::limits::NOTES_PER_ANNOUNCE))]
 #[case::relearn_reply(relearn_reply(decision::agent::limits::OPENINGS_PER_PAGE))]
@@ -155,8 +155,8 @@
     assert_eq!(bytes, b"before");
 }
 
-/// Agents of two releases talk to each other while the fleet is replaced. A heartbeat with one more field could
-/// not be read by the older ones, which would take all newer agents for dead.
+/// Agents of two releases exchange messages during an upgrade of the fleet. If a heartbeat gained a
+/// field, older agents could not decode it and would consider all newer agents failed.
 #[rstest]
 #[case::ask(
     Message::Ask { flow: FlowId(258), question: 5 },
@@ -172,13 +172,14 @@
     assert_eq!(bytes, expected);
 }
 
-/// A message of a kind that only a newer release knows is dropped, and nothing else is.
+/// A message of a kind that only a newer release knows is rejected by itself, as malformed.
 #[test]
 fn decode_unknown_kind() {
     assert_eq!(decode(b"\x92\x01\x81\xa5Newer\x91\x07"), Err(ControlError::Malformed));
 }
 
-/// A list that claims four thousand million entries is refused by that number alone.
+/// A list that announces four thousand million entries is rejected because of that number, before
+/// any entry is read.
 #[rstest]
 #[case::not_message_pack(b"\xc1".to_vec(), ControlError::Malformed)]
 #[case::empty(vec![], ControlError::Malformed)]
--- a/crates/wire/tests/delta.rs
+++ b/crates/wire/tests/delta.rs
@@ -1,4 +1,4 @@
-//! Contract of the deltas between two versions of a settings text.
+//! Tests of the deltas between two versions of a settings text.
 
 use decision::keys::Version;
 use proptest::prelude::*;
@@ -14,8 +14,9 @@
     format!("account: cascadia\nversion: {version}\nservices:\n{}", services.collect::<String>())
 }
 
-/// The version line at the top always changes. A delta by common beginning and end kept nothing
-/// before the changed weight and was half the subtree (measured: 5,865 B of 9,862 B).
+/// The version line at the top always changes. A delta that omits only the common beginning and end
+/// therefore repeats all lines up to the changed weight, which is half the subtree (5,865 B of
+/// 9,862 B).
 #[test]
 fn between_version_and_weight_stays_small() {
     let (old, new) = (subtree(1, 100), subtree(2, 90));
--- a/crates/wire/tests/exchange.rs
+++ b/crates/wire/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Contract of the exchange of settings.
+//! Tests of the exchange of settings.
 
 mod common;
 
@@ -34,8 +34,8 @@
     AccountKeyring::derive(&[(KeyId(1), [7; 32])], AccountId::of(account)).unwrap()
 }
 
-/// What a server makes of a question asked under `kind` by a holder of the key of `asker`, after
-/// `from` in its query was replaced by `to`.
+/// Verifies, as a server of `kind` does, a question for a subtree that was authenticated with the
+/// key of `asker` and in which `from` was replaced by `to`. Returns it if it is accepted.
 fn verified(kind: Kind, asker: &str, from: &str, to: &str) -> Option<Question> {
     let question = Question { kind: Kind::Subtree, account: "cascadia".into(), nonce: 7 };
     let path = question.signed_path(&ring(asker)).unwrap().replace(from, to);
@@ -45,8 +45,8 @@
     Some(Question::verify(kind, parameter, |account| Some(ring(account)))?.0)
 }
 
-/// A rival's machine holds only its own key: it can neither ask for another account's subtree nor
-/// change a question that it saw.
+/// A machine of another account holds only that account's key. It can neither ask for a subtree of
+/// this account nor change a question that it has observed.
 #[rstest]
 #[case::own(Kind::Subtree, "cascadia", "", "", true)]
 #[case::key_of_other_account(Kind::Subtree, "bajio", "", "", false)]
--- a/crates/wire/tests/inner.rs
+++ b/crates/wire/tests/inner.rs
@@ -1,4 +1,4 @@
-//! Contract of reading the encapsulated packet.
+//! Tests of the parsing of encapsulated packets.
 
 mod common;
 
@@ -114,7 +114,8 @@
     assert_eq!(inner::parse(&packet), Err(expected));
 }
 
-/// Balancer and agents of two releases must agree on a flow's id, or its home moves.
+/// Balancers and agents of two releases must compute the same id for a flow; otherwise its home
+/// changes.
 #[rstest]
 #[case::ipv4_tcp(tcp("S"), FlowId(4_980_179_296_002_593_108))]
 #[case::ipv4_udp(udp(b"q"), FlowId(7_256_129_154_176_733_627))]
--- a/crates/wire/tests/peers.rs
+++ b/crates/wire/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Messages between balancers of the direct-return path, there and back, and what is refused.
+//! Tests of the messages between balancers of the direct-return path: round trips and rejected
+//! input.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -101,7 +102,7 @@
     assert!(matches!(decode(&bytes), Some(Message::Peers(peers)) if peers.len() == PEERS_MAX));
 }
 
-/// Whatever arrives on the internal port is refused whole, without a panic.
+/// Malformed input on the internal port is rejected as a whole and causes no panic.
 #[rstest]
 #[case::empty(b"")]
 #[case::not_message_pack(b"\xc1\xc1")]
@@ -113,7 +114,7 @@
     assert_eq!(decode_view(bytes), None);
 }
 
-/// Changes travel with the beacon where they fit into a datagram; otherwise receivers fetch the
+/// Changes are sent with the beacon if they fit into a datagram; otherwise receivers fetch the
 /// whole view.
 #[rstest]
 #[case::few(3, 12, true)]
@@ -126,7 +127,7 @@
     assert!(encode(&message).len() <= MESSAGE_BYTES_MAX);
 }
 
-/// A sender that puts more changes into a message than any balancer does is refused.
+/// A message with more changes than any balancer sends is rejected.
 #[test]
 fn oversized_changes_are_refused() {
     let message = Message::Changes(STATE, delta(CHANGES_MAX + 1, 1));
--- a/crates/wire/tests/refusal.rs
+++ b/crates/wire/tests/refusal.rs
@@ -1,4 +1,4 @@
-//! Contract of the answers to refused packets.
+//! Tests of the answers to refused packets.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use wire::inner;
 use wire::refusal::{self, UdpRefusal};
 
-/// Sequence number, acknowledgement number and flags of a reset.
+/// Sequence number of a reset, and its acknowledgement number if the ACK flag is set.
 #[derive(Debug, PartialEq, Eq)]
 struct Reset {
     sequence: u32,
@@ -53,7 +53,7 @@
     Some(Reset { sequence: tcp.sequence_number(), acknowledgement })
 }
 
-/// A caller takes a reset only if its numbers fit (RFC 9293, 3.5.2).
+/// A caller accepts a reset only if its numbers match the connection (RFC 9293, 3.5.2).
 #[rstest]
 #[case::opening(tcp(ipv4(), "S", b""), Some(Reset { sequence: 0, acknowledgement: Some(101) }))]
 #[case::opening_with_data(
@@ -93,13 +93,17 @@
     let payload = sliced.ip_payload().unwrap();
     assert_eq!(payload.ip_number, protocol);
     assert_eq!(payload.payload[..2], [kind, code]);
-    assert_eq!(payload.payload[8..], packet[..128], "the caller finds its socket by the quote");
+    assert_eq!(
+        payload.payload[8..],
+        packet[..128],
+        "the caller finds its socket by the quoted packet"
+    );
 }
 
 #[rstest]
 #[case::ipv4(ipv4())]
 #[case::ipv6(ipv6())]
-fn answer_goes_back(#[case] ip: PacketBuilderStep<etherparse::IpHeaders>) {
+fn answer_is_addressed_to_caller(#[case] ip: PacketBuilderStep<etherparse::IpHeaders>) {
     let packet = tcp(ip, "S", b"");
     let refused = inner::parse(&packet).unwrap();
     let answer = answer(&packet, UdpRefusal::PortUnreachable);
--- a/crates/wire/tests/sealed.rs
+++ b/crates/wire/tests/sealed.rs
@@ -1,4 +1,4 @@
-//! Contract of the sealed private data.
+//! Tests of the sealed private data.
 
 mod common;
 
@@ -43,8 +43,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Two releases of the fleet run at once: a change of the layout or of a key derivation would cut
-/// one off from the other.
+/// Two releases run side by side during an upgrade of the fleet. After a change of the layout or of
+/// a key derivation, neither would accept the other's frames.
 #[test]
 fn seal_golden_vector() {
     let expected = concat!(
@@ -94,7 +94,7 @@
 fn open_changed_byte(#[case] offset: usize, #[case] value: u8, #[case] expected: SealError) {
     let ring = ring(&[(1, 9)]);
     let mut private = sealed(&ring, PACKET);
-    assert_ne!(private[offset], value, "the case changes nothing");
+    assert_ne!(private[offset], value, "the case does not change the byte");
     private[offset] = value;
     assert_eq!(ring.open(&private, PACKET), Err(expected));
 }
@@ -121,7 +121,8 @@
     assert_eq!(ring(&[(1, 9)]).open(&private, PACKET), Err(SealError::Truncated));
 }
 
-/// A key is rotated in three steps: both know the new one, the first signs with it, the old goes.
+/// A key is rotated in three steps: the new key is added to all keyrings, it becomes the first key,
+/// with which frames are sealed, and the old key is removed.
 #[test]
 fn seal_uses_first_key() {
     let private = sealed(&ring(&[(2, 5), (1, 9)]), PACKET);
--- a/crates/wire/tests/spread.rs
+++ b/crates/wire/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Contract of the spreading messages.
+//! Tests of the encoding of spreading messages.
 
 use decision::keys::{AccountId, UpstreamId, Version};
 use decision::spread::{Digest, Member, Notice, SHARES, SpreadMessage};
@@ -27,7 +27,8 @@
     assert_eq!(decode(&encode(&message)).unwrap(), message);
 }
 
-/// The largest honest message fits one datagram, also with GUE and sealed private data around it.
+/// The largest message of a correct node fits into one datagram, including the GUE header and the
+/// sealed private data.
 #[test]
 fn encode_largest_answer_fits_datagram() {
     let notices = vec![member(); decision::spread::DIFFERENCES_MAX];
