--- a/crates/wire/tests/delta.rs
+++ b/crates/wire/tests/delta.rs
@@ -15,8 +15,8 @@
 }
 
 /// The version line at the top always changes. A delta that omits only the common beginning and end
-/// therefore repeats all lines up to the changed weight, which is more than half the subtree (5,865 B of
-/// 9,862 B).
+/// therefore repeats all lines up to the changed weight, which is more than half the subtree
+/// (5,865 B of 9,862 B).
 #[test]
 fn between_version_and_weight_stays_small() {
     let (old, new) = (subtree(1, 100), subtree(2, 90));
