--- a/crates/wire/src/control/dto.rs
+++ b/crates/wire/src/control/dto.rs
@@ -1,4 +1,4 @@
-//! Types with serde that mirror the messages of the core.
+//! Serializable types that mirror the messages of the core.
 
 use decision::keys::{FlowId, Incarnation, UpstreamId, Version};
 use decision::message::{
@@ -164,7 +164,7 @@
     },
 }
 
-/// Entries of the list in a message, zero where it has none.
+/// Number of entries in the longest list of a message; zero if it has no list.
 pub(super) fn list_entries(message: &Message) -> usize {
     match message {
         Message::Announce { notes, .. } => notes.len(),
@@ -204,8 +204,8 @@
 }
 
 impl From<RecordCompleteness> for MemoryDto {
-    fn from(memory: RecordCompleteness) -> Self {
-        match memory {
+    fn from(completeness: RecordCompleteness) -> Self {
+        match completeness {
             RecordCompleteness::Complete => Self::Complete,
             RecordCompleteness::Newborn => Self::Newborn,
             RecordCompleteness::Forgetful => Self::Forgetful,
@@ -214,8 +214,8 @@
 }
 
 impl From<MemoryDto> for RecordCompleteness {
-    fn from(memory: MemoryDto) -> Self {
-        match memory {
+    fn from(completeness: MemoryDto) -> Self {
+        match completeness {
             MemoryDto::Complete => Self::Complete,
             MemoryDto::Newborn => Self::Newborn,
             MemoryDto::Forgetful => Self::Forgetful,
--- a/crates/wire/src/exchange/question.rs
+++ b/crates/wire/src/exchange/question.rs
@@ -1,4 +1,5 @@
-//! Questions about settings, and answers that nobody else can have given.
+//! Authenticated questions about settings, and answers that only a holder of the account's key can
+//! give.
 
 use std::fmt::Write as _;
 use std::sync::Arc;
@@ -9,40 +10,40 @@
 use super::{ExchangeError, decode};
 use crate::sealed::{AccountKeyring, KeyId, MAC_BYTES};
 
-/// In place of an account: the balancers, who may see everything. Its key is derived as an
-/// account's and no account can have this name.
+/// Name that stands for the balancers in place of an account; they may read all settings. Its key
+/// is derived like an account's. No account can have this name.
 pub const FLEET: &str = "";
 
-const ASK: &[u8] = b"ask";
-const ANSWER: &[u8] = b"answer";
+const QUESTION_LABEL: &[u8] = b"ask";
+const ANSWER_LABEL: &[u8] = b"answer";
 
 /// What is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Versions that the asking account may know of.
+    /// Versions of the documents that the asking account may read.
     Digest,
-    /// The root.
+    /// The root document.
     Root,
     /// The account's subtree.
     Subtree,
-    /// Subtrees of several accounts; only for the fleet.
+    /// Subtrees of several accounts; only for [`FLEET`].
     Subtrees,
 }
 
-/// A question, proven by a MAC to come from the account. The nonce keeps an old answer from being
-/// taken for the present one.
+/// A question, authenticated by a MAC with the account's key. The nonce prevents an old answer from
+/// being accepted for a new question.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
     /// What is asked for.
     pub kind: Kind,
-    /// Account by whose key it is asked, or [`FLEET`].
+    /// Account whose key authenticates the question, or [`FLEET`].
     pub account: Arc<str>,
     /// Different in every question.
     pub nonce: u64,
 }
 
 impl Kind {
-    /// Path under which it is asked for.
+    /// HTTP path of the question.
     pub fn path(self) -> &'static str {
         match self {
             Self::Digest => "/v1/settings/digest",
@@ -54,22 +55,22 @@
 }
 
 impl Question {
-    /// Path and query of the question, `None` if the ring has no key.
+    /// Path and query of the question, with its MAC; `None` if the ring has no key.
     ///
     /// ```
     /// use wire::exchange::{Kind, Question};
     /// use wire::sealed::{AccountKeyring, KeyId};
     /// let ring = AccountKeyring::new(&[(KeyId(1), [9; 32])]).unwrap();
     /// let question = Question { kind: Kind::Root, account: "cascadia".into(), nonce: 7 };
-    /// let path = question.ask(&ring).unwrap();
+    /// let path = question.signed_path(&ring).unwrap();
     /// let (_, query) = path.split_once('?').unwrap();
     /// let parameter = |name: &str| {
     ///     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
     /// };
-    /// assert_eq!(Question::check(Kind::Root, parameter, |_| Some(ring)), Some((question, ring)));
+    /// assert_eq!(Question::verify(Kind::Root, parameter, |_| Some(ring)), Some((question, ring)));
     /// ```
-    pub fn ask(&self, ring: &AccountKeyring) -> Option<String> {
-        let (KeyId(key), proof) = self.tag(ring, ASK, &[])?;
+    pub fn signed_path(&self, ring: &AccountKeyring) -> Option<String> {
+        let (KeyId(key), proof) = self.tag(ring, QUESTION_LABEL, &[])?;
         let Self { kind, account, nonce } = self;
         let mut path =
             format!("{}?account={account}&nonce={nonce:x}&key={key}&proof=", kind.path());
@@ -80,9 +81,10 @@
         Some(path)
     }
 
-    /// The question in the parameters of a request and the keyring of its account; `None` if a
-    /// parameter is missing, the account unknown or the proof wrong.
-    pub fn check<'q>(
+    /// Reads the question from the parameters of a request and verifies its MAC. Returns it with
+    /// the keyring of its account; `None` if a parameter is missing or malformed, the account is
+    /// unknown or the MAC is wrong.
+    pub fn verify<'q>(
         kind: Kind,
         parameter: impl Fn(&str) -> Option<&'q str>,
         keyring: impl FnOnce(&str) -> Option<AccountKeyring>,
@@ -93,7 +95,7 @@
         let proof = mac_from_hex(parameter("proof")?)?;
         let question = Self { kind, account: account.into(), nonce };
         let ring = keyring(account)?;
-        question.check_tag(&ring, (key, proof), ASK, &[]).then_some((question, ring))
+        question.verify_tag(&ring, (key, proof), QUESTION_LABEL, &[]).then_some((question, ring))
     }
 
     /// Seals an answer to this question: key id, MAC, and the value in MessagePack.
@@ -104,28 +106,29 @@
     /// let ring = AccountKeyring::new(&[(KeyId(1), [9; 32])]).unwrap();
     /// let question = Question { kind: Kind::Root, account: "cascadia".into(), nonce: 7 };
     /// let document = Document { version: 3, yaml: "version: 3".into() };
-    /// let answer = question.answer(&ring, &document).unwrap();
-    /// assert_eq!(question.open::<Document>(&ring, &answer), Ok(document));
+    /// let answer = question.seal_answer(&ring, &document).unwrap();
+    /// assert_eq!(question.open_answer::<Document>(&ring, &answer), Ok(document));
     /// let later = Question { nonce: 8, ..question };
-    /// assert!(later.open::<Document>(&ring, &answer).is_err());
+    /// assert!(later.open_answer::<Document>(&ring, &answer).is_err());
     /// ```
-    pub fn answer(&self, ring: &AccountKeyring, value: &impl Serialize) -> Option<Vec<u8>> {
+    pub fn seal_answer(&self, ring: &AccountKeyring, value: &impl Serialize) -> Option<Vec<u8>> {
         let body = rmp_serde::to_vec(value).ok()?;
-        let (KeyId(key), mac) = self.tag(ring, ANSWER, &body)?;
+        let (KeyId(key), mac) = self.tag(ring, ANSWER_LABEL, &body)?;
         Some([&[key], &mac[..], &body].concat())
     }
 
-    /// Opens the answer to this question.
+    /// Verifies and decodes the answer to this question.
     ///
-    /// Errors: [`ExchangeError`] if it is not one, or not by a holder of the account's key.
-    pub fn open<T: DeserializeOwned>(
+    /// Errors: [`ExchangeError`] if it is malformed, answers another question, or was not sealed by
+    /// a holder of the account's key.
+    pub fn open_answer<T: DeserializeOwned>(
         &self,
         ring: &AccountKeyring,
         bytes: &[u8],
     ) -> Result<T, ExchangeError> {
         let (key, rest) = bytes.split_first().ok_or(ExchangeError)?;
         let (mac, body) = rest.split_first_chunk().ok_or(ExchangeError)?;
-        if !self.check_tag(ring, (KeyId(*key), *mac), ANSWER, body) {
+        if !self.verify_tag(ring, (KeyId(*key), *mac), ANSWER_LABEL, body) {
             return Err(ExchangeError);
         }
         decode(body)
@@ -134,23 +137,23 @@
     fn tag(
         &self,
         ring: &AccountKeyring,
-        what: &[u8],
+        label: &[u8],
         body: &[u8],
     ) -> Option<(KeyId, [u8; MAC_BYTES])> {
         let nonce = self.nonce.to_be_bytes();
-        ring.tag(&[what, self.kind.path().as_bytes(), self.account.as_bytes(), &nonce, body])
+        ring.tag(&[label, self.kind.path().as_bytes(), self.account.as_bytes(), &nonce, body])
     }
 
-    fn check_tag(
+    fn verify_tag(
         &self,
         ring: &AccountKeyring,
         (key, mac): (KeyId, [u8; MAC_BYTES]),
-        what: &[u8],
+        label: &[u8],
         body: &[u8],
     ) -> bool {
         let nonce = self.nonce.to_be_bytes();
         let path = self.kind.path().as_bytes();
-        ring.check_tag(key, &mac, &[what, path, self.account.as_bytes(), &nonce, body])
+        ring.verify_tag(key, &mac, &[label, path, self.account.as_bytes(), &nonce, body])
     }
 }
 
--- a/crates/wire/src/peers/mod.rs
+++ b/crates/wire/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! What balancers of the direct-return path tell each other: short messages in datagrams, and whole
-//! views over HTTP, both as MessagePack.
+//! Messages between balancers of the direct-return path: short ones in datagrams, and whole views
+//! over HTTP, both encoded in MessagePack.
 
 mod body;
 mod translate;
@@ -14,66 +14,67 @@
 
 use body::{MessageBody, RoutesBody, ViewBody};
 use translate::{
-    delta_body, delta_of, history_body, history_of, limit, news, news_body, record_of, route_body,
-    route_of, upstream_body,
+    delta_body, delta_from, history_body, history_from, openings_limit, record_from, route_body,
+    route_from, state_summary_body, state_summary_from, upstream_body,
 };
 
 /// Most balancers named in one message: they fit into a datagram of 1,300 bytes.
 pub const PEERS_MAX: usize = PEERS_PER_REPLY_MAX;
-/// Most changes in one message: at 45 bytes each they fit into a datagram with room for long names.
+/// Most changes in one message: at 45 bytes each they fit into a datagram and leave room for long
+/// names.
 pub const CHANGES_MAX: usize = 24;
-/// Most bytes of a message: what an Ethernet frame takes without being cut.
+/// Most bytes of a message, so that it fits into an Ethernet frame without fragmentation.
 pub const MESSAGE_BYTES_MAX: usize = 1_400;
 /// A message between balancers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// The sender lives and knows this revision; the receiver answers with the balancers it knows,
-    /// and with what it knows itself, if that is more.
+    /// The sender is running and knows this revision. The receiver replies with the balancers that
+    /// it knows, and with its own state if it knows more.
     Hello {
         /// Revision that the sender knows; zero if it knows nothing.
         revision: u64,
     },
     /// Balancers that the sender knows.
     Peers(Vec<Ipv4Addr>),
-    /// The sender reads the configuration service, and this is what it knows.
-    Beacon(News),
-    /// The sender knows this, but need not be a reader.
-    Knows(News),
-    /// A beacon that brings the changes which lead to it.
-    Changes(News, Delta),
+    /// State of a sender that reads the configuration service itself.
+    Beacon(StateSummary),
+    /// State of a sender that does not necessarily read the configuration service.
+    Knows(StateSummary),
+    /// A beacon together with the changes that lead to its state.
+    Changes(StateSummary, Delta),
 }
 
-/// What a balancer knows, and how far its list can be trusted.
+/// Summary of what a balancer knows, and for how long that may be incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct News {
-    /// What it knows, in short.
+pub struct StateSummary {
+    /// Revision, version of the routes, and digests of routes and upstreams.
     pub summary: Summary,
-    /// For how much longer its list of upstreams may lack some that live.
+    /// For how much longer its list may lack upstreams that are running.
     pub whole_in_ms: u64,
-    /// The services that routes have left, in short.
+    /// Summary of the former services of routes.
     pub history: HistorySummary,
 }
 
-/// Everything that a balancer needs to know, as another one gives it.
+/// Complete state of a balancer, from which another one can start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewContents {
     /// Revision of the configuration service.
     pub revision: u64,
-    /// For how much longer the list of upstreams may lack some that live.
+    /// For how much longer the list may lack upstreams that are running.
     pub whole_in_ms: u64,
-    /// Routes in force; `None` if the receiver has the same ones.
+    /// Routes in force; `None` if the receiver already has them.
     pub routes: Option<Arc<RouteTable>>,
-    /// Their version.
+    /// Version of the routes.
     pub routes_version: u64,
     /// The listed upstreams.
     pub upstreams: Vec<UpstreamRecord>,
     /// Availability zones that take no new flows.
     pub closed_zones: Vec<ZoneStamp>,
-    /// Services that routes have left.
+    /// Former services of routes, at which flows may still be open.
     pub history: HistoryContents,
 }
 
-/// Encodes a message. A list of balancers is cut after [`PEERS_MAX`].
+/// Encodes a message. A list of balancers is truncated to [`PEERS_MAX`].
 ///
 /// ```
 /// use wire::peers::{Message, decode, encode};
@@ -87,34 +88,39 @@
         Message::Peers(peers) => {
             MessageBody::Peers(peers.iter().take(PEERS_MAX).map(|peer| peer.to_bits()).collect())
         }
-        Message::Beacon(news) => MessageBody::Beacon(news_body(news)),
-        Message::Knows(news) => MessageBody::Knows(news_body(news)),
-        Message::Changes(news, delta) => MessageBody::Changes(news_body(news), delta_body(delta)),
+        Message::Beacon(state) => MessageBody::Beacon(state_summary_body(state)),
+        Message::Knows(state) => MessageBody::Knows(state_summary_body(state)),
+        Message::Changes(state, delta) => {
+            MessageBody::Changes(state_summary_body(state), delta_body(delta))
+        }
     };
     rmp_serde::to_vec(&body).expect("a plain enumeration always encodes")
 }
 
-/// Decodes a message; `None` if it is not one that this version knows.
+/// Decodes a message; `None` if it is malformed or of a kind that this release does not know.
 pub fn decode(bytes: &[u8]) -> Option<Message> {
     Some(match rmp_serde::from_slice(bytes).ok()? {
         MessageBody::Hello { revision } => Message::Hello { revision },
         MessageBody::Peers(peers) => {
             Message::Peers(peers.into_iter().map(Ipv4Addr::from_bits).collect())
         }
-        MessageBody::Beacon(body) => Message::Beacon(news(&body)),
-        MessageBody::Knows(body) => Message::Knows(news(&body)),
-        MessageBody::Changes(body, delta) => Message::Changes(news(&body), delta_of(delta)),
+        MessageBody::Beacon(body) => Message::Beacon(state_summary_from(&body)),
+        MessageBody::Knows(body) => Message::Knows(state_summary_from(&body)),
+        MessageBody::Changes(body, delta) => {
+            Message::Changes(state_summary_from(&body), delta_from(delta))
+        }
     })
 }
 
-/// The message with which a reader tells what it knows now: with the changes that led there, if
-/// they fit into a datagram and nothing else has changed.
-pub fn beacon(news: News, delta: Option<Delta>) -> Message {
+/// Builds the message by which a balancer that reads the configuration service announces its state.
+/// The changes that led to this state are included if they fit into a datagram; `delta` is `None`
+/// if something else has changed too.
+pub fn beacon(state: StateSummary, delta: Option<Delta>) -> Message {
     let Some(delta) = delta.filter(|delta| delta.changes.len() <= CHANGES_MAX) else {
-        return Message::Beacon(news);
+        return Message::Beacon(state);
     };
-    let message = Message::Changes(news, delta);
-    if encode(&message).len() <= MESSAGE_BYTES_MAX { message } else { Message::Beacon(news) }
+    let message = Message::Changes(state, delta);
+    if encode(&message).len() <= MESSAGE_BYTES_MAX { message } else { Message::Beacon(state) }
 }
 
 /// Encodes a view.
@@ -126,7 +132,7 @@
         routes: view.routes.as_ref().map(|table| RoutesBody {
             routes: table.routes().iter().map(route_body).collect(),
             services: table.services().iter().map(|service| service.stamp.0).collect(),
-            limits: table.services().iter().filter_map(limit).collect(),
+            limits: table.services().iter().filter_map(openings_limit).collect(),
         }),
         upstreams: view.upstreams.iter().map(upstream_body).collect(),
         closed_zones: view.closed_zones.iter().map(|zone| zone.0).collect(),
@@ -135,7 +141,7 @@
     rmp_serde::to_vec(&body).expect("plain structs always encode")
 }
 
-/// Decodes a view; `None` if it makes no sense.
+/// Decodes a view; `None` if it is malformed.
 pub fn decode_view(bytes: &[u8]) -> Option<ViewContents> {
     let body: ViewBody = rmp_serde::from_slice(bytes).ok()?;
     let limited = |(stamp, cold_openings_per_ks)| Service {
@@ -143,7 +149,7 @@
         cold_openings_per_ks,
     };
     let table = |RoutesBody { routes, services, limits }| {
-        let routes = routes.into_iter().map(route_of).collect();
+        let routes = routes.into_iter().map(route_from).collect();
         let unlimited = services.into_iter().map(|stamp| Service::unlimited(ServiceStamp(stamp)));
         let services = limits.into_iter().map(limited).chain(unlimited);
         Arc::new(RouteTable::new(body.version, routes, services))
@@ -153,8 +159,8 @@
         whole_in_ms: body.whole_in_ms,
         routes: body.routes.map(table),
         routes_version: body.version,
-        upstreams: body.upstreams.into_iter().map(record_of).collect(),
+        upstreams: body.upstreams.into_iter().map(record_from).collect(),
         closed_zones: body.closed_zones.into_iter().map(ZoneStamp).collect(),
-        history: history_of(body.version, body.history),
+        history: history_from(body.version, body.history),
     })
 }
--- a/crates/wire/tests/exchange.rs
+++ b/crates/wire/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Contract of the exchange of settings.
+//! Tests of the exchange of settings.
 
 mod common;
 
@@ -34,22 +34,22 @@
     AccountKeyring::derive(&[(KeyId(1), [7; 32])], AccountId::of(account)).unwrap()
 }
 
-/// What a server makes of a question asked under `kind` by a holder of the key of `asker`, after
-/// `from` in its query was replaced by `to`.
-fn checked(kind: Kind, asker: &str, from: &str, to: &str) -> Option<Question> {
+/// Verifies, as a server of `kind` does, a question for a subtree that was authenticated with the
+/// key of `asker` and in which `from` was replaced by `to`. Returns it if it is accepted.
+fn verified(kind: Kind, asker: &str, from: &str, to: &str) -> Option<Question> {
     let question = Question { kind: Kind::Subtree, account: "cascadia".into(), nonce: 7 };
-    let path = question.ask(&ring(asker)).unwrap().replace(from, to);
+    let path = question.signed_path(&ring(asker)).unwrap().replace(from, to);
     let (_, query) = path.split_once('?').unwrap();
     let parameter =
         |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
-    Some(Question::check(kind, parameter, |account| Some(ring(account)))?.0)
+    Some(Question::verify(kind, parameter, |account| Some(ring(account)))?.0)
 }
 
-/// A rival's machine holds only its own key: it can neither ask for another account's subtree nor
-/// change a question that it saw.
+/// A machine of another account holds only that account's key. It can neither ask for a subtree of
+/// this account nor change a question that it has observed.
 #[rstest]
 #[case::own(Kind::Subtree, "cascadia", "", "", true)]
-#[case::rival(Kind::Subtree, "bajio", "", "", false)]
+#[case::key_of_other_account(Kind::Subtree, "bajio", "", "", false)]
 #[case::fleet_key_for_account(Kind::Subtree, FLEET, "", "", false)]
 #[case::other_account(Kind::Subtree, "bajio", "account=cascadia", "account=bajio", false)]
 #[case::other_kind(Kind::Root, "cascadia", "", "", false)]
@@ -64,12 +64,12 @@
     #[case] to: &str,
     #[case] accepted: bool,
 ) {
-    assert_eq!(checked(kind, asker, from, to).is_some(), accepted);
+    assert_eq!(verified(kind, asker, from, to).is_some(), accepted);
 }
 
 #[rstest]
 #[case::own("cascadia", 7, None, true)]
-#[case::by_rival("bajio", 7, None, false)]
+#[case::by_other_account("bajio", 7, None, false)]
 #[case::to_older_question("cascadia", 6, None, false)]
 #[case::changed_key_id("cascadia", 7, Some(0), false)]
 #[case::changed_mac("cascadia", 7, Some(1), false)]
@@ -82,11 +82,11 @@
 ) {
     let question = |nonce| Question { kind: Kind::Subtree, account: "cascadia".into(), nonce };
     let document = Document { version: 7, yaml: "version: 7".into() };
-    let mut answer = question(nonce).answer(&ring(answerer), &document).unwrap();
+    let mut answer = question(nonce).seal_answer(&ring(answerer), &document).unwrap();
     if let Some(offset) = damaged {
         answer[offset] ^= 1;
     }
-    let opened = question(7).open::<Document>(&ring("cascadia"), &answer);
+    let opened = question(7).open_answer::<Document>(&ring("cascadia"), &answer);
     assert_eq!(opened, if accepted { Ok(document) } else { Err(ExchangeError) });
 }
 
@@ -98,6 +98,6 @@
         let _ = decode::<Digest>(&bytes);
         let _ = decode::<Document>(&bytes);
         let question = Question { kind: Kind::Root, account: FLEET.into(), nonce: 7 };
-        prop_assert!(question.open::<Document>(&ring(FLEET), &bytes).is_err());
+        prop_assert!(question.open_answer::<Document>(&ring(FLEET), &bytes).is_err());
     }
 }
