--- a/crates/loadgen/benches/core.rs
+++ b/crates/loadgen/benches/core.rs
@@ -10,7 +10,7 @@
 use decision::view::{self, Endpoint, View};
 use divan::{Bencher, black_box};
 use loadgen::world::{TARGET, WorldSize, account_yaml, root_yaml};
-use settings::Book;
+use settings::ActiveSettings;
 
 /// Flow tables; the largest is the bound of the agent's.
 const FLOWS: [u64; 4] = [1_000, 10_000, 50_000, 131_072];
@@ -73,17 +73,17 @@
 #[divan::bench(sample_count = 20)]
 fn rebuild_after_change(bencher: Bencher) {
     let mut accounts = TARGET.accounts();
-    let mut book = Book::default();
-    book.accept_root(&root_yaml(accounts.len()));
+    let mut active = ActiveSettings::default();
+    active.accept_root(&root_yaml(accounts.len()));
     for account in &accounts {
-        book.accept_account(&account.name, &account_yaml(account));
+        active.accept_account(&account.name, &account_yaml(account));
     }
     bencher.bench_local(|| {
         let account = &mut accounts[0];
         account.version = Version(account.version.0 + 1);
         account.services[0].upstreams[0].weight ^= 1;
-        book.accept_account(&account.name, &account_yaml(account));
-        book.view()
+        active.accept_account(&account.name, &account_yaml(account));
+        active.view()
     });
 }
 
--- a/crates/loadgen/src/cost/tree.rs
+++ b/crates/loadgen/src/cost/tree.rs
@@ -5,7 +5,7 @@
 
 use decision::keys::{AccountId, Version};
 use decision::view::{self, AccountSpec};
-use settings::Book;
+use settings::ActiveSettings;
 use wire::delta::Delta;
 use wire::exchange::{Digest, DigestEntry};
 use wire::sealed::{AccountKeyring, KeyId};
@@ -48,8 +48,8 @@
 pub fn memory(services: u64) -> anyhow::Result<f64> {
     let size = WorldSize::of_services(services as usize);
     let before = resident_bytes()?;
-    let book = started(&texts(size));
-    let view = book.view();
+    let active = started(&texts(size));
+    let view = active.view();
     let keys = derive_keys(size.accounts);
     let used = resident_bytes()? - before;
     anyhow::ensure!(view.services().len() == size.services && keys.len() == size.accounts);
@@ -118,14 +118,14 @@
 /// One changed weight: parsing and checking the subtree, and the new view.
 fn change_ms(services: usize) -> f64 {
     let size = WorldSize::of_services(services);
-    let mut book = started(&texts(size));
+    let mut active = started(&texts(size));
     let mut spec = size.accounts().swap_remove(0);
     median_ms(|| {
         spec.version = Version(spec.version.0 + 1);
         spec.services[0].upstreams[0].weight += 1;
-        let outcome = book.accept_account(&spec.name, &account_yaml(&spec));
+        let outcome = active.accept_account(&spec.name, &account_yaml(&spec));
         assert_eq!(outcome, settings::Outcome::Accepted(spec.version));
-        std::hint::black_box(book.view());
+        std::hint::black_box(active.view());
     })
 }
 
@@ -190,14 +190,14 @@
     size.accounts().iter().map(|spec| (spec.name.clone(), account_yaml(spec))).collect()
 }
 
-fn started(texts: &[(Arc<str>, String)]) -> Book {
-    let mut book = Book::default();
-    book.accept_root(&root_yaml(texts.len()));
+fn started(texts: &[(Arc<str>, String)]) -> ActiveSettings {
+    let mut active = ActiveSettings::default();
+    active.accept_root(&root_yaml(texts.len()));
     for (name, yaml) in texts {
-        let outcome = book.accept_account(name, yaml);
+        let outcome = active.accept_account(name, yaml);
         assert!(matches!(outcome, settings::Outcome::Accepted(_)), "{outcome:?}");
     }
-    book
+    active
 }
 
 /// Median processor time of a few runs.
--- a/crates/settings/src/book/mod.rs
+++ b/crates/settings/src/book/mod.rs
@@ -1,8 +1,8 @@
 //! The settings in force.
 //!
-//! A book never goes back: the highest version of each document wins, whatever the order in which
-//! documents arrive from platform and peers. It never takes half a document: one with a fault
-//! leaves the older version in force.
+//! Versions only grow: of each document the highest version wins, in whatever order documents arrive
+//! from the platform and from peers. Documents are taken whole or not at all: one with a fault leaves
+//! the older version in force.
 
 mod pending;
 
@@ -37,19 +37,19 @@
 /// All accounts in force in this process.
 ///
 /// ```
-/// use settings::{Book, Outcome};
-/// let mut book = Book::default();
-/// book.accept_root("version: 1\naccounts: [{name: cascadia, prefixes: []}]\n");
+/// use settings::{ActiveSettings, Outcome};
+/// let mut active = ActiveSettings::default();
+/// active.accept_root("version: 1\naccounts: [{name: cascadia, prefixes: []}]\n");
 /// let yaml = "account: cascadia\nversion: 7\nservices: []\n";
-/// assert!(matches!(book.accept_account("cascadia", yaml), Outcome::Accepted(_)));
-/// assert_eq!(book.versions().len(), 1);
-/// assert_eq!(book.view().accounts().len(), 1);
+/// assert!(matches!(active.accept_account("cascadia", yaml), Outcome::Accepted(_)));
+/// assert_eq!(active.versions().len(), 1);
+/// assert_eq!(active.view().accounts().len(), 1);
 /// ```
 #[derive(Debug, Default)]
-pub struct Book {
-    root: Option<Held<Root>>,
+pub struct ActiveSettings {
+    root: Option<Installed<Root>>,
     /// Sorted by name.
-    accounts: Vec<Held<AccountSpec>>,
+    accounts: Vec<Installed<AccountSpec>>,
     pending: Pending,
     /// Built on demand, since a start brings in hundreds of subtrees at once.
     view: OnceLock<Arc<View>>,
@@ -57,12 +57,12 @@
 
 /// A document in force with the text that it came from.
 #[derive(Clone, Debug)]
-struct Held<T> {
+struct Installed<T> {
     spec: T,
     yaml: Arc<str>,
 }
 
-impl Book {
+impl ActiveSettings {
     /// Takes in a root document.
     ///
     /// Subtrees that waited for it come into force with it. Addresses that it takes from an account
@@ -70,12 +70,12 @@
     /// somebody else's by now, and serving it would hand one account's packets to another. The
     /// account's other addresses are served as before, and a later root may give this one back.
     pub fn accept_root(&mut self, yaml: &str) -> Outcome {
-        let held = self.root.as_ref();
-        if held.is_some_and(|held| *held.yaml == *yaml) {
+        let installed = self.root.as_ref();
+        if installed.is_some_and(|installed| *installed.yaml == *yaml) {
             return Outcome::Unchanged(self.root_version());
         }
-        let parsed = match held {
-            Some(held) => root::parse_next(yaml, &held.spec),
+        let parsed = match installed {
+            Some(installed) => root::parse_next(yaml, &installed.spec),
             None => root::parse(yaml),
         };
         match parsed {
@@ -88,15 +88,15 @@
     /// Takes in the subtree that was published for the account called `name`.
     pub fn accept_account(&mut self, name: &str, yaml: &str) -> Outcome {
         let in_force = self.find(name).map(|index| &self.accounts[index]);
-        if let Some(held) = in_force.filter(|held| *held.yaml == *yaml) {
-            return Outcome::Unchanged(held.spec.version);
+        if let Some(installed) = in_force.filter(|installed| *installed.yaml == *yaml) {
+            return Outcome::Unchanged(installed.spec.version);
         }
-        let version = in_force.map_or(Version(0), |held| held.spec.version);
-        let Some(root) = self.root.as_ref().map(|held| &held.spec) else {
+        let version = in_force.map_or(Version(0), |installed| installed.spec.version);
+        let Some(root) = self.root.as_ref().map(|installed| &installed.spec) else {
             return self.defer(name, yaml, Vec::new());
         };
         let parsed = match in_force {
-            Some(held) => account::parse_next(yaml, Some(root), name, &held.spec),
+            Some(installed) => account::parse_next(yaml, Some(root), name, &installed.spec),
             None => account::parse(yaml, root, name),
         };
         match parsed {
@@ -114,8 +114,11 @@
     /// The view of everything in force. It is built on the first call after a change.
     pub fn view(&self) -> Arc<View> {
         let build = || {
-            let specs: Vec<AccountSpec> =
-                self.accounts.iter().map(|held| self.usable(&held.spec)).collect();
+            let specs: Vec<AccountSpec> = self
+                .accounts
+                .iter()
+                .map(|installed| self.without_foreign_addresses(&installed.spec))
+                .collect();
             Arc::new(view::build(&specs))
         };
         self.view.get_or_init(build).clone()
@@ -123,31 +126,34 @@
 
     /// Names and versions of the accounts in force, sorted by name.
     pub fn versions(&self) -> Vec<(Arc<str>, Version)> {
-        self.accounts.iter().map(|held| (held.spec.name.clone(), held.spec.version)).collect()
+        self.accounts
+            .iter()
+            .map(|installed| (installed.spec.name.clone(), installed.spec.version))
+            .collect()
     }
 
     /// The root in force with its text, to be passed on to peers.
     pub fn root(&self) -> Option<(Version, Arc<str>)> {
-        self.root.as_ref().map(|held| (held.spec.version, held.yaml.clone()))
+        self.root.as_ref().map(|installed| (installed.spec.version, installed.yaml.clone()))
     }
 
     /// The subtree in force of the account called `name` with its text, to be passed on to peers.
     pub fn subtree(&self, name: &str) -> Option<(Version, Arc<str>)> {
-        let held = &self.accounts[self.find(name)?];
-        Some((held.spec.version, held.yaml.clone()))
+        let installed = &self.accounts[self.find(name)?];
+        Some((installed.spec.version, installed.yaml.clone()))
     }
 
     fn root_version(&self) -> Version {
-        self.root.as_ref().map_or(Version(0), |held| held.spec.version)
+        self.root.as_ref().map_or(Version(0), |installed| installed.spec.version)
     }
 
     fn find(&self, name: &str) -> Option<usize> {
-        self.accounts.binary_search_by(|held| (*held.spec.name).cmp(name)).ok()
+        self.accounts.binary_search_by(|installed| (*installed.spec.name).cmp(name)).ok()
     }
 
     fn install_root(&mut self, root: Root, yaml: &str) -> Outcome {
         let version = root.version;
-        self.root = Some(Held { spec: root, yaml: yaml.into() });
+        self.root = Some(Installed { spec: root, yaml: yaml.into() });
         self.view = OnceLock::new();
         for (name, yaml) in self.pending.take() {
             self.accept_account(&name, &yaml);
@@ -157,11 +163,11 @@
 
     fn install_account(&mut self, spec: AccountSpec, yaml: &str) -> Outcome {
         let version = spec.version;
-        self.pending.forget_older(&spec.name, version);
-        let held = Held { spec, yaml: yaml.into() };
-        match self.accounts.binary_search_by(|known| known.spec.name.cmp(&held.spec.name)) {
-            Ok(index) => self.accounts[index] = held,
-            Err(index) => self.accounts.insert(index, held),
+        self.pending.remove_superseded(&spec.name, version);
+        let installed = Installed { spec, yaml: yaml.into() };
+        match self.accounts.binary_search_by(|known| known.spec.name.cmp(&installed.spec.name)) {
+            Ok(index) => self.accounts[index] = installed,
+            Err(index) => self.accounts.insert(index, installed),
         }
         self.view = OnceLock::new();
         Outcome::Accepted(version)
@@ -177,15 +183,15 @@
     }
 
     /// The subtree without the addresses that the root in force does not give to its account.
-    fn usable(&self, spec: &AccountSpec) -> AccountSpec {
-        let mut usable = spec.clone();
-        let Some(root) = &self.root else { return usable };
-        for service in &mut usable.services {
+    fn without_foreign_addresses(&self, spec: &AccountSpec) -> AccountSpec {
+        let mut filtered = spec.clone();
+        let Some(root) = &self.root else { return filtered };
+        for service in &mut filtered.services {
             service.endpoints.retain(|endpoint| {
                 root.spec.ownership(&spec.name, endpoint.address) == Ownership::Owned
             });
         }
-        usable
+        filtered
     }
 }
 
--- a/crates/settings/src/book/pending.rs
+++ b/crates/settings/src/book/pending.rs
@@ -38,7 +38,7 @@
     }
 
     /// Drops the waiting subtree of an account if `version` has overtaken it.
-    pub(super) fn forget_older(&mut self, name: &str, version: Version) {
+    pub(super) fn remove_superseded(&mut self, name: &str, version: Version) {
         if let Ok(index) = self.find(name)
             && self.0[index].version <= version
         {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod root;
 mod step;
 
-pub use book::{Book, Outcome};
+pub use book::{ActiveSettings, Outcome};
 pub use codes::Code;
 pub use document::MAX_SUBTREE_BYTES;
 pub use fault::Fault;
--- a/crates/settings/tests/any_bytes.rs
+++ b/crates/settings/tests/any_bytes.rs
@@ -5,7 +5,7 @@
 use common::{ACCOUNT, AGENT, BALANCER, ROOT};
 use proptest::prelude::*;
 use settings::process::{agent, balancer};
-use settings::{Book, Fault, account, root};
+use settings::{ActiveSettings, Fault, account, root};
 
 /// Text between the changed parts that is likely to get past the first checks.
 const FRAGMENTS: &[&str] = &[
@@ -68,12 +68,12 @@
         assert!(!faults.is_empty(), "refused without a fault: {text}");
         check_positions(&faults);
     }
-    let mut book = Book::default();
-    book.accept_account("cascadia", text);
-    book.accept_root(text);
-    book.accept_root(ROOT);
-    book.accept_account("cascadia", text);
-    book.view();
+    let mut active = ActiveSettings::default();
+    active.accept_account("cascadia", text);
+    active.accept_root(text);
+    active.accept_root(ROOT);
+    active.accept_account("cascadia", text);
+    active.view();
 }
 
 fn mutated() -> impl Strategy<Value = String> {
--- a/crates/settings/tests/book.rs
+++ b/crates/settings/tests/book.rs
@@ -5,7 +5,7 @@
 use common::{ACCOUNT, ROOT, edit};
 use decision::view::{Endpoint, Transport};
 use rstest::rstest;
-use settings::{Book, Outcome};
+use settings::{ActiveSettings, Outcome};
 
 /// A document that arrives, and what is expected of it.
 enum Step<'a> {
@@ -18,7 +18,7 @@
 use Step::{Account, Expect, Root};
 
 /// `Accepted 7`, `Refused E1001` and so on.
-fn shown(outcome: &Outcome) -> String {
+fn describe(outcome: &Outcome) -> String {
     let codes = |faults: &[settings::Fault]| {
         faults.iter().map(|fault| format!(" {}", fault.code)).collect::<String>()
     };
@@ -31,32 +31,32 @@
     }
 }
 
-fn check_state(book: &Book, root: u64, account: u64, is_served: bool) {
+fn check_state(active: &ActiveSettings, root: u64, account: u64, is_served: bool) {
     let address = "203.0.113.1".parse().unwrap();
     let endpoint = Endpoint { address, port: 8443, transport: Transport::Tcp };
-    let version = book.subtree("cascadia").map_or(0, |(version, _)| version.0);
-    let in_force = (book.root().map_or(0, |(version, _)| version.0), version);
+    let version = active.subtree("cascadia").map_or(0, |(version, _)| version.0);
+    let in_force = (active.root().map_or(0, |(version, _)| version.0), version);
     assert_eq!(in_force, (root, account));
-    assert_eq!(book.view().find_endpoint(endpoint).is_some(), is_served);
+    assert_eq!(active.view().find_endpoint(endpoint).is_some(), is_served);
 }
 
 fn check(steps: &[Step<'_>]) {
     let apply = |document: &str, edits: &[(&str, &str)]| {
         edits.iter().fold(document.to_owned(), |yaml, (from, to)| edit(&yaml, from, to))
     };
-    let mut book = Book::default();
+    let mut active = ActiveSettings::default();
     for (index, step) in steps.iter().enumerate() {
         let (outcome, expected) = match step {
-            Root(edits, expected) => (book.accept_root(&apply(ROOT, edits)), expected),
+            Root(edits, expected) => (active.accept_root(&apply(ROOT, edits)), expected),
             Account(edits, expected) => {
-                (book.accept_account("cascadia", &apply(ACCOUNT, edits)), expected)
+                (active.accept_account("cascadia", &apply(ACCOUNT, edits)), expected)
             }
             Expect(root, account, is_served) => {
-                check_state(&book, *root, *account, *is_served);
+                check_state(&active, *root, *account, *is_served);
                 continue;
             }
         };
-        assert_eq!(shown(&outcome), **expected, "step {index}");
+        assert_eq!(describe(&outcome), **expected, "step {index}");
     }
 }
 
@@ -64,7 +64,7 @@
 const V6: (&str, &str) = ("version: 7", "version: 6");
 const RETIRED_6: (&str, &str) = ("retired: 7", "retired: 6");
 const ROOT_4: (&str, &str) = ("version: 3", "version: 4");
-const LOST: (&str, &str) = ("\"203.0.113.0/28\", ", "");
+const PREFIX_REMOVED: (&str, &str) = ("\"203.0.113.0/28\", ", "");
 const BROKEN: (&str, &str) = ("weight: 100\n", "weight: 0\n");
 
 #[rstest]
@@ -88,10 +88,10 @@
 /// refused for good, its account would run the older version until somebody published once more.
 #[rstest]
 #[case::no_root_yet(&[Account(&[], "Deferred"), Expect(0, 0, false), Root(&[], "Accepted 3"), Expect(3, 7, true)])]
-#[case::new_prefix(&[Root(&[LOST], "Accepted 3"), Account(&[], "Deferred E1022"), Expect(3, 0, false), Root(&[ROOT_4], "Accepted 4"), Expect(4, 7, true)])]
+#[case::new_prefix(&[Root(&[PREFIX_REMOVED], "Accepted 3"), Account(&[], "Deferred E1022"), Expect(3, 0, false), Root(&[ROOT_4], "Accepted 4"), Expect(4, 7, true)])]
 #[case::new_account(&[Root(&[("cascadia", "anahuac")], "Accepted 3"), Account(&[], "Deferred E1021 E1022 E1022"), Root(&[("version: 3", "version: 5")], "Accepted 5"), Expect(5, 7, true)])]
 #[case::newest_waits(&[Account(&[V8], "Deferred"), Account(&[], "Deferred"), Root(&[], "Accepted 3"), Expect(3, 8, true)])]
-#[case::still_waits(&[Root(&[LOST], "Accepted 3"), Account(&[], "Deferred E1022"), Root(&[ROOT_4, LOST], "Accepted 4"), Expect(4, 0, false), Root(&[("version: 3", "version: 5")], "Accepted 5"), Expect(5, 7, true)])]
+#[case::still_waits(&[Root(&[PREFIX_REMOVED], "Accepted 3"), Account(&[], "Deferred E1022"), Root(&[ROOT_4, PREFIX_REMOVED], "Accepted 4"), Expect(4, 0, false), Root(&[("version: 3", "version: 5")], "Accepted 5"), Expect(5, 7, true)])]
 #[case::overtaken(&[Root(&[], "Accepted 3"), Account(&[("203.0.113.1:", "203.0.113.65:")], "Deferred E1025"), Account(&[V8], "Accepted 8"), Root(&[ROOT_4], "Accepted 4"), Expect(4, 8, true)])]
 fn defer(#[case] steps: &[Step<'_>]) {
     check(steps);
@@ -101,44 +101,49 @@
 /// any more, at once and without a new subtree; the account's other addresses stay in service, and
 /// the range comes back if a later root gives it back.
 #[rstest]
-#[case::lost_and_back(&[Root(&[], "Accepted 3"), Account(&[], "Accepted 7"), Expect(3, 7, true), Root(&[ROOT_4, LOST], "Accepted 4"), Expect(4, 7, false), Account(&[], "Unchanged 7"), Expect(4, 7, false), Root(&[("version: 3", "version: 5")], "Accepted 5"), Expect(5, 7, true)])]
-#[case::account_removed(&[Root(&[], "Accepted 3"), Account(&[], "Accepted 7"), Root(&[ROOT_4, ("cascadia", "anahuac"), LOST, ("\"2001:db8:1::/48\"", "")], "Accepted 4"), Expect(4, 7, false)])]
-#[case::moved_at_once(&[Root(&[], "Accepted 3"), Account(&[], "Accepted 7"), Root(&[ROOT_4, LOST, ("203.0.113.16/28", "203.0.113.0/28")], "Refused E1036"), Expect(3, 7, true)])]
-#[case::moved_unseen(&[Root(&[], "Accepted 3"), Account(&[], "Accepted 7"), Root(&[("version: 3", "version: 9"), LOST, ("203.0.113.16/28", "203.0.113.0/28")], "Accepted 9"), Expect(9, 7, false)])]
+#[case::lost_and_back(&[Root(&[], "Accepted 3"), Account(&[], "Accepted 7"), Expect(3, 7, true), Root(&[ROOT_4, PREFIX_REMOVED], "Accepted 4"), Expect(4, 7, false), Account(&[], "Unchanged 7"), Expect(4, 7, false), Root(&[("version: 3", "version: 5")], "Accepted 5"), Expect(5, 7, true)])]
+#[case::account_removed(&[Root(&[], "Accepted 3"), Account(&[], "Accepted 7"), Root(&[ROOT_4, ("cascadia", "anahuac"), PREFIX_REMOVED, ("\"2001:db8:1::/48\"", "")], "Accepted 4"), Expect(4, 7, false)])]
+#[case::moved_at_once(&[Root(&[], "Accepted 3"), Account(&[], "Accepted 7"), Root(&[ROOT_4, PREFIX_REMOVED, ("203.0.113.16/28", "203.0.113.0/28")], "Refused E1036"), Expect(3, 7, true)])]
+#[case::moved_unseen(&[Root(&[], "Accepted 3"), Account(&[], "Accepted 7"), Root(&[("version: 3", "version: 9"), PREFIX_REMOVED, ("203.0.113.16/28", "203.0.113.0/28")], "Accepted 9"), Expect(9, 7, false)])]
 fn root_takes_range(#[case] steps: &[Step<'_>]) {
     check(steps);
 }
 
 #[test]
-fn lost_range_other_address() {
-    let mut book = Book::default();
-    book.accept_root(ROOT);
-    book.accept_account("cascadia", ACCOUNT);
-    book.accept_root(&edit(&edit(ROOT, LOST.0, LOST.1), "version: 3", "version: 4"));
+fn other_addresses_stay_after_range_removal() {
+    let mut active = ActiveSettings::default();
+    active.accept_root(ROOT);
+    active.accept_account("cascadia", ACCOUNT);
+    active.accept_root(&edit(
+        &edit(ROOT, PREFIX_REMOVED.0, PREFIX_REMOVED.1),
+        "version: 3",
+        "version: 4",
+    ));
     let address = "2001:db8:1::1".parse().unwrap();
     let endpoint = Endpoint { address, port: 8443, transport: Transport::Udp };
-    assert!(book.view().find_endpoint(endpoint).is_some());
+    assert!(active.view().find_endpoint(endpoint).is_some());
 }
 
 #[test]
 fn pending_bounded() {
-    let mut book = Book::default();
-    let outcome = |book: &mut Book, index: u32| {
+    let mut active = ActiveSettings::default();
+    let outcome = |active: &mut ActiveSettings, index: u32| {
         let yaml = format!("account: a{index}\nversion: 1\nservices: []\n");
-        shown(&book.accept_account(&format!("a{index}"), &yaml))
+        describe(&active.accept_account(&format!("a{index}"), &yaml))
     };
-    assert!((0..64).all(|index| outcome(&mut book, index) == "Deferred"));
-    assert_eq!(outcome(&mut book, 64), "Refused");
-    assert_eq!(outcome(&mut book, 63), "Deferred");
+    assert!((0..64).all(|index| outcome(&mut active, index) == "Deferred"));
+    assert_eq!(outcome(&mut active, 64), "Refused");
+    assert_eq!(outcome(&mut active, 63), "Deferred");
 }
 
 #[test]
 fn passed_on_text() {
-    let mut book = Book::default();
-    book.accept_root(ROOT);
-    book.accept_account("cascadia", ACCOUNT);
-    assert_eq!(&*book.subtree("cascadia").unwrap().1, ACCOUNT);
-    assert_eq!(&*book.root().unwrap().1, ROOT);
-    let names: Vec<String> = book.versions().iter().map(|(n, v)| format!("{n} {}", v.0)).collect();
+    let mut active = ActiveSettings::default();
+    active.accept_root(ROOT);
+    active.accept_account("cascadia", ACCOUNT);
+    assert_eq!(&*active.subtree("cascadia").unwrap().1, ACCOUNT);
+    assert_eq!(&*active.root().unwrap().1, ROOT);
+    let names: Vec<String> =
+        active.versions().iter().map(|(n, v)| format!("{n} {}", v.0)).collect();
     assert_eq!(names, ["cascadia 7"]);
 }
--- a/crates/shell/src/settings_sync/store.rs
+++ b/crates/shell/src/settings_sync/store.rs
@@ -5,7 +5,7 @@
 
 use decision::keys::Version;
 use decision::view::View;
-use settings::{Book, Outcome, codes};
+use settings::{ActiveSettings, Outcome, codes};
 use telemetry::timeline::{Fields, Timeline, Value};
 
 use crate::boottime;
@@ -33,7 +33,7 @@
 pub struct Store {
     scope: Scope,
     timeline: Arc<Timeline>,
-    book: Mutex<Book>,
+    active: Mutex<ActiveSettings>,
     /// Built ahead for a single account, so that an agent's data thread never waits for a build or
     /// for a document that is being parsed.
     view: Mutex<Arc<View>>,
@@ -87,7 +87,7 @@
         Self {
             scope,
             timeline,
-            book: Mutex::default(),
+            active: Mutex::default(),
             view: Mutex::default(),
             replaced: Mutex::default(),
             generation: AtomicU64::new(0),
@@ -111,7 +111,7 @@
     /// which takes long with thousands of services.
     pub fn view(&self) -> Arc<View> {
         match self.scope {
-            Scope::All => lock(&self.book).view(),
+            Scope::All => lock(&self.active).view(),
             Scope::Account(_) => lock(&self.view).clone(),
         }
     }
@@ -147,31 +147,31 @@
 
     /// Versions in force, sorted by account.
     pub fn versions(&self) -> Vec<(Arc<str>, Version)> {
-        lock(&self.book).versions()
+        lock(&self.active).versions()
     }
 
     /// Version and text of the root in force.
     pub fn root(&self) -> Option<(Version, Arc<str>)> {
-        lock(&self.book).root()
+        lock(&self.active).root()
     }
 
     /// Version and text of an account's subtree in force.
     pub fn subtree(&self, account: &str) -> Option<(Version, Arc<str>)> {
-        lock(&self.book).subtree(account)
+        lock(&self.active).subtree(account)
     }
 
     /// Takes in a root; subtrees that waited for it may come into force with it.
     pub fn offer_root(&self, yaml: &str, source: Source) -> Outcome {
-        let mut book = lock(&self.book);
-        let before = book.versions();
-        let outcome = book.accept_root(yaml);
+        let mut active = lock(&self.active);
+        let before = active.versions();
+        let outcome = active.accept_root(yaml);
         self.report("", &outcome, source);
-        for (account, version) in book.versions() {
+        for (account, version) in active.versions() {
             if !before.contains(&(account.clone(), version)) {
                 self.report(&account, &Outcome::Accepted(version), source);
             }
         }
-        self.publish(&book, &outcome);
+        self.publish(&active, &outcome);
         outcome
     }
 
@@ -180,14 +180,14 @@
         if !self.scope.contains(account) {
             return None;
         }
-        let mut book = lock(&self.book);
-        let before = book.subtree(account);
-        let outcome = book.accept_account(account, yaml);
+        let mut active = lock(&self.active);
+        let before = active.subtree(account);
+        let outcome = active.accept_account(account, yaml);
         self.report(account, &outcome, source);
         if let (Outcome::Accepted(_), Some((version, yaml))) = (&outcome, before) {
             self.keep_replaced(Replaced { account: account.into(), version, yaml });
         }
-        self.publish(&book, &outcome);
+        self.publish(&active, &outcome);
         Some(outcome)
     }
 
@@ -206,12 +206,12 @@
         }
     }
 
-    fn publish(&self, book: &Book, outcome: &Outcome) {
+    fn publish(&self, active: &ActiveSettings, outcome: &Outcome) {
         if !matches!(outcome, Outcome::Accepted(_)) {
             return;
         }
         if matches!(self.scope, Scope::Account(_)) {
-            *lock(&self.view) = book.view();
+            *lock(&self.view) = active.view();
         }
         self.generation.fetch_add(1, Ordering::Release);
     }
