--- a/crates/settings/src/codes/mod.rs
+++ b/crates/settings/src/codes/mod.rs
@@ -1,7 +1,7 @@
 //! Numbered result codes of the whole product.
 //!
-//! One table holds every code; `docs/result-codes.md` is generated from it. A number is never
-//! given a second meaning.
+//! One table holds every code; `docs/result-codes.md` is generated from it. The number of a code is
+//! never reused for another meaning.
 
 mod table;
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Code(pub u16);
 
-/// Part of the product that a code comes from.
+/// Part of the product that reports a code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
     /// Settings documents, 1xxx.
@@ -33,20 +33,20 @@
 /// One row of [`TABLE`].
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
-    /// Number.
+    /// Number, shown as `E` and four digits.
     pub code: Code,
     /// Name in lower case, as in logs and metrics.
     pub name: &'static str,
-    /// Where it comes from.
+    /// Part of the product that reports it.
     pub class: Class,
-    /// What has happened.
+    /// Explanation of what has happened.
     pub text: &'static str,
-    /// What to do about it.
+    /// Advice on what to do about it.
     pub action: &'static str,
 }
 
 impl Code {
-    /// The row of this code, if it is one of the product's.
+    /// The row of this code in [`TABLE`], or `None` if the product does not use the number.
     ///
     /// ```
     /// use settings::codes;
@@ -57,7 +57,7 @@
         Some(&TABLE[index])
     }
 
-    /// Name in lower case for logs and metrics, `unknown` for a foreign number.
+    /// Name in lower case for logs and metrics, `unknown` for a number that is not in the table.
     ///
     /// ```
     /// assert_eq!(settings::Code(1003).name(), "unknown_field");
--- a/crates/settings/src/codes/table.rs
+++ b/crates/settings/src/codes/table.rs
@@ -28,7 +28,7 @@
         "The document is not valid YAML.",
         "Correct the syntax at the given position.";
     TOO_LARGE = 1002, "too_large", Settings,
-        "The document is larger than the platform's value size.",
+        "The document exceeds the platform's size limit for a value.",
         "Split the account or shorten the document.";
     UNKNOWN_FIELD = 1003, "unknown_field", Settings,
         "The field does not exist.",
@@ -41,31 +41,31 @@
         "Add the field.";
     WRONG_TYPE = 1006, "wrong_type", Settings,
         "The value is of another type than the field.",
-        "Give a value of the expected type; put digits that are text into quotes.";
+        "Give a value of the expected type; quote text that consists of digits.";
     WRONG_UNIT = 1007, "wrong_unit", Settings,
         "The field or its value is given in another unit.",
-        "Give a bare number in the unit that the field's suffix names.";
+        "Give a plain number in the unit named by the field's suffix.";
     OUT_OF_RANGE = 1008, "out_of_range", Settings,
         "The number is outside the range of the field.",
         "Choose a number in the range.";
     UNKNOWN_CHOICE = 1009, "unknown_choice", Settings,
-        "The value is none of the field's choices.",
+        "The value is not one of those that the field allows.",
         "Choose one of the listed values.";
     EMPTY_LIST = 1010, "empty_list", Settings,
         "The list must not be empty.",
         "Add an entry; to close a service, retire its upstreams first.";
     TOO_MANY = 1011, "too_many", Settings,
-        "The list is longer than its bound.",
+        "The list has more entries than allowed.",
         "Split the list over several services or accounts.";
     BAD_NAME = 1012, "bad_name", Settings,
-        "The name is empty, too long or has forbidden characters.",
+        "The name is empty, too long or contains forbidden characters.",
         "Use 1 to 63 lower-case letters, digits and hyphens, beginning with a letter.";
     BAD_ADDRESS = 1013, "bad_address", Settings,
-        "The address is not of the form that the field needs.",
+        "The address is not in the format that the field requires.",
         "Write IP:PORT, or IP:PORT/tcp and IP:PORT/udp for services, IPv6 in brackets.";
     BAD_PREFIX = 1014, "bad_prefix", Settings,
-        "The address range is not a prefix in its shortest form.",
-        "Write ADDRESS/LENGTH with all bits after LENGTH zero.";
+        "The address range is not a valid prefix.",
+        "Write ADDRESS/LENGTH with all bits beyond LENGTH set to zero.";
     BAD_KEY = 1015, "bad_key", Settings,
         "The key has the wrong number of hexadecimal digits.",
         "Give exactly the stated number of hexadecimal digits, in quotes.";
@@ -85,7 +85,7 @@
         "The address does not belong to the account.",
         "Use an address within the account's prefixes in the root.";
     ENDPOINT_TAKEN = 1023, "endpoint_taken", Settings,
-        "Two services claim the same address, port and protocol.",
+        "Two services list the same address, port and protocol.",
         "Give each service its own endpoint.";
     PREFIX_OVERLAP = 1024, "prefix_overlap", Settings,
         "Two address ranges of the root overlap.",
@@ -94,17 +94,17 @@
         "The address is in quarantine and may not be used yet.",
         "Wait until the root moves it from `quarantine` to `prefixes`.";
     RETIRED_MISMATCH = 1026, "retired_mismatch", Settings,
-        "`state: retired` and `retired:` must come together.",
+        "`state: retired` and `retired:` must be given together.",
         "Give both or neither.";
     VERSION_IN_FUTURE = 1027, "version_in_future", Settings,
-        "The version of an entry lies outside the life of the document.",
+        "The `since` or `retired` of an entry is larger than the document's version, or `retired` is not larger than `since`.",
         "Give versions from 1 up to the document's own; `retired` must be larger than `since`.";
     VERSION_NOT_GROWN = 1030, "version_not_grown", Settings,
         "The version is not larger than the one in force.",
         "Publish with a larger version.";
     SPLIT_PUBLICATION = 1031, "split_publication", Settings,
         "Two documents with the same version differ.",
-        "Publish once more with a larger version, from one place.";
+        "Publish again with a larger version, from a single place.";
     REMOVED_BEFORE_RETIRED = 1032, "removed_before_retired", Settings,
         "An upstream of a service with `when_in_doubt: refuse` was removed without being listed as retired.",
         "List it with `state: retired` for one version, then remove it.";
@@ -113,7 +113,7 @@
         "Set `since` to the document's version.";
     SINCE_CHANGED = 1034, "since_changed", Settings,
         "The `since` of an existing upstream changed.",
-        "Restore the former value; to start afresh use another name.";
+        "Restore the previous value; a new upstream needs another name.";
     RETIRED_NOT_NEW = 1035, "retired_not_new", Settings,
         "The `retired` of an upstream is not the version that retired it.",
         "Set `retired` to the version that retires the upstream and keep it.";
@@ -122,13 +122,13 @@
         "List it under the new account's `quarantine` for one version of the root.";
     WRONG_SERVICE = 2001, "wrong_service", Packets,
         "The service is not the one that this agent serves.",
-        "None if rare: a sender had older settings. Otherwise compare `goosectl settings`.";
+        "None if rare: the sender had older settings. Otherwise compare the settings in force with `goosectl settings`.";
     ALL_FULL = 2002, "all_full", Packets,
-        "Every upstream of the service is full or not accepting.",
+        "Every upstream of the service is full or does not accept openings.",
         "Add upstreams or raise `max_flows`.";
     IN_DOUBT = 2003, "in_doubt", Packets,
-        "Too few witnesses answered and the service refuses when in doubt.",
-        "See which agents are silent with `goosectl status`; callers may retry.";
+        "Too few witnesses answered, and the service has `when_in_doubt: refuse`.",
+        "Find the unresponsive agents with `goosectl status`; callers may retry.";
     TOMBSTONE = 2004, "tombstone", Packets,
         "The opening was refused before.",
         "None: the caller opens a new connection.";
@@ -136,32 +136,32 @@
         "No agent of the service knows the flow.",
         "None if the flow had ended; otherwise see `goosectl timeline`.";
     HOLDER_SILENT = 2006, "holder_silent", Packets,
-        "Some agent that may hold the flow has not answered yet.",
+        "An agent that may hold the flow has not answered yet.",
         "None: the caller retransmits.";
     TOO_MANY_HOPS = 2007, "too_many_hops", Packets,
-        "The packet was passed on too often.",
+        "The packet was forwarded too many times.",
         "Compare the settings in force with `goosectl settings`.";
     OVERLOAD = 2008, "overload", Packets,
         "A bounded table or queue is full.",
         "Add instances or raise the limits of the upstreams.";
     DUPLICATE = 2009, "duplicate", Packets,
-        "A copy of an opening that has already run.",
-        "None: this is the safeguard against running it twice.";
+        "The packet is a copy of an opening that has already run.",
+        "None: the refusal prevents the opening from running twice.";
     STALE_VIEW = 2010, "stale_view", Packets,
-        "The sender's settings are older than a quarantine of the address.",
+        "The sender's settings predate a quarantine of the address.",
         "Find out why the sender lags with `goosectl settings`.";
     MALFORMED = 2101, "malformed", Packets,
         "The packet cannot be parsed.",
-        "None if rare; otherwise look at the fabric.";
+        "None if rare; otherwise check the fabric.";
     FRAGMENT = 2102, "fragment", Packets,
         "The packet is an IP fragment.",
-        "Lower the path's packet size so that callers do not fragment.";
+        "Lower the MTU of the path so that callers do not fragment.";
     NO_SERVICE = 2103, "no_service", Packets,
-        "No service answers on the destination.",
+        "No service is configured for the destination.",
         "Check the service's `addresses`.";
     BAD_MAC = 2104, "bad_mac", Packets,
         "The packet's authentication code is wrong.",
-        "Compare the keys of sender and receiver; look for a forger.";
+        "Compare the keys of sender and receiver; if they match, look for forged packets.";
     UNKNOWN_KEY = 2105, "unknown_key", Packets,
         "The packet was signed with a key that is not valid here.",
         "Finish the rotation: give the new key to receivers before senders sign with it.";
@@ -169,86 +169,86 @@
         "The packet belongs to another account.",
         "Compare the settings in force with `goosectl settings`.";
     NO_AGENT = 2107, "no_agent", Packets,
-        "The service has no agent that takes packets.",
+        "No agent of the service accepts packets.",
         "Add upstreams that are not retired.";
     SEND_FAILED = 2108, "send_failed", Packets,
-        "The operating system did not take the packet.",
-        "Look at routes, buffers and limits of the instance.";
+        "The operating system did not accept the packet for sending.",
+        "Check the routes, buffers and limits of the instance.";
     PACKET_TOO_LARGE = 2109, "packet_too_large", Packets,
         "The packet does not fit the path after encapsulation.",
         "Lower the callers' segment size.";
     REPLAYED = 2110, "replayed", Packets,
         "The sealed packet is older than the replay window or was seen before.",
-        "None if rare; otherwise compare the clocks.";
+        "None if rare; otherwise compare the clocks of sender and receiver.";
     UNSUPPORTED_PROTOCOL = 2111, "unsupported_protocol", Packets,
         "The packet is neither TCP nor UDP.",
         "None: other protocols are not served.";
     WRONG_RECEIVER = 2112, "wrong_receiver", Packets,
-        "The message is for another agent that had this address.",
-        "None: it ends once the entry of the retired upstream leaves the settings.";
+        "The message is for another agent, which used this address before.",
+        "None: it stops once the entry of the retired upstream is removed from the settings.";
     PLACED = 2201, "placed", Packets,
         "A new flow was sent to an upstream.",
         "None.";
     REPLACED = 2202, "replaced", Packets,
-        "An opening went to another upstream, since one denied it or did not answer.",
-        "None if rare; otherwise look at the upstreams that are named.";
+        "An opening was sent to another upstream because one denied it or did not answer.",
+        "None if rare; otherwise check the named upstreams.";
     ASKED = 2203, "asked", Packets,
-        "The upstream of a flow is being looked for; this balancer does not know the flow.",
-        "None: usual after a balancer joined, left or started.";
+        "This balancer does not know the flow and is asking for its upstream.",
+        "None: expected after a balancer has joined, left or started.";
     REFUSED = 2204, "refused", Packets,
-        "Every upstream of the service denied the opening; the caller was reset.",
+        "Every upstream of the service denied the opening; the caller's connection was reset.",
         "Add upstreams, or find out why all are full.";
     LOST = 2205, "lost", Packets,
-        "Every upstream of the service denied the flow; the caller was reset.",
+        "Every upstream of the service denied the flow; the caller's connection was reset.",
         "None if an upstream crashed; otherwise follow the flow with `goosectl explain`.";
     NOTHING_KNOWN = 2206, "nothing_known", Packets,
-        "The packet was dropped: no route or upstream is known, or a denial is not proven.",
-        "None during a start or an outage; the sender repeats it.";
+        "The packet was dropped: no route or upstream is known, or a denial is not confirmed.",
+        "None during a start or an outage; the sender retransmits.";
     UPSTREAM_SILENT = 2207, "upstream_silent", Packets,
-        "The upstream beside this agent leaves openings unanswered.",
-        "Look at the upstream's process.";
+        "The upstream beside this agent does not answer openings.",
+        "Check the upstream's process.";
     UPSTREAM_ANSWERS = 2208, "upstream_answers", Packets,
         "The upstream beside this agent answers again.",
         "None.";
     FOREIGN_SERVICE = 2209, "foreign_service", Packets,
-        "A packet for another service's upstream came here and was given back.",
-        "None: usual for a moment after an address was used again.";
+        "A packet for another service's upstream arrived here and was returned.",
+        "None: expected briefly after an address has been reused.";
     LINES_SUPPRESSED = 2210, "lines_suppressed", Packets,
-        "Log lines of this code were left out to keep within the bound.",
+        "Log lines with this code were suppressed by the rate limit.",
         "None; the metrics count every event.";
     WAITED = 2211, "waited", Packets,
-        "A request had to wait beside its upstream, which had no free slot.",
-        "Add upstreams if this goes on; after an outage it is usual for some seconds.";
+        "A request had to wait at the agent because the upstream had no free slot.",
+        "Add upstreams if this persists; it is expected for some seconds after an outage.";
     SLOW_ANSWER = 2212, "slow_answer", Packets,
-        "The upstream took long to begin its answer.",
-        "Look at the upstream: it is slow, starting, or overloaded.";
+        "The upstream was slow to begin its answer.",
+        "Check the upstream: it is slow, starting, or overloaded.";
     NO_ROUTE = 2213, "no_route", Packets,
-        "No route leads from the address and port; the caller was reset.",
+        "No route exists for the address and port; the caller's connection was reset.",
         "None if the route was removed; otherwise add it.";
     UPSTREAM_SLOW = 2214, "upstream_slow", Packets,
-        "The upstream beside this agent takes at least twice as long as before.",
-        "Look at the upstream; flows that are open there stay there.";
+        "The upstream beside this agent takes at least twice as long to answer as before.",
+        "Check the upstream; its open flows stay there.";
     UPSTREAM_WELL = 2215, "upstream_well", Packets,
-        "The upstream beside this agent works as fast as before.",
+        "The upstream beside this agent answers as fast as before again.",
         "None.";
     OUT_OF_ROTATION = 2216, "out_of_rotation", Packets,
-        "For three seconds this balancer's link was full or it was behind; it asks the fabric to be left out for a while.",
-        "Compare its link and processor with those of its neighbours; give it more, or take it away.";
+        "For three seconds this balancer's link was saturated or it fell behind with its packets; it asks the fabric to take it out of rotation for a while.",
+        "Compare the load of its link and processor with that of other balancers; give it more capacity or remove it.";
     BACK_IN_ROTATION = 2217, "back_in_rotation", Packets,
-        "This balancer takes part again.",
+        "This balancer is back in rotation.",
         "None.";
     ALL_ZONES_CLOSED = 2218, "all_zones_closed", Packets,
-        "All upstreams of the service that are ready are in closed availability zones; the caller was reset.",
+        "All ready upstreams of the service are in closed availability zones; the caller's connection was reset.",
         "Open one of the zones again, or add upstreams in others.";
     COLD_LIMIT = 2219, "cold_limit", Packets,
-        "The upstream is cold and has taken as many openings as it bears; or all that are left are, and the caller was reset.",
-        "None for the seconds of a start; if callers are reset, let upstreams start in smaller groups.";
+        "The upstream is warming up and has reached its limit of openings. If this holds for all remaining upstreams, the caller's connection was reset.",
+        "None during the seconds of a start; if connections are reset, start upstreams in smaller groups.";
     REGION_NOT_ALLOWED = 2220, "region_not_allowed", Packets,
-        "No upstream is in a region that the route allows; the caller was reset.",
-        "Add upstreams there, or allow another region; a zone that the settings do not place is in none.";
+        "No upstream is in a region that the route allows; the caller's connection was reset.",
+        "Add upstreams in an allowed region, or allow another region; a zone without a region in the settings belongs to none.";
     TURNED_AWAY = 2221, "turned_away", Packets,
-        "An opening came to an upstream that leaves or whose availability zone is closed, and was given back.",
-        "None for a moment after the change; if it goes on, a balancer has an old view.";
+        "An opening reached an upstream that is leaving or whose availability zone is closed, and was returned.",
+        "None briefly after the change; if it persists, a balancer has an outdated view.";
     BAD_ARGUMENTS = 3001, "bad_arguments", Start,
         "The command line of the process is wrong.",
         "See `--help`.";
@@ -257,7 +257,7 @@
         "Check path and permissions.";
     SETTINGS_REFUSED = 3003, "settings_refused", Start,
         "The settings file has a fault.",
-        "Correct the fault that the line names.";
+        "Correct the fault that the message names.";
     PORT_TAKEN = 3004, "port_taken", Start,
         "An address of the process cannot be bound.",
         "Stop the other process or choose another address.";
@@ -266,10 +266,10 @@
         "Add the key to the settings file.";
     PLATFORM_UNREACHABLE = 3006, "platform_unreachable", Start,
         "The platform does not answer and no peer has the settings.",
-        "Nothing: the process stays not ready and tries again. Check `platform_address`.";
+        "Check `platform_address`; the process stays not ready and retries.";
     NOT_IN_SETTINGS = 3007, "not_in_settings", Start,
         "The published settings do not list this instance's account, service or upstream.",
-        "Publish it or correct the process's settings file.";
+        "Publish them or correct the process's settings file.";
     THREAD_FAILED = 3008, "thread_failed", Start,
         "A thread or runtime could not be started.",
         "Raise the limits of the instance.";
@@ -277,16 +277,16 @@
         "The settings file was read again and is in force.",
         "None.";
     SETTINGS_KEPT = 3010, "settings_kept", Start,
-        "The changed settings file was refused; the settings in force stay.",
+        "The changed settings file was refused; the previous settings stay in force.",
         "Correct the file.";
     STARTED = 3101, "started", Start,
-        "The process serves.",
+        "The process has started serving.",
         "None.";
     STOPPED = 3102, "stopped", Start,
-        "The process was told to stop and ends.",
+        "The process was asked to stop and exits.",
         "None.";
     NOT_READY = 4001, "not_ready", Control,
-        "The process is not ready: its settings are not known to be current enough.",
+        "The process is not ready: it cannot tell yet whether its settings are current enough.",
         "Wait; see `/status` for what is missing.";
     BAD_REQUEST = 4002, "bad_request", Control,
         "The request cannot be decoded.",
@@ -295,11 +295,11 @@
         "The path or the named object does not exist.",
         "Correct the name.";
     BODY_TOO_LARGE = 4004, "body_too_large", Control,
-        "The body is larger than the bound.",
-        "Send less at once.";
+        "The body exceeds the size limit.",
+        "Send a smaller body.";
     OVER_READ_BUDGET = 4005, "over_read_budget", Control,
-        "The platform refused a read that was over budget.",
-        "None: the reader backs off as told.";
+        "The platform refused a read that exceeded the read budget.",
+        "None: the reader backs off as the platform requests.";
     PEER_UNREACHABLE = 4006, "peer_unreachable", Control,
         "A peer's control address does not answer.",
         "None if rare; otherwise check the peer and the path.";
@@ -322,17 +322,17 @@
         "The configuration service answers again.",
         "None.";
     ITEM_REFUSED = 4104, "item_refused", Control,
-        "An item of the configuration service makes no sense. A bad configuration changes nothing; a bad entry names no upstream; a bad evacuation closes no zone.",
+        "An item of the configuration service is invalid. An invalid configuration changes nothing, an invalid entry names no upstream, and an invalid evacuation closes no zone.",
         "Correct the item.";
     VIEW_CHANGED = 4105, "view_changed", Control,
         "Another configuration or list of upstreams is in force.",
         "None.";
     PEER_VIEW = 4106, "peer_view", Control,
-        "A view came from another balancer.",
+        "A view was received from another balancer.",
         "None.";
     ZONE_CLOSED = 4107, "zone_closed", Control,
         "An availability zone takes no new flows from now on; open flows stay.",
-        "None: it was asked for.";
+        "None: the change was requested.";
     ZONE_OPENED = 4108, "zone_opened", Control,
         "An availability zone takes new flows again.",
         "None.";
@@ -359,10 +359,10 @@
         "Correct the name.";
     INSTANCES_LAG = 5008, "instances_lag", Command,
         "Not every instance runs the newest settings.",
-        "Wait, or look at the instances listed as lagging.";
+        "Wait, or check the instances listed as lagging.";
     TIMED_OUT = 5009, "timed_out", Command,
-        "What was waited for has not happened in time.",
-        "Wait longer, or look at the status.";
+        "The awaited state was not reached in time.",
+        "Wait longer, or check the status.";
     OUTPUT_FAILED = 5010, "output_failed", Command,
         "The output cannot be written.",
         "Check where the output goes.";
