--- a/crates/settings/tests/account.rs
+++ b/crates/settings/tests/account.rs
@@ -1,4 +1,4 @@
-//! Subtrees of accounts: text in, faults with code, line, column and path out.
+//! Parsing of accounts' subtrees: faults have the expected code, line, column and path.
 
 mod common;
 
@@ -186,7 +186,7 @@
 )]
 fn parse_document(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let mut expected = vec![expected];
-    // A field in a wrong unit is missing in the right one.
+    // A field with the wrong unit also counts as missing under its right name.
     if to == "zone_spill_ratio" {
         expected.push("E1005 line 4 column 5 services[0].zone_spill_percent: ");
     }
@@ -245,8 +245,8 @@
     check(&yaml, &["E1002 line 1 column 1: "]);
 }
 
-/// The largest subtree that fits the platform's value is read, so no bound of the reader is
-/// smaller than the documented one.
+/// A subtree close to the platform's size limit is accepted: no limit of the parser may be stricter
+/// than the documented size.
 #[test]
 fn parse_largest() {
     let mut yaml = String::from("account: cascadia\nversion: 1\nservices:\n");
--- a/crates/settings/tests/any_bytes.rs
+++ b/crates/settings/tests/any_bytes.rs
@@ -1,4 +1,4 @@
-//! Whatever arrives, the answer is settings or faults with positions, never a panic.
+//! Any input yields settings or faults with positions, and never a panic.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use settings::process::{agent, balancer};
 use settings::{ActiveSettings, Fault, account, root};
 
-/// Text between the changed parts that is likely to get past the first checks.
+/// Inserted into valid documents: text that is likely to pass the first checks of the parser.
 const FRAGMENTS: &[&str] = &[
     "",
     " ",
--- a/crates/settings/tests/book.rs
+++ b/crates/settings/tests/book.rs
@@ -1,4 +1,4 @@
-//! Documents in any order: the highest version wins, a faulty one changes nothing.
+//! Documents that arrive in any order: the highest version wins, and a faulty one changes nothing.
 
 mod common;
 
@@ -7,17 +7,20 @@
 use rstest::rstest;
 use settings::{ActiveSettings, Outcome};
 
-/// A document that arrives, and what is expected of it.
+/// A document that arrives with its expected outcome, or a check of the state.
+///
+/// The pairs of texts are the replacements that make the document out of the valid one.
 enum Step<'a> {
     Root(&'a [(&'a str, &'a str)], &'a str),
     Account(&'a [(&'a str, &'a str)], &'a str),
-    /// Versions of the root and of cascadia in force, and whether its first address is served.
+    /// Versions in force of the root and of the account `cascadia`, and whether the account's first
+    /// address is served.
     Expect(u64, u64, bool),
 }
 
 use Step::{Account, Expect, Root};
 
-/// `Accepted 7`, `Refused E1001` and so on.
+/// Formats an outcome, such as `Accepted 7` or `Refused E1001`.
 fn describe(outcome: &Outcome) -> String {
     let codes = |faults: &[settings::Fault]| {
         faults.iter().map(|fault| format!(" {}", fault.code)).collect::<String>()
@@ -84,8 +87,9 @@
     check(steps);
 }
 
-/// Updates reach instances unevenly: a subtree may arrive before the root that allows it. Were it
-/// refused for good, its account would run the older version until somebody published once more.
+/// Updates may reach an instance out of order, so a subtree may arrive before the root that allows
+/// it. If it were refused for good, the account would stay on the older version until the next
+/// publication.
 #[rstest]
 #[case::no_root_yet(&[Account(&[], "Deferred"), Expect(0, 0, false), Root(&[], "Accepted 3"), Expect(3, 7, true)])]
 #[case::new_prefix(&[Root(&[PREFIX_REMOVED], "Accepted 3"), Account(&[], "Deferred E1022"), Expect(3, 0, false), Root(&[ROOT_4], "Accepted 4"), Expect(4, 7, true)])]
@@ -97,9 +101,9 @@
     check(steps);
 }
 
-/// A root takes a range from an account. A caller's packet to it must not reach the former owner
-/// any more, at once and without a new subtree; the account's other addresses stay in service, and
-/// the range comes back if a later root gives it back.
+/// A root that removes a range from an account takes effect at once, without a new subtree:
+/// otherwise callers' packets would still reach the previous owner. The account's other addresses
+/// stay in service, and the range is served again if a later root returns it.
 #[rstest]
 #[case::removed_and_returned(&[Root(&[], "Accepted 3"), Account(&[], "Accepted 7"), Expect(3, 7, true), Root(&[ROOT_4, PREFIX_REMOVED], "Accepted 4"), Expect(4, 7, false), Account(&[], "Unchanged 7"), Expect(4, 7, false), Root(&[("version: 3", "version: 5")], "Accepted 5"), Expect(5, 7, true)])]
 #[case::account_removed(&[Root(&[], "Accepted 3"), Account(&[], "Accepted 7"), Root(&[ROOT_4, ("cascadia", "anahuac"), PREFIX_REMOVED, ("\"2001:db8:1::/48\"", "")], "Accepted 4"), Expect(4, 7, false)])]
--- a/crates/settings/tests/change.rs
+++ b/crates/settings/tests/change.rs
@@ -1,4 +1,4 @@
-//! Steps from one version of a subtree to the next.
+//! Checks of the change from one version of a subtree to the next.
 
 mod common;
 
@@ -29,7 +29,8 @@
         since: 8
 "#;
 
-/// Steps from version 7, changed by `old`, to version `version`, changed by `new`.
+/// Checks the change from version 7, edited by `old`, to version `version`, further edited by
+/// `new`.
 fn check(version: u64, old: &[(&str, &str)], new: &[(&str, &str)], expected: &[&str]) {
     let apply = |yaml: String, edits: &[(&str, &str)]| {
         edits.iter().fold(yaml, |yaml, (from, to)| edit(&yaml, from, to))
--- a/crates/settings/tests/common/mod.rs
+++ b/crates/settings/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Documents without faults, from which the cases are made by replacing text.
+//! Valid documents, from which the test cases are made by replacing text.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use settings::{Fault, Root, root};
@@ -75,18 +75,19 @@
 shutdown_grace_ms: 0
 "#;
 
-/// The root without faults, parsed.
+/// The parsed root document.
 pub(crate) fn root() -> Root {
     root::parse(ROOT).expect("the root of the tests has no fault")
 }
 
-/// `document` with the first `from` replaced; fails if there is none, so that no case is void.
+/// Returns `document` with the first `from` replaced by `to`. Panics if there is none, so that no
+/// case tests an unchanged document by mistake.
 pub(crate) fn edit(document: &str, from: &str, to: &str) -> String {
     assert!(document.contains(from), "the case replaces nothing: {from}");
     document.replacen(from, to, 1)
 }
 
-/// Fails unless the faults begin with the expected texts, one for one.
+/// Panics unless there are as many faults as expected texts and each begins with its text.
 pub(crate) fn check_faults(found: &[Fault], expected: &[&str]) {
     let found: Vec<String> = found.iter().map(ToString::to_string).collect();
     let is_match = found.len() == expected.len()
--- a/crates/settings/tests/process.rs
+++ b/crates/settings/tests/process.rs
@@ -1,4 +1,4 @@
-//! Settings files of processes.
+//! Parsing of the settings files of processes.
 
 mod common;
 
--- a/crates/settings/tests/root.rs
+++ b/crates/settings/tests/root.rs
@@ -1,4 +1,4 @@
-//! Root documents, and steps from one to the next.
+//! Parsing of root documents, and checks of the change from one to the next.
 
 mod common;
 
