--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -16,7 +16,7 @@
     /// Packets handed to the upstream.
     Delivered,
     /// Packets passed on to other agents.
-    PassedOn,
+    Forwarded,
     /// Packets that were held until a verdict.
     Held,
     /// Refusals sent to callers.
@@ -32,7 +32,7 @@
 const PLAIN: [(Count, &str, &str); 8] = [
     (Count::Received, "packets_received", "Datagrams that arrived"),
     (Count::Delivered, "packets_delivered", "Packets handed to the upstream"),
-    (Count::PassedOn, "packets_passed_on", "Packets passed on to other agents"),
+    (Count::Forwarded, "packets_passed_on", "Packets passed on to other agents"),
     (Count::Held, "packets_held", "Packets that waited for a verdict"),
     (Count::Refused, "packets_refused", "Refusals sent to callers"),
     (Count::MessagesReceived, "control_messages_received", "Control messages that arrived"),
--- a/crates/agent/src/plane/carry.rs
+++ b/crates/agent/src/plane/carry.rs
@@ -13,7 +13,7 @@
 use wire::refusal::{self, UdpRefusal};
 use wire::sealed::{Header, Payload, SEALED_BYTES, SenderId};
 
-use super::Plane;
+use super::DataPlane;
 use crate::counters::Count;
 use crate::hold::Held;
 
@@ -26,9 +26,9 @@
     pub(crate) gateway: SocketAddr,
 }
 
-impl Plane {
+impl DataPlane {
     /// Carries out a verdict on a packet that lies in `bytes`.
-    pub(super) fn carry_out(
+    pub(super) fn apply_verdict(
         &mut self,
         verdict: Verdict,
         content: Content,
@@ -38,7 +38,7 @@
         match verdict {
             Verdict::Deliver => self.deliver(content, bytes),
             Verdict::Forward { to, forwarding } => {
-                self.pass_on(to, forwarding, content, header, bytes)
+                self.forward(to, forwarding, content, header, bytes)
             }
             Verdict::Refuse(reason) => self.refuse(reason, content, bytes),
             Verdict::Drop(reason) => self.drop_packet(reason.into()),
@@ -81,7 +81,7 @@
         self.send_packet(Count::Delivered, &prefix, bytes, self.config.addresses.upstream);
     }
 
-    fn pass_on(
+    fn forward(
         &mut self,
         to: UpstreamId,
         forwarding: Forwarding,
@@ -100,7 +100,7 @@
             return self.drop_packet(codes::PACKET_TOO_LARGE);
         }
         let prefix = Prefix::new(gue::header(content, SEALED_BYTES), &private);
-        self.send_packet(Count::PassedOn, &prefix, bytes, address);
+        self.send_packet(Count::Forwarded, &prefix, bytes, address);
     }
 
     /// Answers the caller in the name of the service. The refusal is recorded in the core before
@@ -136,13 +136,13 @@
             account: identity.account,
             service: identity.service,
             flow,
-            version: self.own.version,
+            version: self.own_service.version,
             sender: SenderId(self.config.identity.upstream.0),
         }
     }
 
     fn agent_address(&self, upstream: UpstreamId) -> Option<SocketAddr> {
-        let key = self.view.find_upstream(self.own.service?, upstream)?;
+        let key = self.view.find_upstream(self.own_service.service?, upstream)?;
         Some(self.view.upstream(key).spec.agent_address)
     }
 }
--- a/crates/agent/src/plane/mod.rs
+++ b/crates/agent/src/plane/mod.rs
@@ -38,7 +38,7 @@
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(MAX_TICK_INTERVAL_MS / 2);
 
 /// What the data thread is given.
-pub(crate) struct PlaneConfig {
+pub(crate) struct DataPlaneConfig {
     pub(crate) socket: UdpSocket,
     pub(crate) addresses: Addresses,
     pub(crate) identity: Identity,
@@ -54,18 +54,18 @@
     pub(crate) handed_over: Arc<AtomicBool>,
     /// Kept up to date: whether the agent does all its work.
     pub(crate) ready: Arc<AtomicBool>,
-    pub(crate) end: Arc<AtomicBool>,
+    pub(crate) stop: Arc<AtomicBool>,
 }
 
 /// The data thread's state.
-pub(crate) struct Plane {
-    config: PlaneConfig,
+pub(crate) struct DataPlane {
+    config: DataPlaneConfig,
     agent: Agent,
     view: Arc<View>,
-    own: Own,
+    own_service: OwnService,
     generation: u64,
     requests: mpsc::Receiver<Request>,
-    leave: leave::Leaving,
+    leave: leave::LeaveState,
     held: HoldTable,
     actions: Vec<Action>,
     counts: Counts,
@@ -75,7 +75,7 @@
 }
 
 /// What the view says about this agent's service, looked up once for each view.
-struct Own {
+struct OwnService {
     service: Option<ServiceKey>,
     version: Version,
     datagram_nonce: fn(&[u8]) -> u32,
@@ -86,22 +86,22 @@
     udp::bind(address, false, RECEIVE_TIMEOUT)
 }
 
-impl Plane {
+impl DataPlane {
     pub(crate) fn new(
-        config: PlaneConfig,
+        config: DataPlaneConfig,
         agent: Agent,
         view: Arc<View>,
         generation: u64,
         requests: mpsc::Receiver<Request>,
     ) -> Self {
         Self {
-            own: Own::of(&view, &config.identity),
+            own_service: OwnService::look_up(&view, &config.identity),
             config,
             agent,
             view,
             generation,
             requests,
-            leave: leave::Leaving::default(),
+            leave: leave::LeaveState::default(),
             held: HoldTable::default(),
             actions: Vec::new(),
             counts: Counts::default(),
@@ -115,25 +115,27 @@
     pub(crate) fn run(mut self) {
         let mut receiver = SourceReceiver::default();
         let mut sender = Sender::default();
-        while !self.config.end.load(Ordering::Relaxed) {
+        while !self.config.stop.load(Ordering::Relaxed) {
             if let Err(error) = receiver.receive(&self.config.socket) {
                 log::error!("receive failed: {error}");
                 std::thread::sleep(RECEIVE_TIMEOUT);
             }
             let now = boottime::now();
-            self.take_settings(now);
-            self.take_requests(now);
-            let mut fresh = None;
+            self.apply_new_settings(now);
+            self.handle_requests(now);
+            let mut direct_slot = None;
             for (slot, datagram) in receiver.datagrams().enumerate() {
                 self.counts.add(Count::Received, 1);
-                if self.datagram(now, slot, datagram, &mut sender) == Some(Forwarding::Direct) {
-                    fresh = fresh.or(Some(slot));
+                if self.handle_datagram(now, slot, datagram, &mut sender)
+                    == Some(Forwarding::Direct)
+                {
+                    direct_slot = direct_slot.or(Some(slot));
                 }
                 self.run_actions();
             }
             // One balancer a batch is enough to know them all after a while.
-            if let Some(slot) = fresh {
-                self.leave.heard(now, receiver.source(slot));
+            if let Some(slot) = direct_slot {
+                self.leave.record_packet(now, receiver.source(slot));
             }
             let failed = sender.flush(&self.config.socket, &receiver);
             (0..failed).for_each(|_| self.counts.coded(codes::SEND_FAILED));
@@ -142,14 +144,14 @@
         }
     }
 
-    fn take_settings(&mut self, now: Millis) {
+    fn apply_new_settings(&mut self, now: Millis) {
         let generation = self.config.store.generation();
         if generation == self.generation {
             return;
         }
         self.generation = generation;
         self.view = self.config.store.view();
-        self.own = Own::of(&self.view, &self.config.identity);
+        self.own_service = OwnService::look_up(&self.view, &self.config.identity);
         self.agent.handle(now, Event::View(self.view.clone()), &mut self.actions);
         self.run_actions();
     }
@@ -163,15 +165,15 @@
         self.run_actions();
         self.config.counters.show(&self.agent.stats(now));
         self.config.ready.store(self.agent.is_ready(now), Ordering::Release);
-        self.tell_balancers(now);
-        let idle = self.leave.is_quiet(now) && self.held.is_empty();
+        self.notify_balancers(now);
+        let idle = self.leave.balancers_stopped_sending(now) && self.held.is_empty();
         if idle && self.agent.is_handed_over() {
             self.config.handed_over.store(true, Ordering::Release);
         }
     }
 
     /// Handles one datagram; returns how it was passed if it carried a packet.
-    fn datagram(
+    fn handle_datagram(
         &mut self,
         now: Millis,
         slot: usize,
@@ -193,7 +195,7 @@
                 None
             }
             Ok(Admitted::Settings(version)) => {
-                if version > self.own.version {
+                if version > self.own_service.version {
                     // The fetching thread lives as long as the process.
                     let _ = self.config.fetch.send(version);
                 }
@@ -203,7 +205,7 @@
                 let packet = Packet {
                     service: header.service,
                     flow: header.flow,
-                    kind: inner.kind(self.own.datagram_nonce),
+                    kind: inner.kind(self.own_service.datagram_nonce),
                     sequence: inner.sequence(),
                     view: header.version,
                     hops: header.hops,
@@ -211,7 +213,7 @@
                 };
                 match self.agent.handle_packet(now, &packet, &mut self.actions) {
                     Verdict::Deliver => self.queue_delivery(content, slot, sender),
-                    verdict => self.carry_out(verdict, content, &header, bytes),
+                    verdict => self.apply_verdict(verdict, content, &header, bytes),
                 }
                 Some(header.passed)
             }
@@ -233,24 +235,24 @@
         }
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.run_action(action);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, action: Action) {
+    fn run_action(&mut self, action: Action) {
         match action {
             Action::Send { to, message } => self.send_message(to, message),
             Action::Resolve { hold, verdict } => {
                 if let Some(Held { content, header, bytes }) = self.held.take(hold) {
-                    self.carry_out(verdict, content, &header, &bytes);
+                    self.apply_verdict(verdict, content, &header, &bytes);
                 }
             }
             Action::FetchSettings { at_least } => {
                 // The fetching thread lives as long as the process.
                 let _ = self.config.fetch.send(at_least);
             }
-            Action::Report(member) => self.report(member),
+            Action::Report(member) => self.report_peer(member),
             Action::Record(note) => {
                 notes::record(&self.config.timeline, &self.config.account, note);
             }
@@ -262,8 +264,8 @@
     }
 }
 
-impl Own {
-    fn of(view: &View, identity: &Identity) -> Self {
+impl OwnService {
+    fn look_up(view: &View, identity: &Identity) -> Self {
         let account = view.find_account(identity.account);
         let service = view.find_service(identity.service);
         let spec = service.map(|key| &view.service(key).spec);
--- a/crates/agent/src/plane/requests.rs
+++ b/crates/agent/src/plane/requests.rs
@@ -6,7 +6,7 @@
 use decision::keys::{FlowId, UpstreamId, Version};
 use decision::time::Millis;
 
-use super::Plane;
+use super::DataPlane;
 
 /// Requests taken in one batch, so that a burst of them does not hold up packets.
 const REQUESTS_PER_BATCH: usize = 16;
@@ -50,9 +50,9 @@
     pub(crate) holder: Option<UpstreamId>,
 }
 
-impl Plane {
+impl DataPlane {
     /// Takes in what other threads ask for.
-    pub(super) fn take_requests(&mut self, now: Millis) {
+    pub(super) fn handle_requests(&mut self, now: Millis) {
         for _ in 0..REQUESTS_PER_BATCH {
             let Ok(request) = self.requests.try_recv() else { return };
             match request {
--- a/crates/agent/src/plane/tests.rs
+++ b/crates/agent/src/plane/tests.rs
@@ -25,7 +25,7 @@
 use wire::notice::{self, Notice};
 use wire::sealed::{AccountKeyring, Header, KeyId, Payload, SEALED_BYTES, SenderId};
 
-use super::{Addresses, FlowList, Plane, PlaneConfig, Request, Wanted};
+use super::{Addresses, DataPlane, DataPlaneConfig, FlowList, Request, Wanted};
 use crate::counters::Counters;
 use crate::gate::Identity;
 
@@ -42,7 +42,7 @@
     requests: mpsc::Sender<Request>,
     timeline: Arc<Timeline>,
     handed_over: Arc<AtomicBool>,
-    end: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -109,8 +109,8 @@
     let word = if when_in_doubt == WhenInDoubt::Admit { "admit" } else { "refuse" };
     let store = store(&timeline, &subtree(word, agent, with_peer.then_some(peer_address)));
     let (requests, inbox) = mpsc::channel();
-    let (end, handed_over) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-    let config = PlaneConfig {
+    let (stop, handed_over) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
+    let config = DataPlaneConfig {
         socket: data,
         addresses: Addresses { upstream: upstream_address, gateway: gateway_address },
         identity: Identity {
@@ -126,7 +126,7 @@
         fetch: mpsc::channel().0,
         handed_over: handed_over.clone(),
         ready: Arc::default(),
-        end: end.clone(),
+        stop: stop.clone(),
     };
     let agent_config = AgentConfig {
         upstream: upstream("own"),
@@ -136,15 +136,15 @@
         seed: 1,
     };
     let core = Agent::new(agent_config, store.view(), boottime::now());
-    let plane = Plane::new(config, core, store.view(), store.generation(), inbox);
+    let plane = DataPlane::new(config, core, store.view(), store.generation(), inbox);
     let thread = Some(std::thread::spawn(move || plane.run()));
     let upstream = upstream_socket;
-    Bench { agent, peer, upstream, gateway, requests, timeline, handed_over, end, thread }
+    Bench { agent, peer, upstream, gateway, requests, timeline, handed_over, stop, thread }
 }
 
 impl Drop for Bench {
     fn drop(&mut self) {
-        self.end.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         let ended = self.thread.take().map(JoinHandle::join);
         assert!(std::thread::panicking() || ended.is_some_and(|result| result.is_ok()));
     }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -26,7 +26,7 @@
 
 use crate::counters::Counters;
 use crate::gate::Identity;
-use crate::plane::{self, Addresses, Plane, PlaneConfig, Request};
+use crate::plane::{self, Addresses, DataPlane, DataPlaneConfig, Request};
 use crate::status::StatusReader;
 
 /// Events kept for the time line: about a minute of openings at today's rates.
@@ -91,8 +91,8 @@
         if !self.wait_for_settings() {
             return Ok(());
         }
-        let (end, handed_over) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-        let config = PlaneConfig {
+        let (stop, handed_over) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
+        let config = DataPlaneConfig {
             socket,
             addresses: Addresses {
                 upstream: self.settings.upstream_address,
@@ -107,13 +107,13 @@
             fetch,
             handed_over: handed_over.clone(),
             ready: self.serving.clone(),
-            end: end.clone(),
+            stop: stop.clone(),
         };
-        let data = self.start_plane(config, inbox, status.read())?;
+        let data = self.start_data_plane(config, inbox, status.read())?;
         self.start_status(status, requests.clone())?;
         self.wait_for_shutdown();
         self.hand_over(requests, &handed_over);
-        end.store(true, Ordering::Relaxed);
+        stop.store(true, Ordering::Relaxed);
         // A data thread that panicked has already said so; the shutdown goes on.
         let _ = data.join();
         log::info!("stopped");
@@ -191,9 +191,9 @@
         service.is_some_and(|key| view.find_upstream(key, self.upstream()).is_some())
     }
 
-    fn start_plane(
+    fn start_data_plane(
         &self,
-        config: PlaneConfig,
+        config: DataPlaneConfig,
         inbox: mpsc::Receiver<Request>,
         report: Option<UpstreamReport>,
     ) -> Result<JoinHandle<()>, StartFault> {
@@ -210,7 +210,7 @@
         let agent = Agent::new(agent_config, view.clone(), boottime::now());
         #[cfg(feature = "mutants")]
         let agent = crate::mutant::apply(agent);
-        let plane = Plane::new(config, agent, view, generation, inbox);
+        let plane = DataPlane::new(config, agent, view, generation, inbox);
         let handle = spawn("data", move || plane.run())?;
         self.timeline.record(self.settings.account.clone(), "started", Fields::default());
         log::info!("started");
