--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -8,7 +8,7 @@
 use settings::{Code, codes};
 use telemetry::metrics::Metrics;
 
-/// Counters without labels, in the order of [`PLAIN`].
+/// Counters without labels, in the order of [`UNLABELED`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Count {
     /// Datagrams that arrived.
@@ -29,7 +29,7 @@
     MessageBytesSent,
 }
 
-const PLAIN: [(Count, &str, &str); 8] = [
+const UNLABELED: [(Count, &str, &str); 8] = [
     (Count::Received, "packets_received", "Datagrams that arrived"),
     (Count::Delivered, "packets_delivered", "Packets handed to the upstream"),
     (Count::Forwarded, "packets_passed_on", "Packets passed on to other agents"),
@@ -40,7 +40,7 @@
     (Count::MessageBytesSent, "control_sent_bytes", "Bytes of control messages sent"),
 ];
 
-/// Sizes of the decision core's tables, in the order of [`sizes`].
+/// Sizes of the decision core's tables, in the order of [`table_sizes`].
 const GAUGES: [(&str, &str); 9] = [
     ("flows_open", "Flows held for the upstream"),
     ("flows_closing", "Flows that are closing"),
@@ -80,15 +80,15 @@
 /// Counts of the data thread since it last added them up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    plain: [u64; PLAIN.len()],
-    coded: [u64; CODES.len()],
+    unlabeled: [u64; UNLABELED.len()],
+    by_code: [u64; CODES.len()],
 }
 
 /// Counters of the process. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Counters {
-    plain: [Counter; PLAIN.len()],
-    coded: [Counter; CODES.len()],
+    unlabeled: [Counter; UNLABELED.len()],
+    by_code: [Counter; CODES.len()],
     gauges: [Gauge; GAUGES.len()],
 }
 
@@ -100,13 +100,13 @@
 impl Counts {
     /// Adds to a plain counter.
     pub fn add(&mut self, count: Count, amount: u64) {
-        self.plain[count as usize] += amount;
+        self.unlabeled[count as usize] += amount;
     }
 
     /// Counts a packet dropped or refused under a code.
-    pub fn coded(&mut self, code: Code) {
+    pub fn count_code(&mut self, code: Code) {
         if let Ok(index) = CODES.binary_search(&code) {
-            self.coded[index] += 1;
+            self.by_code[index] += 1;
         }
     }
 }
@@ -121,22 +121,22 @@
     /// ```
     pub fn new(metrics: &Metrics) -> Self {
         let family: Family<ReasonLabel, Counter> = Family::default();
-        let coded =
+        let by_code =
             CODES.map(|code| family.get_or_create(&ReasonLabel { reason: code.name() }).clone());
         metrics.with_registry(|registry| {
             registry.register("packets_dropped", "Packets dropped or refused, by reason", family);
         });
         Self {
-            plain: PLAIN.map(|(_, name, help)| metrics.counter(name, help)),
-            coded,
+            unlabeled: UNLABELED.map(|(_, name, help)| metrics.counter(name, help)),
+            by_code,
             gauges: GAUGES.map(|(name, help)| metrics.gauge(name, help)),
         }
     }
 
     /// Adds what the data thread has counted and sets its counts to zero.
     pub fn add(&self, counts: &mut Counts) {
-        let counters = self.plain.iter().chain(&self.coded);
-        for (counter, count) in counters.zip(counts.plain.iter().chain(&counts.coded)) {
+        let counters = self.unlabeled.iter().chain(&self.by_code);
+        for (counter, count) in counters.zip(counts.unlabeled.iter().chain(&counts.by_code)) {
             if *count > 0 {
                 counter.inc_by(*count);
             }
@@ -145,23 +145,24 @@
     }
 
     /// Shows the sizes of the core's tables.
-    pub fn show(&self, stats: &Stats) {
-        for (gauge, size) in self.gauges.iter().zip(sizes(stats)) {
+    pub fn update_gauges(&self, stats: &Stats) {
+        for (gauge, size) in self.gauges.iter().zip(table_sizes(stats)) {
             gauge.set(size as i64);
         }
     }
 
     /// Names and values for `/status`.
     pub fn list(&self) -> Vec<(&'static str, u64)> {
-        let plain = PLAIN.iter().zip(&self.plain).map(|((_, name, _), c)| (*name, c.get()));
-        let coded = CODES.iter().zip(&self.coded).map(|(code, c)| (code.name(), c.get()));
+        let unlabeled =
+            UNLABELED.iter().zip(&self.unlabeled).map(|((_, name, _), c)| (*name, c.get()));
+        let by_code = CODES.iter().zip(&self.by_code).map(|(code, c)| (code.name(), c.get()));
         let sizes = GAUGES.iter().zip(&self.gauges);
         let sizes = sizes.map(|((name, _), gauge)| (*name, gauge.get().max(0) as u64));
-        plain.chain(coded).chain(sizes).collect()
+        unlabeled.chain(by_code).chain(sizes).collect()
     }
 }
 
-fn sizes(stats: &Stats) -> [usize; GAUGES.len()] {
+fn table_sizes(stats: &Stats) -> [usize; GAUGES.len()] {
     [
         stats.open_flows,
         stats.closing_flows,
--- a/crates/agent/src/explain.rs
+++ b/crates/agent/src/explain.rs
@@ -6,23 +6,23 @@
 use decision::keys::{UpstreamId, Version};
 use serde::Serialize;
 
-use crate::plane::state_word;
+use crate::plane::state_name;
 
 /// The answer; ids are hexadecimal.
 #[derive(Debug, Serialize)]
-pub(crate) struct Explained {
+pub(crate) struct ExplainResponse {
     instance: Arc<str>,
     /// Settings version of the account, zero before any lists the service.
     version: u64,
     bucket: u16,
     /// Agents of the bucket from first to last rank.
-    ranking: Vec<Rank>,
+    ranking: Vec<RankedAgent>,
     home: Option<String>,
-    place: Place,
+    place: FlowPlacement,
 }
 
 #[derive(Debug, Serialize)]
-struct Rank {
+struct RankedAgent {
     upstream: String,
     /// `up`, `silent` or `leaving`.
     standing: &'static str,
@@ -30,7 +30,7 @@
 
 /// Where the flow is.
 #[derive(Debug, Serialize)]
-struct Place {
+struct FlowPlacement {
     /// `open`, `finishing`, `reset`, `elsewhere` or `unknown`.
     state: &'static str,
     holder: Option<String>,
@@ -38,9 +38,9 @@
     evidence: Option<&'static str>,
 }
 
-impl Explained {
+impl ExplainResponse {
     pub(crate) fn new(instance: Arc<str>, version: Version, explanation: &Explanation) -> Self {
-        let rank = |(upstream, standing): &(UpstreamId, AgentStatus)| Rank {
+        let rank = |(upstream, standing): &(UpstreamId, AgentStatus)| RankedAgent {
             upstream: hex(*upstream),
             standing: match standing {
                 AgentStatus::Up => "up",
@@ -54,15 +54,15 @@
             bucket: explanation.bucket.0,
             ranking: explanation.ranking.iter().map(rank).collect(),
             home: explanation.home.map(hex),
-            place: Place::from(explanation.location),
+            place: FlowPlacement::from(explanation.location),
         }
     }
 }
 
-impl From<FlowLocation> for Place {
+impl From<FlowLocation> for FlowPlacement {
     fn from(location: FlowLocation) -> Self {
         let (state, redirect) = match location {
-            FlowLocation::Local(state) => (state_word(state), None),
+            FlowLocation::Local(state) => (state_name(state), None),
             FlowLocation::Remote(redirect) => ("elsewhere", Some(redirect)),
             FlowLocation::Unknown => ("unknown", None),
         };
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -10,29 +10,29 @@
 use shell::settings_sync::{Keyrings, serve};
 use shell::status::{self, Shown};
 
-use crate::explain::Explained;
-use crate::plane::{FlowEntry, FlowList, Request, Wanted};
+use crate::explain::ExplainResponse;
+use crate::plane::{FlowEntry, FlowList, FlowQuery, Request};
 
 /// Flows listed unless the request asks for another number.
 const FLOWS_DEFAULT: usize = 100;
 /// Most flows in one answer: collecting them stands in the way of packets for about 100 us.
 const FLOWS_MAX: usize = 10_000;
 /// The data thread looks for requests every 25 ms at least; beyond this it is in trouble.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The answer of `/flows`, `/flows?limit=N` and `/flows?flow=ID`.
 #[derive(Debug, Serialize)]
-struct Flows {
+struct FlowsResponse {
     instance: Arc<str>,
     /// Open flows in all.
     open: usize,
     /// Those wanted.
-    flows: Vec<Flow>,
+    flows: Vec<FlowItem>,
 }
 
 /// One flow; ids are hexadecimal.
 #[derive(Debug, Serialize)]
-struct Flow {
+struct FlowItem {
     flow: String,
     state: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -49,11 +49,11 @@
     let instance = shown.instance.clone();
     let (explain_requests, explain_instance) = (requests.clone(), instance.clone());
     let flows = move |request: &HttpRequest| {
-        let Some(wanted) = wanted(request) else {
+        let Some(query) = flow_query(request) else {
             return Reply::error(400, "flow is not a hexadecimal id");
         };
-        match ask(&requests, |reply| Request::Flows(wanted, reply)) {
-            Some(list) => Reply::json(&shown_flows(instance.clone(), list)),
+        match query_data_thread(&requests, |reply| Request::Flows(query, reply)) {
+            Some(list) => Reply::json(&flows_response(instance.clone(), list)),
             None => Reply::error(503, "not serving yet"),
         }
     };
@@ -66,35 +66,37 @@
     let Some(flow) = flow else {
         return Reply::error(400, "flow is not a hexadecimal id");
     };
-    match ask(requests, |reply| Request::Explain(FlowId(flow), reply)) {
-        Some((version, found)) => Reply::json(&Explained::new(instance.clone(), version, &found)),
+    match query_data_thread(requests, |reply| Request::Explain(FlowId(flow), reply)) {
+        Some((version, found)) => {
+            Reply::json(&ExplainResponse::new(instance.clone(), version, &found))
+        }
         None => Reply::error(503, "not serving yet"),
     }
 }
 
-fn wanted(request: &HttpRequest) -> Option<Wanted> {
+fn flow_query(request: &HttpRequest) -> Option<FlowQuery> {
     if let Some(flow) = request.parameter("flow") {
-        return u64::from_str_radix(flow, 16).ok().map(|flow| Wanted::One(FlowId(flow)));
+        return u64::from_str_radix(flow, 16).ok().map(|flow| FlowQuery::ById(FlowId(flow)));
     }
     let limit = request.parameter("limit").and_then(|limit| limit.parse().ok());
-    Some(Wanted::Some(limit.unwrap_or(FLOWS_DEFAULT).min(FLOWS_MAX)))
+    Some(FlowQuery::Limit(limit.unwrap_or(FLOWS_DEFAULT).min(FLOWS_MAX)))
 }
 
 /// Asks the data thread; `None` if it does not answer in time.
-fn ask<T>(
+fn query_data_thread<T>(
     requests: &mpsc::Sender<Request>,
     request: impl FnOnce(mpsc::SyncSender<T>) -> Request,
 ) -> Option<T> {
     let (reply, answer) = mpsc::sync_channel(1);
     requests.send(request(reply)).ok()?;
-    answer.recv_timeout(ANSWER_TIMEOUT).ok()
+    answer.recv_timeout(REPLY_TIMEOUT).ok()
 }
 
-fn shown_flows(instance: Arc<str>, list: FlowList) -> Flows {
-    let show = |entry: FlowEntry| Flow {
+fn flows_response(instance: Arc<str>, list: FlowList) -> FlowsResponse {
+    let show = |entry: FlowEntry| FlowItem {
         flow: format!("{:016x}", entry.flow.0),
         state: entry.state,
         holder: entry.holder.map(|holder| format!("{:016x}", holder.0)),
     };
-    Flows { instance, open: list.open, flows: list.entries.into_iter().map(show).collect() }
+    FlowsResponse { instance, open: list.open, flows: list.entries.into_iter().map(show).collect() }
 }
--- a/crates/agent/src/plane/carry.rs
+++ b/crates/agent/src/plane/carry.rs
@@ -106,7 +106,7 @@
     /// Answers the caller in the name of the service. The refusal is recorded in the core before
     /// it leaves, so a late copy of the opening cannot run after the caller was told it did not.
     fn refuse(&mut self, reason: Reason, content: Content, bytes: &[u8]) {
-        self.counts.coded(reason.into());
+        self.counts.count_code(reason.into());
         let Ok(packet) = inner::parse(bytes) else { return };
         let udp = match reason {
             Reason::UnknownFlow => UdpRefusal::PortUnreachable,
--- a/crates/agent/src/plane/mod.rs
+++ b/crates/agent/src/plane/mod.rs
@@ -32,7 +32,7 @@
 use crate::hold::{Held, HoldTable};
 
 pub(crate) use carry::Addresses;
-pub(crate) use requests::{FlowEntry, FlowList, Request, Wanted, state_word};
+pub(crate) use requests::{FlowEntry, FlowList, FlowQuery, Request, state_name};
 
 /// Longest wait for a datagram. Half a tick, so that ticks are never late by more than that.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(MAX_TICK_INTERVAL_MS / 2);
@@ -138,7 +138,7 @@
                 self.leave.record_packet(now, receiver.source(slot));
             }
             let failed = sender.flush(&self.config.socket, &receiver);
-            (0..failed).for_each(|_| self.counts.coded(codes::SEND_FAILED));
+            (0..failed).for_each(|_| self.counts.count_code(codes::SEND_FAILED));
             self.tick(now);
             self.config.counters.add(&mut self.counts);
         }
@@ -163,7 +163,7 @@
         self.last_tick = now;
         self.agent.handle(now, Event::Tick, &mut self.actions);
         self.run_actions();
-        self.config.counters.show(&self.agent.stats(now));
+        self.config.counters.update_gauges(&self.agent.stats(now));
         self.config.ready.store(self.agent.is_ready(now), Ordering::Release);
         self.notify_balancers(now);
         let idle = self.leave.balancers_stopped_sending(now) && self.held.is_empty();
@@ -183,7 +183,7 @@
         let config = &self.config;
         match gate::check(&config.identity, &config.keyring, &self.view, datagram) {
             Err(code) => {
-                self.counts.coded(code);
+                self.counts.count_code(code);
                 None
             }
             Ok(Admitted::Message { header, envelope }) => {
@@ -260,7 +260,7 @@
     }
 
     fn drop_packet(&mut self, code: Code) {
-        self.counts.coded(code);
+        self.counts.count_code(code);
     }
 }
 
--- a/crates/agent/src/plane/requests.rs
+++ b/crates/agent/src/plane/requests.rs
@@ -16,18 +16,18 @@
     /// An event for the decision core.
     Event(Event),
     /// A list of flows; the answer is dropped if nobody waits for it any more.
-    Flows(Wanted, mpsc::SyncSender<FlowList>),
+    Flows(FlowQuery, mpsc::SyncSender<FlowList>),
     /// Why packets of a flow go where they go; the answer is dropped likewise.
     Explain(FlowId, mpsc::SyncSender<(Version, Explanation)>),
 }
 
 /// Which flows are wanted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Wanted {
+pub(crate) enum FlowQuery {
     /// So many, in any order.
-    Some(usize),
+    Limit(usize),
     /// This one.
-    One(FlowId),
+    ById(FlowId),
 }
 
 /// Flows as the decision core knows them.
@@ -63,9 +63,9 @@
                     self.agent.handle(now, event, &mut self.actions);
                     self.run_actions();
                 }
-                Request::Flows(wanted, reply) => {
+                Request::Flows(query, reply) => {
                     // The asker may have timed out; there is nobody to tell then.
-                    let _ = reply.try_send(self.list(now, wanted));
+                    let _ = reply.try_send(self.list_flows(now, query));
                 }
                 Request::Explain(flow, reply) => {
                     let explanation = self.agent.explain(now, flow);
@@ -75,20 +75,20 @@
         }
     }
 
-    fn list(&self, now: Millis, wanted: Wanted) -> FlowList {
-        let entries = match wanted {
-            Wanted::One(flow) => vec![self.find(now, flow)],
-            Wanted::Some(count) => {
-                let held = self.agent.flows().map(|(flow, state)| held(flow, state));
-                held.take(count).collect()
+    fn list_flows(&self, now: Millis, query: FlowQuery) -> FlowList {
+        let entries = match query {
+            FlowQuery::ById(flow) => vec![self.find_flow(now, flow)],
+            FlowQuery::Limit(count) => {
+                let local = self.agent.flows().map(|(flow, state)| local_entry(flow, state));
+                local.take(count).collect()
             }
         };
         FlowList { open: self.agent.open_flows(), entries }
     }
 
-    fn find(&self, now: Millis, flow: FlowId) -> FlowEntry {
+    fn find_flow(&self, now: Millis, flow: FlowId) -> FlowEntry {
         match self.agent.explain(now, flow).location {
-            FlowLocation::Local(state) => held(flow, state),
+            FlowLocation::Local(state) => local_entry(flow, state),
             FlowLocation::Remote(redirect) => {
                 FlowEntry { flow, state: "elsewhere", holder: Some(redirect.holder) }
             }
@@ -97,12 +97,12 @@
     }
 }
 
-fn held(flow: FlowId, state: FlowState) -> FlowEntry {
-    FlowEntry { flow, state: state_word(state), holder: None }
+fn local_entry(flow: FlowId, state: FlowState) -> FlowEntry {
+    FlowEntry { flow, state: state_name(state), holder: None }
 }
 
 /// A flow's state for people and programs.
-pub(crate) fn state_word(state: FlowState) -> &'static str {
+pub(crate) fn state_name(state: FlowState) -> &'static str {
     match state {
         FlowState::Open => "open",
         FlowState::Finishing => "finishing",
--- a/crates/agent/src/plane/tests.rs
+++ b/crates/agent/src/plane/tests.rs
@@ -25,7 +25,7 @@
 use wire::notice::{self, Notice};
 use wire::sealed::{AccountKeyring, Header, KeyId, Payload, SEALED_BYTES, SenderId};
 
-use super::{Addresses, DataPlane, DataPlaneConfig, FlowList, Request, Wanted};
+use super::{Addresses, DataPlane, DataPlaneConfig, FlowList, FlowQuery, Request};
 use crate::counters::Counters;
 use crate::gate::Identity;
 
@@ -218,9 +218,9 @@
         }
     }
 
-    fn flows(&self, wanted: Wanted) -> FlowList {
+    fn flows(&self, query: FlowQuery) -> FlowList {
         let (reply, answer) = mpsc::sync_channel(1);
-        self.requests.send(Request::Flows(wanted, reply)).unwrap();
+        self.requests.send(Request::Flows(query, reply)).unwrap();
         answer.recv_timeout(TIMEOUT).unwrap()
     }
 }
@@ -244,9 +244,9 @@
     let bench = bench(WhenInDoubt::Admit, false);
     bench.send_packet(FlowId(5), &tcp("S"));
     assert_eq!(plain(&bench.upstream), tcp("S"));
-    let list = bench.flows(Wanted::Some(10));
+    let list = bench.flows(FlowQuery::Limit(10));
     assert_eq!((list.open, list.entries[0].state), (1, "open"));
-    assert_eq!(bench.flows(Wanted::One(FlowId(6))).entries[0].state, "unknown");
+    assert_eq!(bench.flows(FlowQuery::ById(FlowId(6))).entries[0].state, "unknown");
     let (reply, answer) = mpsc::sync_channel(1);
     bench.requests.send(Request::Explain(FlowId(5), reply)).unwrap();
     let (version, explanation) = answer.recv_timeout(TIMEOUT).unwrap();
