--- a/crates/agent/src/hold.rs
+++ b/crates/agent/src/hold.rs
@@ -32,7 +32,7 @@
     /// use agent::hold::HoldTable;
     /// assert!(HoldTable::default().take(decision::agent::HoldKey(1)).is_none());
     /// ```
-    pub fn put(&mut self, key: HoldKey, held: Held) -> bool {
+    pub fn insert(&mut self, key: HoldKey, held: Held) -> bool {
         if self.entries.len() >= HELD_MAX {
             return false;
         }
--- a/crates/agent/src/plane/carry.rs
+++ b/crates/agent/src/plane/carry.rs
@@ -45,7 +45,7 @@
             Verdict::Hold(key) => {
                 let held = Held { content, header: *header, bytes: bytes.to_vec() };
                 self.counts.add(Count::Held, 1);
-                if !self.held.put(key, held) {
+                if !self.held.insert(key, held) {
                     self.drop_packet(Reason::Overload.into());
                 }
             }
--- a/crates/agent/src/plane/mod.rs
+++ b/crates/agent/src/plane/mod.rs
@@ -253,8 +253,8 @@
                 let _ = self.config.fetch.send(at_least);
             }
             Action::Report(member) => self.report_peer(member),
-            Action::Record(note) => {
-                notes::record(&self.config.timeline, &self.config.account, note);
+            Action::Record(entry) => {
+                notes::record(&self.config.timeline, &self.config.account, entry);
             }
         }
     }
--- a/crates/agent/src/plane/notes.rs
+++ b/crates/agent/src/plane/notes.rs
@@ -9,19 +9,19 @@
 use telemetry::timeline::{Fields, Timeline, Value};
 
 /// Puts a note into the time line.
-pub(super) fn record(timeline: &Timeline, account: &Arc<str>, note: TimelineEntry) {
-    let (kind, fields) = match note {
-        TimelineEntry::Admitted(opening) => ("admitted", opened(opening)),
+pub(super) fn record(timeline: &Timeline, account: &Arc<str>, entry: TimelineEntry) {
+    let (kind, fields) = match entry {
+        TimelineEntry::Admitted(opening) => ("admitted", opening_fields(opening)),
         TimelineEntry::Assigned { opening, to } => {
-            ("assigned", opened(opening).with("to", Value::Id(to.0)))
+            ("assigned", opening_fields(opening).with("to", Value::Id(to.0)))
         }
         TimelineEntry::Refused { opening, reason } => {
             let reason = Value::Static(Code::from(reason).name());
-            ("refused", opened(opening).with("reason", reason))
+            ("refused", opening_fields(opening).with("reason", reason))
         }
-        TimelineEntry::Ended(flow) => ("ended", of_flow(flow)),
-        TimelineEntry::Relearned(flow) => ("relearned", of_flow(flow)),
-        TimelineEntry::Adopted(flow) => ("adopted", of_flow(flow)),
+        TimelineEntry::Ended(flow) => ("ended", flow_fields(flow)),
+        TimelineEntry::Relearned(flow) => ("relearned", flow_fields(flow)),
+        TimelineEntry::Adopted(flow) => ("adopted", flow_fields(flow)),
         TimelineEntry::PeerSuspected { upstream, suspected } => {
             let fields = Fields::default().with("peer", Value::Id(upstream.0));
             (if suspected { "peer_suspected" } else { "peer_back" }, fields)
@@ -33,10 +33,10 @@
     timeline.record(account.clone(), kind, fields);
 }
 
-fn of_flow(flow: FlowId) -> Fields {
+fn flow_fields(flow: FlowId) -> Fields {
     Fields::default().with("flow", Value::Id(flow.0))
 }
 
-fn opened(opening: Opening) -> Fields {
-    of_flow(opening.flow).with("nonce", Value::Number(opening.nonce.into()))
+fn opening_fields(opening: Opening) -> Fields {
+    flow_fields(opening.flow).with("nonce", Value::Number(opening.nonce.into()))
 }
--- a/crates/agent/src/plane/tests.rs
+++ b/crates/agent/src/plane/tests.rs
@@ -34,7 +34,7 @@
 const KEY: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
 
 /// An agent's data thread and the sockets around it.
-struct Bench {
+struct Harness {
     agent: SocketAddr,
     peer: UdpSocket,
     upstream: UdpSocket,
@@ -61,7 +61,7 @@
     UpstreamId::of("cascadia", "shelf", name)
 }
 
-fn ring() -> AccountKeyring {
+fn keyring() -> AccountKeyring {
     AccountKeyring::new(&KEY).unwrap()
 }
 
@@ -100,14 +100,14 @@
     store
 }
 
-fn bench(when_in_doubt: WhenInDoubt, with_peer: bool) -> Bench {
+fn harness(when_in_doubt: WhenInDoubt, with_peer: bool) -> Harness {
     let data = super::bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let agent = data.local_addr().unwrap();
     let (peer, peer_address) = socket();
     let ((upstream_socket, upstream_address), (gateway, gateway_address)) = (socket(), socket());
     let timeline = Arc::new(Timeline::new("own".into(), 64));
-    let word = if when_in_doubt == WhenInDoubt::Admit { "admit" } else { "refuse" };
-    let store = store(&timeline, &subtree(word, agent, with_peer.then_some(peer_address)));
+    let setting = if when_in_doubt == WhenInDoubt::Admit { "admit" } else { "refuse" };
+    let store = store(&timeline, &subtree(setting, agent, with_peer.then_some(peer_address)));
     let (requests, inbox) = mpsc::channel();
     let (stop, handed_over) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
     let config = DataPlaneConfig {
@@ -119,7 +119,7 @@
             upstream: upstream("own"),
         },
         account: "cascadia".into(),
-        keyring: ring(),
+        keyring: keyring(),
         store: store.clone(),
         timeline: timeline.clone(),
         counters: Counters::new(&Metrics::default()),
@@ -139,10 +139,10 @@
     let plane = DataPlane::new(config, core, store.view(), store.generation(), inbox);
     let thread = Some(std::thread::spawn(move || plane.run()));
     let upstream = upstream_socket;
-    Bench { agent, peer, upstream, gateway, requests, timeline, handed_over, stop, thread }
+    Harness { agent, peer, upstream, gateway, requests, timeline, handed_over, stop, thread }
 }
 
-impl Drop for Bench {
+impl Drop for Harness {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         let ended = self.thread.take().map(JoinHandle::join);
@@ -159,7 +159,7 @@
     packet
 }
 
-impl Bench {
+impl Harness {
     fn send(&self, sender: UpstreamId, flow: FlowId, content: Content, body: &[u8]) {
         let header = Header {
             hops: 0,
@@ -175,7 +175,7 @@
             _ => Payload::Packet { bytes: body, header_bytes: body.len() },
         };
         let mut private = [0; SEALED_BYTES];
-        ring().seal(&header, payload, &mut private).unwrap();
+        keyring().seal(&header, payload, &mut private).unwrap();
         let prefix = Prefix::new(gue::header(content, SEALED_BYTES), &private);
         udp::send_one(&self.peer, &prefix, body, self.agent, &mut Vec::new()).unwrap();
     }
@@ -191,27 +191,27 @@
     }
 
     /// The next packet passed on to the peer, with what its header says; messages are skipped.
-    fn passed_to_peer(&self) -> (Header, Vec<u8>) {
+    fn packet_to_peer(&self) -> (Header, Vec<u8>) {
         loop {
             let datagram = receive(&self.peer);
             let frame = gue::parse(&datagram).unwrap();
             if frame.content == Content::Ipv4 {
                 let payload = Payload::Packet { bytes: frame.payload, header_bytes: 0 };
-                let opened = ring().open(frame.private, payload).unwrap();
+                let opened = keyring().open(frame.private, payload).unwrap();
                 return (opened.header, frame.payload.to_vec());
             }
         }
     }
 
     /// The next message to the peer that `wanted` makes something of.
-    fn message_to_peer<T>(&self, wanted: impl Fn(Message) -> Option<T>) -> T {
+    fn message_to_peer<T>(&self, select: impl Fn(Message) -> Option<T>) -> T {
         loop {
             let datagram = receive(&self.peer);
             let frame = gue::parse(&datagram).unwrap();
             if frame.content == Content::Control(control::CONTROL_TYPE) {
-                ring().open(frame.private, Payload::Control(frame.payload)).unwrap();
+                keyring().open(frame.private, Payload::Control(frame.payload)).unwrap();
                 let message = control::decode(frame.payload).unwrap().message;
-                if let Some(found) = wanted(message) {
+                if let Some(found) = select(message) {
                     return found;
                 }
             }
@@ -232,7 +232,7 @@
 }
 
 /// What comes out for the upstream or the gateway: plain GUE around one packet.
-fn plain(socket: &UdpSocket) -> Vec<u8> {
+fn receive_packet(socket: &UdpSocket) -> Vec<u8> {
     let datagram = receive(socket);
     let frame = gue::parse(&datagram).unwrap();
     assert_eq!((frame.content, frame.private), (Content::Ipv4, &[][..]));
@@ -241,26 +241,26 @@
 
 #[test]
 fn opening_is_delivered() {
-    let bench = bench(WhenInDoubt::Admit, false);
-    bench.send_packet(FlowId(5), &tcp("S"));
-    assert_eq!(plain(&bench.upstream), tcp("S"));
-    let list = bench.flows(FlowQuery::Limit(10));
+    let harness = harness(WhenInDoubt::Admit, false);
+    harness.send_packet(FlowId(5), &tcp("S"));
+    assert_eq!(receive_packet(&harness.upstream), tcp("S"));
+    let list = harness.flows(FlowQuery::Limit(10));
     assert_eq!((list.open, list.entries[0].state), (1, "open"));
-    assert_eq!(bench.flows(FlowQuery::ById(FlowId(6))).entries[0].state, "unknown");
+    assert_eq!(harness.flows(FlowQuery::ById(FlowId(6))).entries[0].state, "unknown");
     let (reply, answer) = mpsc::sync_channel(1);
-    bench.requests.send(Request::Explain(FlowId(5), reply)).unwrap();
+    harness.requests.send(Request::Explain(FlowId(5), reply)).unwrap();
     let (version, explanation) = answer.recv_timeout(TIMEOUT).unwrap();
     assert_eq!((version, explanation.ranking.len()), (Version(7), 1));
     assert_eq!(explanation.location, FlowLocation::Local(FlowState::Open));
-    assert!(bench.timeline.after(Default::default()).iter().any(|e| e.kind == "admitted"));
+    assert!(harness.timeline.after(Default::default()).iter().any(|e| e.kind == "admitted"));
 }
 
 /// The caller of a flow that nobody knows learns so by a reset that fits its segment.
 #[test]
 fn unknown_flow_is_reset() {
-    let bench = bench(WhenInDoubt::Admit, false);
-    bench.send_packet(FlowId(5), &tcp("A"));
-    let answer = plain(&bench.gateway);
+    let harness = harness(WhenInDoubt::Admit, false);
+    harness.send_packet(FlowId(5), &tcp("A"));
+    let answer = receive_packet(&harness.gateway);
     let reset = inner::parse(&answer).unwrap();
     assert_eq!(reset.endpoint.port, 40_000);
     let inner::Segment::Tcp { flags, sequence, .. } = reset.segment else { panic!("not TCP") };
@@ -268,10 +268,10 @@
 }
 
 #[test]
-fn foreign_home_gets_opening() {
-    let bench = bench(WhenInDoubt::Admit, true);
-    bench.send_packet(flow_of("peer"), &tcp("S"));
-    let (header, packet) = bench.passed_to_peer();
+fn opening_is_forwarded_to_home() {
+    let harness = harness(WhenInDoubt::Admit, true);
+    harness.send_packet(flow_of("peer"), &tcp("S"));
+    let (header, packet) = harness.packet_to_peer();
     assert_eq!((header.hops, header.passed), (1, Forwarding::Redirected));
     assert_eq!((header.flow, header.sender), (flow_of("peer"), SenderId(upstream("own").0)));
     assert_eq!(packet, tcp("S"));
@@ -282,8 +282,8 @@
 /// the other one has told it what an earlier life may have promised.
 #[test]
 fn held_opening_is_delivered_once_granted() {
-    let bench = bench(WhenInDoubt::Refuse, true);
-    bench.send_message(Message::Heartbeat(Heartbeat {
+    let harness = harness(WhenInDoubt::Refuse, true);
+    harness.send_message(Message::Heartbeat(Heartbeat {
         incarnation: Incarnation(1),
         born: None,
         beat: 1,
@@ -294,7 +294,7 @@
         ramp_percent: 100,
         leaving: false,
     }));
-    let recalled = bench.message_to_peer(|message| match message {
+    let recalled = harness.message_to_peer(|message| match message {
         Message::Recall { incarnation, from } => Some(Message::RecallReply {
             incarnation,
             from,
@@ -305,9 +305,9 @@
         }),
         _ => None,
     });
-    bench.send_message(recalled);
-    bench.send_packet(flow_of("own"), &tcp("S"));
-    let reply = bench.message_to_peer(|message| match message {
+    harness.send_message(recalled);
+    harness.send_packet(flow_of("own"), &tcp("S"));
+    let reply = harness.message_to_peer(|message| match message {
         Message::ClaimRequest { opening, claim, view, incarnation } => {
             assert_eq!(claim, Claim::Run(upstream("own")));
             let answer = ClaimAnswer::Granted;
@@ -315,18 +315,18 @@
         }
         _ => None,
     });
-    bench.upstream.set_nonblocking(true).unwrap();
-    assert!(bench.upstream.recv(&mut [0; 64]).is_err(), "delivered before it was granted");
-    bench.upstream.set_nonblocking(false).unwrap();
-    bench.send_message(reply);
-    assert_eq!(plain(&bench.upstream), tcp("S"));
+    harness.upstream.set_nonblocking(true).unwrap();
+    assert!(harness.upstream.recv(&mut [0; 64]).is_err(), "delivered before it was granted");
+    harness.upstream.set_nonblocking(false).unwrap();
+    harness.send_message(reply);
+    assert_eq!(receive_packet(&harness.upstream), tcp("S"));
 }
 
 #[test]
-fn question_is_answered() {
-    let bench = bench(WhenInDoubt::Admit, true);
-    bench.send_message(Message::Ask { flow: FlowId(5), question: 3 });
-    let (flow, knowledge) = bench.message_to_peer(|message| match message {
+fn ask_is_answered() {
+    let harness = harness(WhenInDoubt::Admit, true);
+    harness.send_message(Message::Ask { flow: FlowId(5), question: 3 });
+    let (flow, knowledge) = harness.message_to_peer(|message| match message {
         Message::AskReply { flow, question: 3, knowledge, .. } => Some((flow, knowledge)),
         _ => None,
     });
@@ -336,15 +336,15 @@
 /// A balancer that has sent before is told that the agent leaves, so that no datagram of a caller
 /// arrives between the end of the process and its successor.
 #[test]
-fn leaving_tells_balancers() {
-    let bench = bench(WhenInDoubt::Admit, false);
-    bench.send_packet(FlowId(5), &tcp("S"));
-    plain(&bench.upstream);
-    bench.requests.send(Request::Event(Event::Leave)).unwrap();
-    let datagram = receive(&bench.peer);
+fn leaving_notifies_balancers() {
+    let harness = harness(WhenInDoubt::Admit, false);
+    harness.send_packet(FlowId(5), &tcp("S"));
+    receive_packet(&harness.upstream);
+    harness.requests.send(Request::Event(Event::Leave)).unwrap();
+    let datagram = receive(&harness.peer);
     let frame = gue::parse(&datagram).unwrap();
     assert_eq!(frame.content, Content::Control(notice::CONTROL_TYPE));
-    let opened = ring().open(frame.private, Payload::Control(frame.payload)).unwrap();
+    let opened = keyring().open(frame.private, Payload::Control(frame.payload)).unwrap();
     assert_eq!(opened.header.sender, SenderId(upstream("own").0));
     assert_eq!(notice::decode(frame.payload), Some(Notice::Leaving));
 }
@@ -352,20 +352,20 @@
 /// A leaving agent may end when its peers have acknowledged its flows, and not before.
 #[test]
 fn leaving_waits_for_acknowledgement() {
-    let bench = bench(WhenInDoubt::Admit, true);
-    bench.send_packet(flow_of("own"), &tcp("S"));
-    plain(&bench.upstream);
-    bench.requests.send(Request::Event(Event::Leave)).unwrap();
-    let acknowledge = bench.message_to_peer(|message| match message {
+    let harness = harness(WhenInDoubt::Admit, true);
+    harness.send_packet(flow_of("own"), &tcp("S"));
+    receive_packet(&harness.upstream);
+    harness.requests.send(Request::Event(Event::Leave)).unwrap();
+    let acknowledge = harness.message_to_peer(|message| match message {
         Message::Announce { sequence, .. } => {
             Some(Message::AnnounceAck { incarnation: Incarnation(1), sequence })
         }
         _ => None,
     });
-    assert!(!bench.handed_over.load(Ordering::Acquire));
-    bench.send_message(acknowledge);
+    assert!(!harness.handed_over.load(Ordering::Acquire));
+    harness.send_message(acknowledge);
     let deadline = boottime::now().after(TIMEOUT.as_millis() as u64);
-    while !bench.handed_over.load(Ordering::Acquire) {
+    while !harness.handed_over.load(Ordering::Acquire) {
         assert!(boottime::now() < deadline, "never handed over");
         std::thread::yield_now();
     }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -34,10 +34,10 @@
 /// Peers asked for settings that a packet showed to be newer.
 const PEERS_PER_FETCH: usize = 3;
 /// How often the start looks for settings, and the end for the grace time.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// An upstream that started less than this ago and holds no flow can have none of an earlier life
 /// of this agent.
-const FRESH_UPSTREAM_MS: u64 = 2_000;
+const NEW_UPSTREAM_MAX_AGE_MS: u64 = 2_000;
 
 struct Process {
     settings: AgentSettings,
@@ -86,8 +86,8 @@
     ) -> Result<(), StartFault> {
         let keyring = self.keyring()?;
         let status = StatusReader::new(self.settings.upstream_status_address);
-        let (fetch, wanted) = mpsc::channel();
-        self.start_readers(wanted)?;
+        let (fetch, fetch_requests) = mpsc::channel();
+        self.start_readers(fetch_requests)?;
         if !self.wait_for_settings() {
             return Ok(());
         }
@@ -132,7 +132,7 @@
         Ok(Arc::new(move |account| (*account == *own).then_some(ring)))
     }
 
-    fn start_readers(&self, wanted: mpsc::Receiver<Version>) -> Result<(), StartFault> {
+    fn start_readers(&self, requests: mpsc::Receiver<Version>) -> Result<(), StartFault> {
         let platform = self.settings.platform_address;
         let instances: Arc<Instances> = Arc::default();
         let reader = Reader::new(platform, self.store.clone(), instances);
@@ -147,7 +147,7 @@
         spawn("platform", move || reader.run(&shutdown, must_read))?;
         spawn("peers", move || peers.run(&peer_shutdown))?;
         let (store, account) = (self.store.clone(), self.settings.account.clone());
-        spawn("fetch", move || fetch_wanted(&wanted, &store, &account, &fetcher, &fetch_peers))?;
+        spawn("fetch", move || serve_fetches(&requests, &store, &account, &fetcher, &fetch_peers))?;
         Ok(())
     }
 
@@ -169,18 +169,18 @@
 
     /// Waits until the settings are current and name this upstream; false if told to shut down.
     fn wait_for_settings(&self) -> bool {
-        let mut said = false;
+        let mut warned = false;
         while !self.shutdown.is_requested() {
             let known = self.is_in_settings();
             if known && self.store.is_current() {
                 return true;
             }
-            if self.store.is_current() && !said {
+            if self.store.is_current() && !warned {
                 let code = codes::NOT_IN_SETTINGS;
                 log::warn!(code = code.0; "{code}: the published settings do not name this upstream");
-                said = true;
+                warned = true;
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
         false
     }
@@ -232,7 +232,7 @@
 
     fn wait_for_shutdown(&self) {
         while !self.shutdown.is_requested() {
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -245,7 +245,7 @@
         let started = Instant::now();
         let grace = Duration::from_millis(self.settings.shutdown_grace_ms);
         while started.elapsed() < grace && !handed_over.load(Ordering::Acquire) {
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -286,29 +286,29 @@
 /// that the upstream has just started and that it holds nothing counts as new.
 fn may_have_prior_flows(report: Option<UpstreamReport>) -> bool {
     !report.is_some_and(|report| {
-        report.open_flows == 0 && report.age_ms.is_some_and(|age| age < FRESH_UPSTREAM_MS)
+        report.open_flows == 0 && report.age_ms.is_some_and(|age| age < NEW_UPSTREAM_MAX_AGE_MS)
     })
 }
 
 /// Fetches settings that a peer's packet showed to be newer, from peers first: the platform may be
 /// down, and its reads are scarce.
-fn fetch_wanted(
-    wanted: &mpsc::Receiver<Version>,
+fn serve_fetches(
+    requests: &mpsc::Receiver<Version>,
     store: &Store,
     account: &str,
     platform: &Reader,
     peers: &PeerReader,
 ) {
-    let in_force = || {
+    let current_version = || {
         let versions = store.versions();
         let found = versions.iter().find(|(name, _)| **name == *account);
         found.map_or(Version(0), |(_, version)| *version)
     };
-    while let Ok(at_least) = wanted.recv() {
-        if in_force() < at_least {
+    while let Ok(at_least) = requests.recv() {
+        if current_version() < at_least {
             peers.compare_some(PEERS_PER_FETCH);
         }
-        if in_force() < at_least {
+        if current_version() < at_least {
             platform.fetch(account);
         }
     }
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -9,9 +9,9 @@
 use shell::signals::Shutdown;
 
 /// Time between two questions: an upstream that begins to drain gets openings no longer than this.
-const INTERVAL: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Longest wait for the answer; the endpoint may hang.
-const TIMEOUT: Duration = Duration::from_millis(250);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Asks the status endpoint of one upstream.
 #[derive(Clone)]
@@ -31,7 +31,7 @@
 
 impl StatusReader {
     pub(crate) fn new(address: SocketAddr) -> Self {
-        Self { client: Client::new(TIMEOUT), address }
+        Self { client: Client::new(REQUEST_TIMEOUT), address }
     }
 
     /// The upstream's answer, `None` if there is none.
@@ -60,7 +60,7 @@
                 (None, Some(previous)) => report(UpstreamReport { healthy: false, ..previous }),
                 (None, None) => {}
             }
-            std::thread::sleep(INTERVAL);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
--- a/crates/agent/tests/gate.rs
+++ b/crates/agent/tests/gate.rs
@@ -13,11 +13,11 @@
 use wire::inner;
 use wire::sealed::{AccountKeyring, Header, KeyId, Payload, SEALED_BYTES, SenderId};
 
-const MASTERS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
+const MASTER_KEYS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
 
 /// A datagram as its sender makes it; each case changes one thing.
 #[derive(Clone)]
-struct Sent {
+struct Spec {
     sealed_for: &'static str,
     account: &'static str,
     service: &'static str,
@@ -26,8 +26,8 @@
     covered: Option<usize>,
 }
 
-fn sent() -> Sent {
-    Sent {
+fn spec() -> Spec {
+    Spec {
         sealed_for: "cascadia",
         account: "cascadia",
         service: "shelf",
@@ -61,8 +61,8 @@
     Identity { account, service, upstream: OWN }
 }
 
-fn ring(account: &str) -> AccountKeyring {
-    AccountKeyring::derive(&MASTERS, AccountId::of(account)).unwrap()
+fn keyring(account: &str) -> AccountKeyring {
+    AccountKeyring::derive(&MASTER_KEYS, AccountId::of(account)).unwrap()
 }
 
 fn packet(port: u16) -> Vec<u8> {
@@ -72,21 +72,21 @@
     packet
 }
 
-fn header(sent: &Sent) -> Header {
+fn header(spec: &Spec) -> Header {
     Header {
         hops: 0,
         passed: Forwarding::Direct,
-        account: AccountId::of(sent.account),
-        service: ServiceId::of(sent.account, sent.service),
-        flow: sent.flow,
+        account: AccountId::of(spec.account),
+        service: ServiceId::of(spec.account, spec.service),
+        flow: spec.flow,
         version: Version(7),
         sender: SenderId(9),
     }
 }
 
-fn datagram(sent: &Sent, payload: Payload<'_>) -> Vec<u8> {
+fn datagram(spec: &Spec, payload: Payload<'_>) -> Vec<u8> {
     let mut private = [0; SEALED_BYTES];
-    ring(sent.sealed_for).seal(&header(sent), payload, &mut private).unwrap();
+    keyring(spec.sealed_for).seal(&header(spec), payload, &mut private).unwrap();
     let (content, body) = match payload {
         Payload::Packet { bytes, .. } => (Content::Ipv4, bytes),
         Payload::Control(body) => (Content::Control(control::CONTROL_TYPE), body),
@@ -96,31 +96,31 @@
     datagram
 }
 
-fn packet_datagram(sent: &Sent) -> Vec<u8> {
-    let bytes = packet(sent.port);
-    let header_bytes = sent.covered.unwrap_or(bytes.len());
-    datagram(sent, Payload::Packet { bytes: &bytes, header_bytes })
+fn packet_datagram(spec: &Spec) -> Vec<u8> {
+    let bytes = packet(spec.port);
+    let header_bytes = spec.covered.unwrap_or(bytes.len());
+    datagram(spec, Payload::Packet { bytes: &bytes, header_bytes })
 }
 
 fn code_of(datagram: &[u8]) -> Option<Code> {
-    check(&own_identity(), &ring("cascadia"), &own_view(), datagram).err()
+    check(&own_identity(), &keyring("cascadia"), &own_view(), datagram).err()
 }
 
 /// Another account's machine can seal only with its own key, and whatever it claims inside, none
 /// of its packets gets past this agent.
 #[rstest]
-#[case::own(sent(), None)]
-#[case::key_of_other_account(Sent { sealed_for: "bajio", ..sent() }, Some(codes::BAD_MAC))]
-#[case::names_other_account(Sent { account: "bajio", ..sent() }, Some(codes::FOREIGN_ACCOUNT))]
-#[case::names_other_service(Sent { service: "manifest", ..sent() }, Some(codes::WRONG_SERVICE))]
-#[case::address_of_other_service(Sent { port: 9_443, ..sent() }, Some(codes::WRONG_SERVICE))]
-#[case::address_of_nobody(Sent { port: 22, ..sent() }, Some(codes::NO_SERVICE))]
-#[case::ports_not_covered(Sent { covered: Some(20), ..sent() }, Some(codes::BAD_MAC))]
-fn check_packet(#[case] sent: Sent, #[case] expected: Option<Code>) {
-    assert_eq!(code_of(&packet_datagram(&sent)), expected);
-}
-
-fn plain() -> Vec<u8> {
+#[case::own(spec(), None)]
+#[case::key_of_other_account(Spec { sealed_for: "bajio", ..spec() }, Some(codes::BAD_MAC))]
+#[case::names_other_account(Spec { account: "bajio", ..spec() }, Some(codes::FOREIGN_ACCOUNT))]
+#[case::names_other_service(Spec { service: "manifest", ..spec() }, Some(codes::WRONG_SERVICE))]
+#[case::address_of_other_service(Spec { port: 9_443, ..spec() }, Some(codes::WRONG_SERVICE))]
+#[case::address_of_nobody(Spec { port: 22, ..spec() }, Some(codes::NO_SERVICE))]
+#[case::ports_not_covered(Spec { covered: Some(20), ..spec() }, Some(codes::BAD_MAC))]
+fn check_packet(#[case] spec: Spec, #[case] expected: Option<Code>) {
+    assert_eq!(code_of(&packet_datagram(&spec)), expected);
+}
+
+fn unsealed_datagram() -> Vec<u8> {
     let mut datagram = Vec::new();
     gue::encode(Content::Ipv4, &[], &packet(8_443), &mut datagram);
     datagram
@@ -133,11 +133,11 @@
 
 #[rstest]
 #[case::empty(vec![], codes::MALFORMED)]
-#[case::not_sealed(plain(), codes::MALFORMED)]
-#[case::unknown_key(with_byte(packet_datagram(&sent()), 5, 9), codes::UNKNOWN_KEY)]
-#[case::changed_port(with_byte(packet_datagram(&sent()), 68 + 23, 1), codes::BAD_MAC)]
-#[case::packet_as_control(with_byte(packet_datagram(&sent()), 0, 0x30), codes::UNSUPPORTED_PROTOCOL)]
-#[case::control_body_garbage(datagram(&sent(), Payload::Control(b"\xc1")), codes::MALFORMED)]
+#[case::not_sealed(unsealed_datagram(), codes::MALFORMED)]
+#[case::unknown_key(with_byte(packet_datagram(&spec()), 5, 9), codes::UNKNOWN_KEY)]
+#[case::changed_port(with_byte(packet_datagram(&spec()), 68 + 23, 1), codes::BAD_MAC)]
+#[case::packet_as_control(with_byte(packet_datagram(&spec()), 0, 0x30), codes::UNSUPPORTED_PROTOCOL)]
+#[case::control_body_garbage(datagram(&spec(), Payload::Control(b"\xc1")), codes::MALFORMED)]
 fn check_refused(#[case] datagram: Vec<u8>, #[case] expected: Code) {
     assert_eq!(code_of(&datagram), Some(expected));
 }
@@ -153,8 +153,8 @@
     let envelope = Envelope { clock: 4, message: Message::Ask { flow: FlowId(8), question: 6 } };
     let mut body = Vec::new();
     control::encode(&envelope, &mut body).unwrap();
-    let sent = Sent { flow, ..sent() };
-    assert_eq!(code_of(&datagram(&sent, Payload::Control(&body))), expected);
+    let spec = Spec { flow, ..spec() };
+    assert_eq!(code_of(&datagram(&spec, Payload::Control(&body))), expected);
 }
 
 #[test]
@@ -162,8 +162,8 @@
     let envelope = Envelope { clock: 4, message: Message::Ask { flow: FlowId(5), question: 6 } };
     let mut body = Vec::new();
     control::encode(&envelope, &mut body).unwrap();
-    let datagram = datagram(&sent(), Payload::Control(&body));
-    let admitted = check(&own_identity(), &ring("cascadia"), &own_view(), &datagram).unwrap();
+    let datagram = datagram(&spec(), Payload::Control(&body));
+    let admitted = check(&own_identity(), &keyring("cascadia"), &own_view(), &datagram).unwrap();
     let Admitted::Message { header, envelope: received } = admitted else { panic!("a packet") };
     assert_eq!(UpstreamId(header.sender.0), UpstreamId(9));
     assert_eq!(received, envelope);
--- a/crates/agent/tests/hold.rs
+++ b/crates/agent/tests/hold.rs
@@ -23,7 +23,7 @@
 fn take_returns_once() {
     let mut table = HoldTable::default();
     for key in [9, 2, 5] {
-        assert!(table.put(HoldKey(key), held(key as u8)));
+        assert!(table.insert(HoldKey(key), held(key as u8)));
     }
     assert_eq!(table.take(HoldKey(5)), Some(held(5)));
     assert_eq!(table.take(HoldKey(5)), None);
@@ -31,16 +31,16 @@
 }
 
 #[test]
-fn put_key_in_use_keeps_first() {
+fn insert_with_key_in_use_keeps_first() {
     let mut table = HoldTable::default();
-    assert!(table.put(HoldKey(1), held(1)));
-    assert!(!table.put(HoldKey(1), held(2)));
+    assert!(table.insert(HoldKey(1), held(1)));
+    assert!(!table.insert(HoldKey(1), held(2)));
     assert_eq!(table.take(HoldKey(1)), Some(held(1)));
 }
 
 #[test]
-fn put_beyond_bound() {
+fn insert_beyond_limit() {
     let mut table = HoldTable::default();
-    assert!((0..HELD_MAX as u32).all(|key| table.put(HoldKey(key), held(0))));
-    assert!(!table.put(HoldKey(u32::MAX), held(0)));
+    assert!((0..HELD_MAX as u32).all(|key| table.insert(HoldKey(key), held(0))));
+    assert!(!table.insert(HoldKey(u32::MAX), held(0)));
 }
