--- a/crates/agent/src/plane/carry.rs
+++ b/crates/agent/src/plane/carry.rs
@@ -1,4 +1,5 @@
-//! Carrying out verdicts that are not a plain delivery, and sending control messages.
+//! Applies verdicts other than the delivery of a packet of the current batch, and sends control
+//! messages.
 
 use std::net::SocketAddr;
 
@@ -17,17 +18,17 @@
 use crate::counters::Count;
 use crate::hold::Held;
 
-/// Where an agent sends what is not for another agent.
+/// Destinations of an agent's packets other than its peers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Addresses {
-    /// Its upstream.
+    /// The upstream beside the agent.
     pub(crate) upstream: SocketAddr,
-    /// Takes answers to callers.
+    /// Gateway that delivers replies to callers.
     pub(crate) gateway: SocketAddr,
 }
 
 impl DataPlane {
-    /// Carries out a verdict on a packet that lies in `bytes`.
+    /// Applies a verdict to the packet in `bytes`.
     pub(super) fn apply_verdict(
         &mut self,
         verdict: Verdict,
@@ -52,13 +53,13 @@
         }
     }
 
-    /// Sends a control message to a peer; one that is not in our settings is not reachable.
+    /// Sends a control message to a peer. Does nothing if the settings in use do not list the peer.
     pub(super) fn send_message(&mut self, to: UpstreamId, message: Message) {
         let Some(address) = self.agent_address(to) else { return };
         let clock = self.config.timeline.clock().now().0;
         self.body.clear();
         if let Err(error) = control::encode(&Envelope { clock, message }, &mut self.body) {
-            log::error!("message not sent: {error}");
+            log::error!("cannot encode control message: {error}");
             return;
         }
         let header = self.own_header(FlowId(to.0), 0, Forwarding::Direct);
@@ -103,8 +104,9 @@
         self.send_packet(Count::Forwarded, &prefix, bytes, address);
     }
 
-    /// Answers the caller in the name of the service. The refusal is recorded in the core before
-    /// it leaves, so a late copy of the opening cannot run after the caller was told it did not.
+    /// Sends a refusal to the caller in the name of the service. The core has recorded the refusal
+    /// before this is called, so a late copy of the opening cannot run after the caller was
+    /// notified that it was refused.
     fn refuse(&mut self, reason: Reason, content: Content, bytes: &[u8]) {
         self.counts.count_code(reason.into());
         let Ok(packet) = inner::parse(bytes) else { return };
--- a/crates/agent/src/plane/leave.rs
+++ b/crates/agent/src/plane/leave.rs
@@ -1,6 +1,6 @@
-//! What the balancers are told: that this agent leaves, and how its peers are.
+//! Notices to balancers: that this agent is leaving, and whether its peers are up.
 //!
-//! A leaving agent stays until the balancers have stopped sending.
+//! A leaving agent keeps running until the balancers have stopped sending to it.
 
 use std::net::SocketAddr;
 
@@ -15,22 +15,24 @@
 
 use super::DataPlane;
 
-/// Balancers remembered, twice the number of the target of two years.
+/// Maximum number of balancers tracked: twice the number in the two-year scale target.
 const BALANCERS_MAX: usize = 4_096;
-/// A balancer not heard from for this long is forgotten; it has probably been replaced.
+/// A balancer that has not sent for this long may be removed; it has probably been replaced.
 const BALANCER_EXPIRY_MS: u64 = 600_000;
-/// Balancers that hear of a peer's failure from one agent. Every agent of the service says so.
+/// Balancers that one agent notifies when a peer fails or recovers. Two suffice, because every
+/// agent of the service sends such notices.
 const BALANCERS_PER_REPORT: usize = 2;
-/// Time between two notices: one may be lost.
+/// Time between two leave notices, which are repeated because one may be lost.
 const NOTICE_INTERVAL_MS: u64 = 100;
-/// How long no balancer must have sent. A balancer acts on a notice within its publishing interval
-/// of 25 ms and the 40 ms that a snapshot takes at target size; three notices fit in this time.
+/// Time without packets from balancers after which they are considered to have stopped sending. A
+/// balancer acts on a notice within its publishing interval of 25 ms plus the 40 ms that building a
+/// snapshot takes at the target size, and three notices fit in this time.
 const BALANCER_IDLE_MS: u64 = 300;
 
-/// The balancers that send to this agent, and the state of its leaving.
+/// Balancers that send to this agent, and the progress of its leaving.
 #[derive(Debug, Default)]
 pub(super) struct LeaveState {
-    /// Data addresses with the time of the last packet seen, sorted by address.
+    /// Data addresses with the time of the last packet recorded, sorted by address.
     balancers: Vec<(SocketAddr, Millis)>,
     last_direct_packet: Millis,
     next_notice: Millis,
@@ -38,7 +40,7 @@
 }
 
 impl LeaveState {
-    /// Notes a packet that came straight from a balancer.
+    /// Records a packet that came directly from a balancer.
     pub(super) fn record_packet(&mut self, now: Millis, source: Option<SocketAddr>) {
         self.last_direct_packet = now;
         let Some(source) = source else { return };
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Up to `count` random balancers that have sent here.
+    /// Chooses up to `count` random balancers among those that have sent to this agent.
     fn random_balancers(&self, count: usize) -> Vec<SocketAddr> {
         let mut known: Vec<SocketAddr> =
             self.balancers.iter().map(|(address, _)| *address).collect();
@@ -62,19 +64,19 @@
         chosen
     }
 
-    /// Begins to leave.
+    /// Starts leaving.
     pub(super) fn begin(&mut self, now: Millis) {
         self.leaving = true;
         self.last_direct_packet = now;
         self.expire_balancers(now);
     }
 
-    /// Whether the agent leaves and no balancer has sent for a while.
+    /// Whether the agent is leaving and no balancer has sent for [`BALANCER_IDLE_MS`].
     pub(super) fn balancers_stopped_sending(&self, now: Millis) -> bool {
         self.leaving && now.since(self.last_direct_packet) >= BALANCER_IDLE_MS
     }
 
-    /// Balancers that are due a notice.
+    /// Returns the balancers to notify now, and schedules the next notice.
     fn balancers_due(&mut self, now: Millis) -> Vec<SocketAddr> {
         if !self.leaving || now < self.next_notice {
             return Vec::new();
@@ -89,7 +91,7 @@
 }
 
 impl DataPlane {
-    /// Tells the balancers that this agent leaves, if it does and they are due to hear it again.
+    /// Notifies the balancers that this agent is leaving, if it is and a notice is due.
     pub(super) fn notify_balancers(&mut self, now: Millis) {
         let due = self.leave.balancers_due(now);
         if due.is_empty() {
@@ -98,7 +100,7 @@
         self.send_notice(Notice::Leaving, &due);
     }
 
-    /// Tells some balancers whether an agent is up; they tell the others.
+    /// Notifies some balancers whether a peer is up. They spread it to the other balancers.
     pub(super) fn report_peer(&mut self, member: Member) {
         let Member { upstream, beat, up } = member;
         let to = self.leave.random_balancers(BALANCERS_PER_REPORT);
@@ -115,7 +117,7 @@
         let frame = gue::header(Content::Control(notice::CONTROL_TYPE), SEALED_BYTES);
         let prefix = Prefix::new(frame, &private);
         for address in to {
-            // One that cannot be reached does not send to us either.
+            // A balancer that cannot be reached does not send to this agent either.
             let _ = udp::send_one(&self.config.socket, &prefix, &body, *address, &mut self.scratch);
         }
     }
--- a/crates/agent/src/plane/mod.rs
+++ b/crates/agent/src/plane/mod.rs
@@ -1,4 +1,4 @@
-//! The data thread: it alone owns the decision core, so that no lock stands on the packet path.
+//! The data thread. It is the only owner of the decision core, so the packet path needs no locks.
 
 mod carry;
 mod leave;
@@ -34,10 +34,10 @@
 pub(crate) use carry::Addresses;
 pub(crate) use requests::{FlowEntry, FlowList, FlowQuery, Request, state_name};
 
-/// Longest wait for a datagram. Half a tick, so that ticks are never late by more than that.
+/// Maximum wait for a datagram. Half a tick interval, so that no tick is late by more than that.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(MAX_TICK_INTERVAL_MS / 2);
 
-/// What the data thread is given.
+/// Configuration of the data thread and the objects that it shares with other threads.
 pub(crate) struct DataPlaneConfig {
     pub(crate) socket: UdpSocket,
     pub(crate) addresses: Addresses,
@@ -47,17 +47,17 @@
     pub(crate) store: Arc<Store>,
     pub(crate) timeline: Arc<Timeline>,
     pub(crate) counters: Counters,
-    /// Asks another thread to fetch at least this version of the account.
+    /// Requests to the fetching thread for at least this version of the account's settings.
     pub(crate) fetch: mpsc::Sender<Version>,
-    /// Raised once a leaving agent's peers have acknowledged all that it knows, no balancer sends
-    /// to it any more and no packet waits here for a verdict.
+    /// Set once the agent is leaving, its peers have acknowledged everything that it knows,
+    /// balancers have stopped sending to it and it holds no packet that waits for a verdict.
     pub(crate) handed_over: Arc<AtomicBool>,
-    /// Kept up to date: whether the agent does all its work.
+    /// Whether the agent is fully operational, updated on each tick.
     pub(crate) ready: Arc<AtomicBool>,
     pub(crate) stop: Arc<AtomicBool>,
 }
 
-/// The data thread's state.
+/// State of the data thread.
 pub(crate) struct DataPlane {
     config: DataPlaneConfig,
     agent: Agent,
@@ -74,14 +74,14 @@
     last_tick: Millis,
 }
 
-/// What the view says about this agent's service, looked up once for each view.
+/// Data of this agent's service, looked up once for each view.
 struct OwnService {
     service: Option<ServiceKey>,
     version: Version,
     datagram_nonce: fn(&[u8]) -> u32,
 }
 
-/// Binds the data socket; unlike a balancer's it is not shared.
+/// Binds the data socket. Unlike a balancer's socket, it is not shared between threads.
 pub(crate) fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
     udp::bind(address, false, RECEIVE_TIMEOUT)
 }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Serves until told to end.
+    /// Serves until the stop flag is set.
     pub(crate) fn run(mut self) {
         let mut receiver = SourceReceiver::default();
         let mut sender = Sender::default();
@@ -133,7 +133,7 @@
                 }
                 self.run_actions();
             }
-            // One balancer a batch is enough to know them all after a while.
+            // Recording one balancer per batch suffices to learn all of them over time.
             if let Some(slot) = direct_slot {
                 self.leave.record_packet(now, receiver.source(slot));
             }
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Handles one datagram; returns how it was passed if it carried a packet.
+    /// Handles one datagram. If it carried a packet, returns how it was forwarded to this agent.
     fn handle_datagram(
         &mut self,
         now: Millis,
@@ -196,7 +196,7 @@
             }
             Ok(Admitted::Settings(version)) => {
                 if version > self.own_service.version {
-                    // The fetching thread lives as long as the process.
+                    // Does not fail, since the fetching thread runs as long as the process.
                     let _ = self.config.fetch.send(version);
                 }
                 None
@@ -220,7 +220,8 @@
         }
     }
 
-    /// Delivers a packet of the present batch, which stays where it was received.
+    /// Queues a packet of the current batch for delivery, without copying it out of the receive
+    /// buffer.
     fn queue_delivery(&mut self, content: Content, slot: usize, sender: &mut Sender) {
         sender.next_prefix().start_plain(content);
         let payload = PayloadRef { slot, start: gue::HEADER_BYTES + SEALED_BYTES };
@@ -228,7 +229,7 @@
         self.counts.add(Count::Delivered, 1);
     }
 
-    /// Does what the core asked for. Actions may lead to no further ones.
+    /// Executes the actions that the core requested. Executing an action never adds another one.
     fn run_actions(&mut self) {
         if self.actions.is_empty() {
             return;
@@ -249,7 +250,7 @@
                 }
             }
             Action::FetchSettings { at_least } => {
-                // The fetching thread lives as long as the process.
+                // Does not fail, since the fetching thread runs as long as the process.
                 let _ = self.config.fetch.send(at_least);
             }
             Action::Report(member) => self.report_peer(member),
@@ -269,7 +270,8 @@
         let account = view.find_account(identity.account);
         let service = view.find_service(identity.service);
         let spec = service.map(|key| &view.service(key).spec);
-        // Without settings of its own the agent takes no packet at all; see `gate::check`.
+        // The fallback has no effect: without settings for its service, `gate::check` rejects every
+        // packet.
         let when_in_doubt = spec.map_or(WhenInDoubt::Refuse, |spec| spec.when_in_doubt);
         Self {
             service,
--- a/crates/agent/src/plane/notes.rs
+++ b/crates/agent/src/plane/notes.rs
@@ -1,4 +1,4 @@
-//! The core's notes as events of the time line.
+//! Converts the core's time-line entries into time-line events.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use settings::Code;
 use telemetry::timeline::{Fields, Timeline, Value};
 
-/// Puts a note into the time line.
+/// Records an entry in the time line.
 pub(super) fn record(timeline: &Timeline, account: &Arc<str>, entry: TimelineEntry) {
     let (kind, fields) = match entry {
         TimelineEntry::Admitted(opening) => ("admitted", opening_fields(opening)),
--- a/crates/agent/src/plane/requests.rs
+++ b/crates/agent/src/plane/requests.rs
@@ -1,4 +1,4 @@
-//! What other threads ask of the data thread.
+//! Requests from other threads to the data thread.
 
 use std::sync::mpsc;
 
@@ -8,50 +8,50 @@
 
 use super::DataPlane;
 
-/// Requests taken in one batch, so that a burst of them does not hold up packets.
+/// Maximum number of requests handled per batch of packets, so that a burst of requests does not
+/// delay packets.
 const REQUESTS_PER_BATCH: usize = 16;
 
 /// A request to the data thread.
 pub(crate) enum Request {
     /// An event for the decision core.
     Event(Event),
-    /// A list of flows; the answer is dropped if nobody waits for it any more.
+    /// Lists flows. The reply is dropped if nobody waits for it any more.
     Flows(FlowQuery, mpsc::SyncSender<FlowList>),
-    /// Why packets of a flow go where they go; the answer is dropped likewise.
+    /// Explains how packets of a flow are routed. The reply is dropped likewise.
     Explain(FlowId, mpsc::SyncSender<(Version, Explanation)>),
 }
 
-/// Which flows are wanted.
+/// Selects flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FlowQuery {
-    /// So many, in any order.
+    /// At most this many local flows, in any order.
     Limit(usize),
-    /// This one.
+    /// The flow with this id.
     ById(FlowId),
 }
 
 /// Flows as the decision core knows them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct FlowList {
-    /// Open flows in all.
+    /// Total number of open flows.
     pub(crate) open: usize,
-    /// Those wanted.
+    /// The flows that the query selects.
     pub(crate) entries: Vec<FlowEntry>,
 }
 
 /// One flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FlowEntry {
-    /// Its id.
     pub(crate) flow: FlowId,
     /// `open`, `finishing`, `reset`, `elsewhere` or `unknown`.
     pub(crate) state: &'static str,
-    /// Agent that holds it, if another one.
+    /// Agent that holds the flow, if it is another one.
     pub(crate) holder: Option<UpstreamId>,
 }
 
 impl DataPlane {
-    /// Takes in what other threads ask for.
+    /// Handles pending requests from other threads.
     pub(super) fn handle_requests(&mut self, now: Millis) {
         for _ in 0..REQUESTS_PER_BATCH {
             let Ok(request) = self.requests.try_recv() else { return };
@@ -64,7 +64,7 @@
                     self.run_actions();
                 }
                 Request::Flows(query, reply) => {
-                    // The asker may have timed out; there is nobody to tell then.
+                    // Fails if the requester has timed out; the reply is then no longer needed.
                     let _ = reply.try_send(self.list_flows(now, query));
                 }
                 Request::Explain(flow, reply) => {
@@ -101,7 +101,7 @@
     FlowEntry { flow, state: state_name(state), holder: None }
 }
 
-/// A flow's state for people and programs.
+/// Name of a flow's state in HTTP responses.
 pub(crate) fn state_name(state: FlowState) -> &'static str {
     match state {
         FlowState::Open => "open",
--- a/crates/agent/src/plane/tests.rs
+++ b/crates/agent/src/plane/tests.rs
@@ -1,4 +1,4 @@
-//! The data thread between real sockets: the test plays fabric, peer, upstream and gateway.
+//! Tests of the data thread with real sockets. A test acts as balancer, peer, upstream and gateway.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 use crate::counters::Counters;
 use crate::gate::Identity;
 
-/// Longer than any answer takes; reached only when one is missing.
+/// Longer than any reply takes; elapses only if a reply is missing.
 const TIMEOUT: Duration = Duration::from_secs(10);
 const KEY: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
 
@@ -65,7 +65,7 @@
     AccountKeyring::new(&KEY).unwrap()
 }
 
-/// A flow whose home is the agent called `name`, of two with the same weight.
+/// Returns a flow whose home is the agent called `name`, out of two agents with the same weight.
 fn flow_of(name: &str) -> FlowId {
     let candidates = [(upstream("own"), 100), (upstream("peer"), 100)];
     let home = |flow: &FlowId| {
@@ -190,7 +190,7 @@
         self.send(upstream("peer"), FlowId(0), Content::Control(control::CONTROL_TYPE), &body);
     }
 
-    /// The next packet passed on to the peer, with what its header says; messages are skipped.
+    /// Receives the next packet forwarded to the peer, with its header. Skips control messages.
     fn packet_to_peer(&self) -> (Header, Vec<u8>) {
         loop {
             let datagram = receive(&self.peer);
@@ -203,7 +203,7 @@
         }
     }
 
-    /// The next message to the peer that `wanted` makes something of.
+    /// Receives messages to the peer until `select` returns a value for one of them.
     fn message_to_peer<T>(&self, select: impl Fn(Message) -> Option<T>) -> T {
         loop {
             let datagram = receive(&self.peer);
@@ -227,11 +227,11 @@
 
 fn receive(socket: &UdpSocket) -> Vec<u8> {
     let mut buffer = [0; 2_048];
-    let bytes = socket.recv(&mut buffer).expect("nothing came");
+    let bytes = socket.recv(&mut buffer).expect("no datagram received");
     buffer[..bytes].to_vec()
 }
 
-/// What comes out for the upstream or the gateway: plain GUE around one packet.
+/// Receives a packet as the upstream or the gateway gets it: in a GUE frame without private data.
 fn receive_packet(socket: &UdpSocket) -> Vec<u8> {
     let datagram = receive(socket);
     let frame = gue::parse(&datagram).unwrap();
@@ -255,7 +255,8 @@
     assert!(harness.timeline.after(Default::default()).iter().any(|e| e.kind == "admitted"));
 }
 
-/// The caller of a flow that nobody knows learns so by a reset that fits its segment.
+/// A TCP segment of an unknown flow is answered with a reset whose sequence number the caller
+/// accepts.
 #[test]
 fn unknown_flow_is_reset() {
     let harness = harness(WhenInDoubt::Admit, false);
@@ -277,9 +278,10 @@
     assert_eq!(packet, tcp("S"));
 }
 
-/// The opening of a service that runs each at most once is held until the other agent, half of the
-/// witnesses, has recorded it. Only then does the upstream see it. The agent itself votes only once
-/// the other one has told it what an earlier life may have promised.
+/// A service that runs each opening at most once must not see an opening before its claim has been
+/// recorded. The peer is half of the witnesses here, so the opening is held until the peer grants
+/// the claim. The agent itself votes only after the peer has replied to its recall, which asks for
+/// the votes that a previous incarnation may have given.
 #[test]
 fn held_opening_is_delivered_once_granted() {
     let harness = harness(WhenInDoubt::Refuse, true);
@@ -333,8 +335,9 @@
     assert_eq!((flow, knowledge), (FlowId(5), Knowledge::NotMine));
 }
 
-/// A balancer that has sent before is told that the agent leaves, so that no datagram of a caller
-/// arrives between the end of the process and its successor.
+/// A leaving agent notifies the balancers that have sent to it. Otherwise they would go on sending,
+/// and a caller's datagram that arrives between the exit of this process and the start of its
+/// successor would be lost.
 #[test]
 fn leaving_notifies_balancers() {
     let harness = harness(WhenInDoubt::Admit, false);
@@ -349,7 +352,8 @@
     assert_eq!(notice::decode(frame.payload), Some(Notice::Leaving));
 }
 
-/// A leaving agent may end when its peers have acknowledged its flows, and not before.
+/// A leaving agent reports its hand-over as complete only after its peers have acknowledged its
+/// flows.
 #[test]
 fn leaving_waits_for_acknowledgement() {
     let harness = harness(WhenInDoubt::Admit, true);
@@ -366,7 +370,7 @@
     harness.send_message(acknowledge);
     let deadline = boottime::now().after(TIMEOUT.as_millis() as u64);
     while !harness.handed_over.load(Ordering::Acquire) {
-        assert!(boottime::now() < deadline, "never handed over");
+        assert!(boottime::now() < deadline, "hand-over did not complete");
         std::thread::yield_now();
     }
 }
--- a/crates/agent/tests/gate.rs
+++ b/crates/agent/tests/gate.rs
@@ -1,4 +1,4 @@
-//! What is checked before a datagram reaches the decision core.
+//! Checks of datagrams before they reach the decision core.
 
 use agent::gate::{Admitted, Identity, check, datagram_nonce};
 use decision::agent::Forwarding;
@@ -15,7 +15,7 @@
 
 const MASTER_KEYS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
 
-/// A datagram as its sender makes it; each case changes one thing.
+/// Describes a datagram as its sender builds it. Each test case changes one field of a valid one.
 #[derive(Clone)]
 struct Spec {
     sealed_for: &'static str,
@@ -106,8 +106,8 @@
     check(&own_identity(), &keyring("cascadia"), &own_view(), datagram).err()
 }
 
-/// Another account's machine can seal only with its own key, and whatever it claims inside, none
-/// of its packets gets past this agent.
+/// A machine of another account can seal only with that account's key. Whatever its header claims,
+/// the agent rejects its packets.
 #[rstest]
 #[case::own(spec(), None)]
 #[case::key_of_other_account(Spec { sealed_for: "bajio", ..spec() }, Some(codes::BAD_MAC))]
@@ -142,9 +142,10 @@
     assert_eq!(code_of(&datagram), Some(expected));
 }
 
-/// A retired upstream's address went to another one of its service, and a peer still lists both there. Taken
-/// in, the messages for the gone one would hide those for this agent. Agents of an earlier release
-/// name no receiver.
+/// The address of a retired upstream may be reassigned to another upstream of the service while a
+/// peer's settings still list both at that address. If this agent accepted messages for the retired
+/// upstream, they would hide the messages for this agent. Agents of an earlier release name no
+/// receiver.
 #[rstest]
 #[case::mine(FlowId(OWN.0), None)]
 #[case::not_named(FlowId(0), None)]
@@ -169,8 +170,8 @@
     assert_eq!(received, envelope);
 }
 
-/// Two datagrams of one caller's port: a service that must not run a request twice takes them as
-/// two openings, any other as one flow.
+/// Two distinct datagrams from one caller's port are two openings for a service that must not run a
+/// request twice, and one flow for any other service.
 #[rstest]
 #[case::admit(WhenInDoubt::Admit, true)]
 #[case::refuse(WhenInDoubt::Refuse, false)]
--- a/crates/agent/tests/hold.rs
+++ b/crates/agent/tests/hold.rs
@@ -1,4 +1,4 @@
-//! Held packets.
+//! Tests of the table of held packets.
 
 use agent::hold::{HELD_MAX, Held, HoldTable};
 use decision::agent::{Forwarding, HoldKey};
