--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -1,4 +1,5 @@
-//! What an agent counts. The data thread counts for itself and adds up once per batch.
+//! Metrics of an agent. The data thread counts locally and adds its counts to the shared counters
+//! once per batch.
 
 use decision::agent::{Reason, Stats};
 use prometheus_client::encoding::EncodeLabelSet;
@@ -8,16 +9,16 @@
 use settings::{Code, codes};
 use telemetry::metrics::Metrics;
 
-/// Counters without labels, in the order of [`UNLABELED`].
+/// Counters without labels, in the order of `UNLABELED`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Count {
     /// Datagrams that arrived.
     Received,
-    /// Packets handed to the upstream.
+    /// Packets delivered to the upstream.
     Delivered,
-    /// Packets passed on to other agents.
+    /// Packets forwarded to other agents.
     Forwarded,
-    /// Packets that were held until a verdict.
+    /// Packets that were held to wait for a verdict.
     Held,
     /// Refusals sent to callers.
     Refused,
@@ -53,7 +54,7 @@
     ("peers_suspected", "Peers believed to be silent"),
 ];
 
-/// Codes under which packets are dropped or refused, sorted.
+/// Codes under which packets are dropped or refused, sorted for binary search.
 const CODES: [Code; 20] = [
     Code(Reason::WrongService as u16),
     Code(Reason::AllFull as u16),
@@ -77,7 +78,7 @@
     codes::UNSUPPORTED_PROTOCOL,
 ];
 
-/// Counts of the data thread since it last added them up.
+/// Local counts of the data thread since it last added them to the shared [`Counters`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     unlabeled: [u64; UNLABELED.len()],
@@ -98,7 +99,7 @@
 }
 
 impl Counts {
-    /// Adds to a plain counter.
+    /// Adds to a counter without labels.
     pub fn add(&mut self, count: Count, amount: u64) {
         self.unlabeled[count as usize] += amount;
     }
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Adds what the data thread has counted and sets its counts to zero.
+    /// Adds the data thread's local counts and resets them to zero.
     pub fn add(&self, counts: &mut Counts) {
         let counters = self.unlabeled.iter().chain(&self.by_code);
         for (counter, count) in counters.zip(counts.unlabeled.iter().chain(&counts.by_code)) {
@@ -144,14 +145,14 @@
         *counts = Counts::default();
     }
 
-    /// Shows the sizes of the core's tables.
+    /// Sets the gauges to the sizes of the decision core's tables.
     pub fn update_gauges(&self, stats: &Stats) {
         for (gauge, size) in self.gauges.iter().zip(table_sizes(stats)) {
             gauge.set(size as i64);
         }
     }
 
-    /// Names and values for `/status`.
+    /// Names and values of all counters and gauges, for `/status`.
     pub fn list(&self) -> Vec<(&'static str, u64)> {
         let unlabeled =
             UNLABELED.iter().zip(&self.unlabeled).map(|((_, name, _), c)| (*name, c.get()));
--- a/crates/agent/src/explain.rs
+++ b/crates/agent/src/explain.rs
@@ -1,4 +1,4 @@
-//! The answer of `/explain?flow=ID`: why packets of a flow go where they go, as this agent sees it.
+//! Response to `/explain?flow=ID`: how this agent routes packets of a flow, and why.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
 
 use crate::plane::state_name;
 
-/// The answer; ids are hexadecimal.
+/// The response. Ids are hexadecimal.
 #[derive(Debug, Serialize)]
 pub(crate) struct ExplainResponse {
     instance: Arc<str>,
-    /// Settings version of the account, zero before any lists the service.
+    /// Settings version of the account; zero until settings list the service.
     version: u64,
     bucket: u16,
-    /// Agents of the bucket from first to last rank.
+    /// Agents of the bucket, from highest to lowest rank.
     ranking: Vec<RankedAgent>,
     home: Option<String>,
     place: FlowPlacement,
@@ -28,13 +28,13 @@
     standing: &'static str,
 }
 
-/// Where the flow is.
+/// Location of the flow.
 #[derive(Debug, Serialize)]
 struct FlowPlacement {
     /// `open`, `finishing`, `reset`, `elsewhere` or `unknown`.
     state: &'static str,
     holder: Option<String>,
-    /// What a redirect rests on: `found`, `assigned` or `announced`.
+    /// Evidence for a redirect: `found`, `assigned` or `announced`.
     evidence: Option<&'static str>,
 }
 
--- a/crates/agent/src/gate.rs
+++ b/crates/agent/src/gate.rs
@@ -1,4 +1,4 @@
-//! What is checked before a datagram reaches the decision core. Pure: bytes in, packet out.
+//! Validates datagrams before they reach the decision core. Performs no I/O and keeps no state.
 
 use decision::keys::{AccountId, ServiceId, UpstreamId, Version};
 use decision::view::{View, WhenInDoubt};
@@ -9,49 +9,49 @@
 use wire::notice::{self, Notice};
 use wire::sealed::{AccountKeyring, Header, Payload, SealError};
 
-/// Who this agent is.
+/// Identity of this agent.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity {
-    /// Its account.
+    /// Client account that owns the service.
     pub account: AccountId,
-    /// Its service.
+    /// Service to which the upstream belongs.
     pub service: ServiceId,
-    /// Its upstream.
+    /// Upstream beside which the agent runs.
     pub upstream: UpstreamId,
 }
 
-/// What a datagram turned out to be.
+/// A datagram that passed all checks.
 #[derive(Clone, Debug)]
 pub enum Admitted<'a> {
-    /// A packet of a caller.
+    /// A caller's packet.
     Packet {
-        /// What its frame carried.
+        /// Content type of the GUE frame.
         content: Content,
-        /// What its sender said.
+        /// Header written by the sender.
         header: Header,
-        /// The packet, parsed.
+        /// Parsed packet.
         inner: Inner<'a>,
-        /// The packet.
+        /// Bytes of the packet.
         bytes: &'a [u8],
     },
-    /// A control message.
+    /// A control message from a peer.
     Message {
-        /// What its sender said.
+        /// Header written by the sender.
         header: Header,
-        /// The message.
+        /// Decoded message.
         envelope: Envelope,
     },
-    /// A balancer has a version of the account's settings in force.
+    /// A balancer's notice of the version of the account's settings that it uses.
     Settings(Version),
 }
 
-/// Checks MAC, account, service and, against this agent's own settings, that the destination
-/// belongs to the service.
+/// Checks the MAC, the account and the service and, for a caller's packet, that this agent's own
+/// settings assign its destination to the service.
 ///
-/// The MAC shows that a balancer or an agent of the account sent the packet, not that the sender's
-/// settings were right. A destination that our own settings do not give to the service is
-/// therefore dropped; if the sender's settings are newer, the caller's retransmission finds ours
-/// caught up.
+/// The MAC proves that a balancer or an agent of the account sent the packet, but not that the
+/// sender's settings were correct. A packet to a destination that this agent's own settings do not
+/// assign to the service is therefore dropped. If the sender's settings are newer, this agent has
+/// caught up by the time the caller retransmits.
 ///
 /// Errors: the code under which the datagram is dropped.
 pub fn check<'a>(
@@ -100,8 +100,10 @@
     Ok(Admitted::Packet { content: frame.content, header, inner, bytes: frame.payload })
 }
 
-/// How datagrams of a service are told apart: a service that must not run a request twice takes
-/// each datagram as a request of its own, any other takes all of one caller's port as one flow.
+/// Returns the function that derives the nonce of a datagram, which distinguishes openings.
+///
+/// A service that must not run a request twice treats each distinct datagram as a separate opening.
+/// Any other service treats all datagrams from one caller's port as one flow.
 pub fn datagram_nonce(when_in_doubt: WhenInDoubt) -> fn(&[u8]) -> u32 {
     match when_in_doubt {
         WhenInDoubt::Admit => |_| inner::FLOW_NONCE,
--- a/crates/agent/src/hold.rs
+++ b/crates/agent/src/hold.rs
@@ -1,21 +1,21 @@
-//! Packets that wait for a verdict, under keys that the decision core chooses.
+//! Packets that wait for a verdict, stored under keys chosen by the decision core.
 
 use decision::agent::HoldKey;
 use wire::gue::Content;
 use wire::sealed::Header;
 
-/// Packets held at a time. The core bounds its own table; this bound keeps a fault there from
-/// filling the memory of an instance that has 64 MB.
+/// Maximum number of packets held at a time. The core bounds its own table; this second limit
+/// prevents a fault there from exhausting the 64 MB of memory of an instance.
 pub const HELD_MAX: usize = 4_096;
 
-/// A packet with what is needed to deliver, pass on or refuse it later.
+/// A packet with the data needed to deliver, forward or refuse it later.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Held {
-    /// What its frame carried.
+    /// Content type of the GUE frame.
     pub content: Content,
-    /// What its sender said.
+    /// Header written by the sender.
     pub header: Header,
-    /// The packet.
+    /// Bytes of the packet.
     pub bytes: Vec<u8>,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl HoldTable {
-    /// Keeps a packet; false if there is no room or the key is in use.
+    /// Stores a packet. Returns false if the table is full or the key is already in use.
     ///
     /// ```
     /// use agent::hold::HoldTable;
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Whether no packet waits.
+    /// Whether no packet is held.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Takes a packet out.
+    /// Removes and returns the packet held under `key`.
     pub fn take(&mut self, key: HoldKey) -> Option<Held> {
         let index = self.entries.binary_search_by_key(&key, |(known, _)| *known).ok()?;
         Some(self.entries.remove(index).1)
--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -1,4 +1,4 @@
-//! The agent's HTTP endpoint.
+//! HTTP endpoint of the agent.
 
 use std::sync::{Arc, mpsc};
 use std::time::Duration;
@@ -13,24 +13,25 @@
 use crate::explain::ExplainResponse;
 use crate::plane::{FlowEntry, FlowList, FlowQuery, Request};
 
-/// Flows listed unless the request asks for another number.
+/// Flows listed if the request gives no limit.
 const FLOWS_DEFAULT: usize = 100;
-/// Most flows in one answer: collecting them stands in the way of packets for about 100 us.
+/// Maximum number of flows in one response. Collecting that many delays packets by about 100 us.
 const FLOWS_MAX: usize = 10_000;
-/// The data thread looks for requests every 25 ms at least; beyond this it is in trouble.
+/// The data thread checks for requests at least every 25 ms. A reply that takes longer than this
+/// timeout means that the thread is stuck or overloaded.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The answer of `/flows`, `/flows?limit=N` and `/flows?flow=ID`.
+/// Response to `/flows`, `/flows?limit=N` and `/flows?flow=ID`.
 #[derive(Debug, Serialize)]
 struct FlowsResponse {
     instance: Arc<str>,
-    /// Open flows in all.
+    /// Total number of open flows.
     open: usize,
-    /// Those wanted.
+    /// The flows that the query selects.
     flows: Vec<FlowItem>,
 }
 
-/// One flow; ids are hexadecimal.
+/// One flow of the response. Ids are hexadecimal.
 #[derive(Debug, Serialize)]
 struct FlowItem {
     flow: String,
@@ -39,7 +40,7 @@
     holder: Option<String>,
 }
 
-/// All routes of an agent.
+/// Returns all routes of an agent.
 pub(crate) fn routes(
     shown: &Shown,
     keyrings: &Keyrings,
@@ -82,7 +83,7 @@
     Some(FlowQuery::Limit(limit.unwrap_or(FLOWS_DEFAULT).min(FLOWS_MAX)))
 }
 
-/// Asks the data thread; `None` if it does not answer in time.
+/// Sends a request to the data thread and waits for the reply. Returns `None` on timeout.
 fn query_data_thread<T>(
     requests: &mpsc::Sender<Request>,
     request: impl FnOnce(mpsc::SyncSender<T>) -> Request,
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,7 +1,7 @@
 //! Agent daemon: admits, tracks and delivers the flows of one upstream.
 //!
-//! All decisions are made by [`decision::agent::Agent`]; this crate feeds it packets, messages,
-//! settings and time from sockets and does what it says.
+//! All decisions are made by [`decision::agent::Agent`]. This crate does the I/O: it passes
+//! packets, messages, settings and the time to the agent and executes the actions that it returns.
 
 pub mod counters;
 mod explain;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Life of the process: start with the newest settings, serve, hand over, end.
+//! Process life cycle: load the newest settings, serve, hand over to the peers, exit.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -29,14 +29,14 @@
 use crate::plane::{self, Addresses, DataPlane, DataPlaneConfig, Request};
 use crate::status::StatusReader;
 
-/// Events kept for the time line: about a minute of openings at today's rates.
+/// Capacity of the time line: about a minute of openings at current rates.
 const TIMELINE_EVENTS: usize = 16_384;
-/// Peers asked for settings that a packet showed to be newer.
+/// Peers queried when a datagram shows that newer settings exist.
 const PEERS_PER_FETCH: usize = 3;
-/// How often the start looks for settings, and the end for the grace time.
+/// Interval at which start-up checks for settings, and shutdown for the completed hand-over.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// An upstream that started less than this ago and holds no flow can have none of an earlier life
-/// of this agent.
+/// Maximum age of an upstream that counts as new. A new upstream without open flows cannot hold
+/// flows that a previous incarnation of this agent admitted.
 const NEW_UPSTREAM_MAX_AGE_MS: u64 = 2_000;
 
 struct Process {
@@ -46,14 +46,14 @@
     metrics: Arc<Metrics>,
     counters: Counters,
     shutdown: Shutdown,
-    /// True while the data thread serves and the agent votes.
+    /// True while the data thread is running and the agent votes on claims.
     serving: Arc<AtomicBool>,
 }
 
-/// Runs an agent until it is told to shut down.
+/// Runs an agent until shutdown is requested.
 ///
-/// Errors: a [`StartFault`] if an address is taken, a key is missing or a thread cannot be started;
-/// nothing has been served then.
+/// Errors: a [`StartFault`] if an address is in use, a key is missing or a thread cannot be
+/// started. The agent has not served any packet in that case.
 pub fn run(settings: AgentSettings) -> Result<(), StartFault> {
     telemetry::log::start(&settings.instance);
     let metrics = Arc::new(Metrics::default());
@@ -114,7 +114,7 @@
         self.wait_for_shutdown();
         self.hand_over(requests, &handed_over);
         stop.store(true, Ordering::Relaxed);
-        // A data thread that panicked has already said so; the shutdown goes on.
+        // A panic of the data thread has already been printed; shutdown continues regardless.
         let _ = data.join();
         log::info!("stopped");
         Ok(())
@@ -140,7 +140,7 @@
         let (fetcher, fetch_peers) = (reader.clone(), peers.clone());
         let (shutdown, peer_shutdown) = (self.shutdown.clone(), self.shutdown.clone());
         let confirmed = self.store.clone();
-        // Different for each agent, so that not all of them turn to the service at once.
+        // Random per agent, so that not all of them query the platform at the same time.
         let fallback_ms = FALLBACK_READ_MS + rand::random_range(0..FALLBACK_READ_MS);
         let must_read =
             move || !confirmed.is_current() || confirmed.confirmed_age_ms() > fallback_ms;
@@ -151,7 +151,7 @@
         Ok(())
     }
 
-    /// Peers to ask: those of the settings file and the agents of the own service.
+    /// Peers to query: those of the settings file and the other agents of this service.
     fn candidates(&self) -> Arc<dyn Fn() -> Vec<SocketAddr> + Send + Sync> {
         let (store, service) = (self.store.clone(), self.identity().service);
         let (configured, own) = (self.settings.peers.clone(), self.settings.control_address);
@@ -167,7 +167,8 @@
         })
     }
 
-    /// Waits until the settings are current and name this upstream; false if told to shut down.
+    /// Waits until the settings are current and list this upstream. Returns false if shutdown is
+    /// requested first.
     fn wait_for_settings(&self) -> bool {
         let mut warned = false;
         while !self.shutdown.is_requested() {
@@ -177,7 +178,7 @@
             }
             if self.store.is_current() && !warned {
                 let code = codes::NOT_IN_SETTINGS;
-                log::warn!(code = code.0; "{code}: the published settings do not name this upstream");
+                log::warn!(code = code.0; "{code}: the published settings do not list this upstream");
                 warned = true;
             }
             thread::sleep(POLL_INTERVAL);
@@ -197,7 +198,7 @@
         inbox: mpsc::Receiver<Request>,
         report: Option<UpstreamReport>,
     ) -> Result<JoinHandle<()>, StartFault> {
-        // Read before the view: a change in between is then taken in a second time, not missed.
+        // Read before the view, so that a change in between is applied twice rather than missed.
         let generation = self.store.generation();
         let view = self.store.view();
         let agent_config = AgentConfig {
@@ -224,7 +225,7 @@
     ) -> Result<(), StartFault> {
         let shutdown = self.shutdown.clone();
         let report = move |report| {
-            // The data thread outlives this one but for the last moments of the process.
+            // Sending fails only if the data thread has ended, that is while the process exits.
             let _ = requests.send(Request::Event(Event::Upstream(report)));
         };
         spawn("upstream-status", move || status.run(&shutdown, report)).map(|_| ())
@@ -236,8 +237,8 @@
         }
     }
 
-    /// Keeps serving until the peers have acknowledged what this agent knows, for the grace time at
-    /// most.
+    /// Keeps serving until the peers have acknowledged everything that this agent knows, or until
+    /// the grace time has elapsed.
     fn hand_over(&self, requests: &mpsc::Sender<Request>, handed_over: &AtomicBool) {
         self.timeline.record(self.settings.account.clone(), "leaving", Fields::default());
         log::info!("shutting down");
@@ -280,18 +281,18 @@
     }
 }
 
-/// Whether the upstream may hold flows that an earlier life of this agent admitted.
+/// Whether the upstream may hold flows that a previous incarnation of this agent admitted.
 ///
-/// Taking an old upstream for a new one would break its flows, so only an answer that says both
-/// that the upstream has just started and that it holds nothing counts as new.
+/// Mistaking an old upstream for a new one would break its flows. An upstream therefore counts as
+/// new only if it reports both that it has just started and that it has no open flows.
 fn may_have_prior_flows(report: Option<UpstreamReport>) -> bool {
     !report.is_some_and(|report| {
         report.open_flows == 0 && report.age_ms.is_some_and(|age| age < NEW_UPSTREAM_MAX_AGE_MS)
     })
 }
 
-/// Fetches settings that a peer's packet showed to be newer, from peers first: the platform may be
-/// down, and its reads are scarce.
+/// Fetches settings of at least the requested versions, which received datagrams have shown to
+/// exist. Queries peers first, because the platform may be down and its read capacity is limited.
 fn serve_fetches(
     requests: &mpsc::Receiver<Version>,
     store: &Store,
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -1,4 +1,4 @@
-//! Asking the upstream how it is.
+//! Polls the status endpoint of the upstream.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,12 +8,13 @@
 use shell::http::client::Client;
 use shell::signals::Shutdown;
 
-/// Time between two questions: an upstream that begins to drain gets openings no longer than this.
+/// Time between two polls. An upstream that starts to drain keeps receiving openings until the next
+/// poll.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest wait for the answer; the endpoint may hang.
+/// Time limit for a response, since the endpoint may hang.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Asks the status endpoint of one upstream.
+/// Client for the status endpoint of one upstream.
 #[derive(Clone)]
 pub(crate) struct StatusReader {
     client: Client,
@@ -34,7 +35,7 @@
         Self { client: Client::new(REQUEST_TIMEOUT), address }
     }
 
-    /// The upstream's answer, `None` if there is none.
+    /// Reads the upstream's status. Returns `None` if there is no valid response.
     pub(crate) fn read(&self) -> Option<UpstreamReport> {
         let body = self.client.get(self.address, "/status").ok()?;
         let reply: StatusReply = serde_json::from_slice(&body).ok()?;
@@ -47,8 +48,8 @@
         })
     }
 
-    /// Reports at intervals until the shutdown. An endpoint that does not answer makes an upstream
-    /// unhealthy, with the rest as it was last said.
+    /// Polls and reports until shutdown. If the endpoint gives no valid response, the upstream is
+    /// reported as unhealthy, with all other fields as last received.
     pub(crate) fn run(&self, shutdown: &Shutdown, report: impl Fn(UpstreamReport)) {
         let mut last = None;
         while !shutdown.is_requested() {
