--- a/crates/agent/src/plane/carry.rs
+++ b/crates/agent/src/plane/carry.rs
@@ -1,4 +1,5 @@
-//! Carrying out verdicts that are not a plain delivery, and sending control messages.
+//! Applies verdicts other than the delivery of a packet of the current batch, and sends control
+//! messages.
 
 use std::net::SocketAddr;
 
@@ -13,22 +14,22 @@
 use wire::refusal::{self, UdpRefusal};
 use wire::sealed::{Header, Payload, SEALED_BYTES, SenderId};
 
-use super::Plane;
+use super::DataPlane;
 use crate::counters::Count;
 use crate::hold::Held;
 
-/// Where an agent sends what is not for another agent.
+/// Destinations of an agent's packets other than its peers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Addresses {
-    /// Its upstream.
+    /// The upstream beside the agent.
     pub(crate) upstream: SocketAddr,
-    /// Takes answers to callers.
+    /// Gateway that delivers replies to callers.
     pub(crate) gateway: SocketAddr,
 }
 
-impl Plane {
-    /// Carries out a verdict on a packet that lies in `bytes`.
-    pub(super) fn carry_out(
+impl DataPlane {
+    /// Applies a verdict to the packet in `bytes`.
+    pub(super) fn apply_verdict(
         &mut self,
         verdict: Verdict,
         content: Content,
@@ -38,27 +39,27 @@
         match verdict {
             Verdict::Deliver => self.deliver(content, bytes),
             Verdict::Forward { to, forwarding } => {
-                self.pass_on(to, forwarding, content, header, bytes)
+                self.forward(to, forwarding, content, header, bytes)
             }
             Verdict::Refuse(reason) => self.refuse(reason, content, bytes),
             Verdict::Drop(reason) => self.drop_packet(reason.into()),
             Verdict::Hold(key) => {
                 let held = Held { content, header: *header, bytes: bytes.to_vec() };
                 self.counts.add(Count::Held, 1);
-                if !self.held.put(key, held) {
+                if !self.held.insert(key, held) {
                     self.drop_packet(Reason::Overload.into());
                 }
             }
         }
     }
 
-    /// Sends a control message to a peer; one that is not in our settings is not reachable.
+    /// Sends a control message to a peer. Does nothing if the settings in use do not list the peer.
     pub(super) fn send_message(&mut self, to: UpstreamId, message: Message) {
         let Some(address) = self.agent_address(to) else { return };
         let clock = self.config.timeline.clock().now().0;
         self.body.clear();
         if let Err(error) = control::encode(&Envelope { clock, message }, &mut self.body) {
-            log::error!("message not sent: {error}");
+            log::error!("cannot encode control message: {error}");
             return;
         }
         let header = self.own_header(FlowId(to.0), 0, Forwarding::Direct);
@@ -81,7 +82,7 @@
         self.send_packet(Count::Delivered, &prefix, bytes, self.config.addresses.upstream);
     }
 
-    fn pass_on(
+    fn forward(
         &mut self,
         to: UpstreamId,
         forwarding: Forwarding,
@@ -100,13 +101,14 @@
             return self.drop_packet(codes::PACKET_TOO_LARGE);
         }
         let prefix = Prefix::new(gue::header(content, SEALED_BYTES), &private);
-        self.send_packet(Count::PassedOn, &prefix, bytes, address);
+        self.send_packet(Count::Forwarded, &prefix, bytes, address);
     }
 
-    /// Answers the caller in the name of the service. The refusal is recorded in the core before
-    /// it leaves, so a late copy of the opening cannot run after the caller was told it did not.
+    /// Sends a refusal to the caller in the name of the service. The core has recorded the refusal
+    /// before this is called, so a late copy of the opening cannot run after the caller was
+    /// notified that it was refused.
     fn refuse(&mut self, reason: Reason, content: Content, bytes: &[u8]) {
-        self.counts.coded(reason.into());
+        self.counts.count_code(reason.into());
         let Ok(packet) = inner::parse(bytes) else { return };
         let udp = match reason {
             Reason::UnknownFlow => UdpRefusal::PortUnreachable,
@@ -136,13 +138,13 @@
             account: identity.account,
             service: identity.service,
             flow,
-            version: self.own.version,
+            version: self.own_service.version,
             sender: SenderId(self.config.identity.upstream.0),
         }
     }
 
     fn agent_address(&self, upstream: UpstreamId) -> Option<SocketAddr> {
-        let key = self.view.find_upstream(self.own.service?, upstream)?;
+        let key = self.view.find_upstream(self.own_service.service?, upstream)?;
         Some(self.view.upstream(key).spec.agent_address)
     }
 }
--- a/crates/agent/src/plane/mod.rs
+++ b/crates/agent/src/plane/mod.rs
@@ -1,4 +1,4 @@
-//! The data thread: it alone owns the decision core, so that no lock stands on the packet path.
+//! The data thread. It is the only owner of the decision core, so the packet path needs no locks.
 
 mod carry;
 mod leave;
@@ -32,13 +32,13 @@
 use crate::hold::{Held, HoldTable};
 
 pub(crate) use carry::Addresses;
-pub(crate) use requests::{FlowEntry, FlowList, Request, Wanted, state_word};
+pub(crate) use requests::{FlowEntry, FlowList, FlowQuery, Request, state_name};
 
-/// Longest wait for a datagram. Half a tick, so that ticks are never late by more than that.
+/// Maximum wait for a datagram. Half a tick interval, so that no tick is late by more than that.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(MAX_TICK_INTERVAL_MS / 2);
 
-/// What the data thread is given.
-pub(crate) struct PlaneConfig {
+/// Configuration of the data thread and the objects that it shares with other threads.
+pub(crate) struct DataPlaneConfig {
     pub(crate) socket: UdpSocket,
     pub(crate) addresses: Addresses,
     pub(crate) identity: Identity,
@@ -47,25 +47,25 @@
     pub(crate) store: Arc<Store>,
     pub(crate) timeline: Arc<Timeline>,
     pub(crate) counters: Counters,
-    /// Asks another thread to fetch at least this version of the account.
+    /// Requests to the fetching thread for at least this version of the account's settings.
     pub(crate) fetch: mpsc::Sender<Version>,
-    /// Raised once a leaving agent's peers have acknowledged all that it knows, no balancer sends
-    /// to it any more and no packet waits here for a verdict.
+    /// Set once the agent is leaving, its peers have acknowledged everything that it knows,
+    /// balancers have stopped sending to it and it holds no packet that waits for a verdict.
     pub(crate) handed_over: Arc<AtomicBool>,
-    /// Kept up to date: whether the agent does all its work.
+    /// Whether the agent is fully operational, updated on each tick.
     pub(crate) ready: Arc<AtomicBool>,
-    pub(crate) end: Arc<AtomicBool>,
+    pub(crate) stop: Arc<AtomicBool>,
 }
 
-/// The data thread's state.
-pub(crate) struct Plane {
-    config: PlaneConfig,
+/// State of the data thread.
+pub(crate) struct DataPlane {
+    config: DataPlaneConfig,
     agent: Agent,
     view: Arc<View>,
-    own: Own,
+    own_service: OwnService,
     generation: u64,
     requests: mpsc::Receiver<Request>,
-    leave: leave::Leaving,
+    leave: leave::LeaveState,
     held: HoldTable,
     actions: Vec<Action>,
     counts: Counts,
@@ -74,34 +74,34 @@
     last_tick: Millis,
 }
 
-/// What the view says about this agent's service, looked up once for each view.
-struct Own {
+/// Data of this agent's service, looked up once for each view.
+struct OwnService {
     service: Option<ServiceKey>,
     version: Version,
     datagram_nonce: fn(&[u8]) -> u32,
 }
 
-/// Binds the data socket; unlike a balancer's it is not shared.
+/// Binds the data socket. Unlike a balancer's socket, it is not shared between threads.
 pub(crate) fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
     udp::bind(address, false, RECEIVE_TIMEOUT)
 }
 
-impl Plane {
+impl DataPlane {
     pub(crate) fn new(
-        config: PlaneConfig,
+        config: DataPlaneConfig,
         agent: Agent,
         view: Arc<View>,
         generation: u64,
         requests: mpsc::Receiver<Request>,
     ) -> Self {
         Self {
-            own: Own::of(&view, &config.identity),
+            own_service: OwnService::look_up(&view, &config.identity),
             config,
             agent,
             view,
             generation,
             requests,
-            leave: leave::Leaving::default(),
+            leave: leave::LeaveState::default(),
             held: HoldTable::default(),
             actions: Vec::new(),
             counts: Counts::default(),
@@ -111,45 +111,47 @@
         }
     }
 
-    /// Serves until told to end.
+    /// Serves until the stop flag is set.
     pub(crate) fn run(mut self) {
         let mut receiver = SourceReceiver::default();
         let mut sender = Sender::default();
-        while !self.config.end.load(Ordering::Relaxed) {
+        while !self.config.stop.load(Ordering::Relaxed) {
             if let Err(error) = receiver.receive(&self.config.socket) {
                 log::error!("receive failed: {error}");
                 std::thread::sleep(RECEIVE_TIMEOUT);
             }
             let now = boottime::now();
-            self.take_settings(now);
-            self.take_requests(now);
-            let mut fresh = None;
+            self.apply_new_settings(now);
+            self.handle_requests(now);
+            let mut direct_slot = None;
             for (slot, datagram) in receiver.datagrams().enumerate() {
                 self.counts.add(Count::Received, 1);
-                if self.datagram(now, slot, datagram, &mut sender) == Some(Forwarding::Direct) {
-                    fresh = fresh.or(Some(slot));
+                if self.handle_datagram(now, slot, datagram, &mut sender)
+                    == Some(Forwarding::Direct)
+                {
+                    direct_slot = direct_slot.or(Some(slot));
                 }
                 self.run_actions();
             }
-            // One balancer a batch is enough to know them all after a while.
-            if let Some(slot) = fresh {
-                self.leave.heard(now, receiver.source(slot));
+            // Recording one balancer per batch suffices to learn all of them over time.
+            if let Some(slot) = direct_slot {
+                self.leave.record_packet(now, receiver.source(slot));
             }
             let failed = sender.flush(&self.config.socket, &receiver);
-            (0..failed).for_each(|_| self.counts.coded(codes::SEND_FAILED));
+            (0..failed).for_each(|_| self.counts.count_code(codes::SEND_FAILED));
             self.tick(now);
             self.config.counters.add(&mut self.counts);
         }
     }
 
-    fn take_settings(&mut self, now: Millis) {
+    fn apply_new_settings(&mut self, now: Millis) {
         let generation = self.config.store.generation();
         if generation == self.generation {
             return;
         }
         self.generation = generation;
         self.view = self.config.store.view();
-        self.own = Own::of(&self.view, &self.config.identity);
+        self.own_service = OwnService::look_up(&self.view, &self.config.identity);
         self.agent.handle(now, Event::View(self.view.clone()), &mut self.actions);
         self.run_actions();
     }
@@ -161,17 +163,17 @@
         self.last_tick = now;
         self.agent.handle(now, Event::Tick, &mut self.actions);
         self.run_actions();
-        self.config.counters.show(&self.agent.stats(now));
+        self.config.counters.update_gauges(&self.agent.stats(now));
         self.config.ready.store(self.agent.is_ready(now), Ordering::Release);
-        self.tell_balancers(now);
-        let idle = self.leave.is_quiet(now) && self.held.is_empty();
+        self.notify_balancers(now);
+        let idle = self.leave.balancers_stopped_sending(now) && self.held.is_empty();
         if idle && self.agent.is_handed_over() {
             self.config.handed_over.store(true, Ordering::Release);
         }
     }
 
-    /// Handles one datagram; returns how it was passed if it carried a packet.
-    fn datagram(
+    /// Handles one datagram. If it carried a packet, returns how it was forwarded to this agent.
+    fn handle_datagram(
         &mut self,
         now: Millis,
         slot: usize,
@@ -181,7 +183,7 @@
         let config = &self.config;
         match gate::check(&config.identity, &config.keyring, &self.view, datagram) {
             Err(code) => {
-                self.counts.coded(code);
+                self.counts.count_code(code);
                 None
             }
             Ok(Admitted::Message { header, envelope }) => {
@@ -193,8 +195,8 @@
                 None
             }
             Ok(Admitted::Settings(version)) => {
-                if version > self.own.version {
-                    // The fetching thread lives as long as the process.
+                if version > self.own_service.version {
+                    // Does not fail, since the fetching thread runs as long as the process.
                     let _ = self.config.fetch.send(version);
                 }
                 None
@@ -203,7 +205,7 @@
                 let packet = Packet {
                     service: header.service,
                     flow: header.flow,
-                    kind: inner.kind(self.own.datagram_nonce),
+                    kind: inner.kind(self.own_service.datagram_nonce),
                     sequence: inner.sequence(),
                     view: header.version,
                     hops: header.hops,
@@ -211,14 +213,15 @@
                 };
                 match self.agent.handle_packet(now, &packet, &mut self.actions) {
                     Verdict::Deliver => self.queue_delivery(content, slot, sender),
-                    verdict => self.carry_out(verdict, content, &header, bytes),
+                    verdict => self.apply_verdict(verdict, content, &header, bytes),
                 }
                 Some(header.passed)
             }
         }
     }
 
-    /// Delivers a packet of the present batch, which stays where it was received.
+    /// Queues a packet of the current batch for delivery, without copying it out of the receive
+    /// buffer.
     fn queue_delivery(&mut self, content: Content, slot: usize, sender: &mut Sender) {
         sender.next_prefix().start_plain(content);
         let payload = PayloadRef { slot, start: gue::HEADER_BYTES + SEALED_BYTES };
@@ -226,48 +229,49 @@
         self.counts.add(Count::Delivered, 1);
     }
 
-    /// Does what the core asked for. Actions may lead to no further ones.
+    /// Executes the actions that the core requested. Executing an action never adds another one.
     fn run_actions(&mut self) {
         if self.actions.is_empty() {
             return;
         }
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.run_action(action);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, action: Action) {
+    fn run_action(&mut self, action: Action) {
         match action {
             Action::Send { to, message } => self.send_message(to, message),
             Action::Resolve { hold, verdict } => {
                 if let Some(Held { content, header, bytes }) = self.held.take(hold) {
-                    self.carry_out(verdict, content, &header, &bytes);
+                    self.apply_verdict(verdict, content, &header, &bytes);
                 }
             }
             Action::FetchSettings { at_least } => {
-                // The fetching thread lives as long as the process.
+                // Does not fail, since the fetching thread runs as long as the process.
                 let _ = self.config.fetch.send(at_least);
             }
-            Action::Report(member) => self.report(member),
-            Action::Record(note) => {
-                notes::record(&self.config.timeline, &self.config.account, note);
+            Action::Report(member) => self.report_peer(member),
+            Action::Record(entry) => {
+                notes::record(&self.config.timeline, &self.config.account, entry);
             }
         }
     }
 
     fn drop_packet(&mut self, code: Code) {
-        self.counts.coded(code);
+        self.counts.count_code(code);
     }
 }
 
-impl Own {
-    fn of(view: &View, identity: &Identity) -> Self {
+impl OwnService {
+    fn look_up(view: &View, identity: &Identity) -> Self {
         let account = view.find_account(identity.account);
         let service = view.find_service(identity.service);
         let spec = service.map(|key| &view.service(key).spec);
-        // Without settings of its own the agent takes no packet at all; see `gate::check`.
+        // The fallback has no effect: without settings for its service, `gate::check` rejects every
+        // packet.
         let when_in_doubt = spec.map_or(WhenInDoubt::Refuse, |spec| spec.when_in_doubt);
         Self {
             service,
--- a/crates/agent/src/plane/requests.rs
+++ b/crates/agent/src/plane/requests.rs
@@ -1,4 +1,4 @@
-//! What other threads ask of the data thread.
+//! Requests from other threads to the data thread.
 
 use std::sync::mpsc;
 
@@ -6,53 +6,53 @@
 use decision::keys::{FlowId, UpstreamId, Version};
 use decision::time::Millis;
 
-use super::Plane;
+use super::DataPlane;
 
-/// Requests taken in one batch, so that a burst of them does not hold up packets.
+/// Maximum number of requests handled per batch of packets, so that a burst of requests does not
+/// delay packets.
 const REQUESTS_PER_BATCH: usize = 16;
 
 /// A request to the data thread.
 pub(crate) enum Request {
     /// An event for the decision core.
     Event(Event),
-    /// A list of flows; the answer is dropped if nobody waits for it any more.
-    Flows(Wanted, mpsc::SyncSender<FlowList>),
-    /// Why packets of a flow go where they go; the answer is dropped likewise.
+    /// Lists flows. The reply is dropped if nobody waits for it any more.
+    Flows(FlowQuery, mpsc::SyncSender<FlowList>),
+    /// Explains how packets of a flow are routed. The reply is dropped likewise.
     Explain(FlowId, mpsc::SyncSender<(Version, Explanation)>),
 }
 
-/// Which flows are wanted.
+/// Selects flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Wanted {
-    /// So many, in any order.
-    Some(usize),
-    /// This one.
-    One(FlowId),
+pub(crate) enum FlowQuery {
+    /// At most this many local flows, in any order.
+    Limit(usize),
+    /// The flow with this id.
+    ById(FlowId),
 }
 
 /// Flows as the decision core knows them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct FlowList {
-    /// Open flows in all.
+    /// Total number of open flows.
     pub(crate) open: usize,
-    /// Those wanted.
+    /// The flows that the query selects.
     pub(crate) entries: Vec<FlowEntry>,
 }
 
 /// One flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct FlowEntry {
-    /// Its id.
     pub(crate) flow: FlowId,
     /// `open`, `finishing`, `reset`, `elsewhere` or `unknown`.
     pub(crate) state: &'static str,
-    /// Agent that holds it, if another one.
+    /// Agent that holds the flow, if it is another one.
     pub(crate) holder: Option<UpstreamId>,
 }
 
-impl Plane {
-    /// Takes in what other threads ask for.
-    pub(super) fn take_requests(&mut self, now: Millis) {
+impl DataPlane {
+    /// Handles pending requests from other threads.
+    pub(super) fn handle_requests(&mut self, now: Millis) {
         for _ in 0..REQUESTS_PER_BATCH {
             let Ok(request) = self.requests.try_recv() else { return };
             match request {
@@ -63,9 +63,9 @@
                     self.agent.handle(now, event, &mut self.actions);
                     self.run_actions();
                 }
-                Request::Flows(wanted, reply) => {
-                    // The asker may have timed out; there is nobody to tell then.
-                    let _ = reply.try_send(self.list(now, wanted));
+                Request::Flows(query, reply) => {
+                    // Fails if the requester has timed out; the reply is then no longer needed.
+                    let _ = reply.try_send(self.list_flows(now, query));
                 }
                 Request::Explain(flow, reply) => {
                     let explanation = self.agent.explain(now, flow);
@@ -75,20 +75,20 @@
         }
     }
 
-    fn list(&self, now: Millis, wanted: Wanted) -> FlowList {
-        let entries = match wanted {
-            Wanted::One(flow) => vec![self.find(now, flow)],
-            Wanted::Some(count) => {
-                let held = self.agent.flows().map(|(flow, state)| held(flow, state));
-                held.take(count).collect()
+    fn list_flows(&self, now: Millis, query: FlowQuery) -> FlowList {
+        let entries = match query {
+            FlowQuery::ById(flow) => vec![self.find_flow(now, flow)],
+            FlowQuery::Limit(count) => {
+                let local = self.agent.flows().map(|(flow, state)| local_entry(flow, state));
+                local.take(count).collect()
             }
         };
         FlowList { open: self.agent.open_flows(), entries }
     }
 
-    fn find(&self, now: Millis, flow: FlowId) -> FlowEntry {
+    fn find_flow(&self, now: Millis, flow: FlowId) -> FlowEntry {
         match self.agent.explain(now, flow).location {
-            FlowLocation::Local(state) => held(flow, state),
+            FlowLocation::Local(state) => local_entry(flow, state),
             FlowLocation::Remote(redirect) => {
                 FlowEntry { flow, state: "elsewhere", holder: Some(redirect.holder) }
             }
@@ -97,12 +97,12 @@
     }
 }
 
-fn held(flow: FlowId, state: FlowState) -> FlowEntry {
-    FlowEntry { flow, state: state_word(state), holder: None }
+fn local_entry(flow: FlowId, state: FlowState) -> FlowEntry {
+    FlowEntry { flow, state: state_name(state), holder: None }
 }
 
-/// A flow's state for people and programs.
-pub(crate) fn state_word(state: FlowState) -> &'static str {
+/// Name of a flow's state in HTTP responses.
+pub(crate) fn state_name(state: FlowState) -> &'static str {
     match state {
         FlowState::Open => "open",
         FlowState::Finishing => "finishing",
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Life of the process: start with the newest settings, serve, hand over, end.
+//! Process life cycle: load the newest settings, serve, hand over to the peers, exit.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -26,18 +26,18 @@
 
 use crate::counters::Counters;
 use crate::gate::Identity;
-use crate::plane::{self, Addresses, Plane, PlaneConfig, Request};
+use crate::plane::{self, Addresses, DataPlane, DataPlaneConfig, Request};
 use crate::status::StatusReader;
 
-/// Events kept for the time line: about a minute of openings at today's rates.
+/// Capacity of the time line: about a minute of openings at current rates.
 const TIMELINE_EVENTS: usize = 16_384;
-/// Peers asked for settings that a packet showed to be newer.
+/// Peers queried when a datagram shows that newer settings exist.
 const PEERS_PER_FETCH: usize = 3;
-/// How often the start looks for settings, and the end for the grace time.
-const POLL: Duration = Duration::from_millis(20);
-/// An upstream that started less than this ago and holds no flow can have none of an earlier life
-/// of this agent.
-const FRESH_UPSTREAM_MS: u64 = 2_000;
+/// Interval at which start-up checks for settings, and shutdown for the completed hand-over.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum age of an upstream that counts as new. A new upstream without open flows cannot hold
+/// flows that a previous incarnation of this agent admitted.
+const NEW_UPSTREAM_MAX_AGE_MS: u64 = 2_000;
 
 struct Process {
     settings: AgentSettings,
@@ -46,14 +46,14 @@
     metrics: Arc<Metrics>,
     counters: Counters,
     shutdown: Shutdown,
-    /// True while the data thread serves and the agent votes.
+    /// True while the data thread is running and the agent votes on claims.
     serving: Arc<AtomicBool>,
 }
 
-/// Runs an agent until it is told to shut down.
+/// Runs an agent until shutdown is requested.
 ///
-/// Errors: a [`StartFault`] if an address is taken, a key is missing or a thread cannot be started;
-/// nothing has been served then.
+/// Errors: a [`StartFault`] if an address is in use, a key is missing or a thread cannot be
+/// started. The agent has not served any packet in that case.
 pub fn run(settings: AgentSettings) -> Result<(), StartFault> {
     telemetry::log::start(&settings.instance);
     let metrics = Arc::new(Metrics::default());
@@ -86,13 +86,13 @@
     ) -> Result<(), StartFault> {
         let keyring = self.keyring()?;
         let status = StatusReader::new(self.settings.upstream_status_address);
-        let (fetch, wanted) = mpsc::channel();
-        self.start_readers(wanted)?;
+        let (fetch, fetch_requests) = mpsc::channel();
+        self.start_readers(fetch_requests)?;
         if !self.wait_for_settings() {
             return Ok(());
         }
-        let (end, handed_over) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
-        let config = PlaneConfig {
+        let (stop, handed_over) = (Arc::<AtomicBool>::default(), Arc::<AtomicBool>::default());
+        let config = DataPlaneConfig {
             socket,
             addresses: Addresses {
                 upstream: self.settings.upstream_address,
@@ -107,14 +107,14 @@
             fetch,
             handed_over: handed_over.clone(),
             ready: self.serving.clone(),
-            end: end.clone(),
+            stop: stop.clone(),
         };
-        let data = self.start_plane(config, inbox, status.read())?;
+        let data = self.start_data_plane(config, inbox, status.read())?;
         self.start_status(status, requests.clone())?;
         self.wait_for_shutdown();
         self.hand_over(requests, &handed_over);
-        end.store(true, Ordering::Relaxed);
-        // A data thread that panicked has already said so; the shutdown goes on.
+        stop.store(true, Ordering::Relaxed);
+        // A panic of the data thread has already been printed; shutdown continues regardless.
         let _ = data.join();
         log::info!("stopped");
         Ok(())
@@ -132,7 +132,7 @@
         Ok(Arc::new(move |account| (*account == *own).then_some(ring)))
     }
 
-    fn start_readers(&self, wanted: mpsc::Receiver<Version>) -> Result<(), StartFault> {
+    fn start_readers(&self, requests: mpsc::Receiver<Version>) -> Result<(), StartFault> {
         let platform = self.settings.platform_address;
         let instances: Arc<Instances> = Arc::default();
         let reader = Reader::new(platform, self.store.clone(), instances);
@@ -140,18 +140,18 @@
         let (fetcher, fetch_peers) = (reader.clone(), peers.clone());
         let (shutdown, peer_shutdown) = (self.shutdown.clone(), self.shutdown.clone());
         let confirmed = self.store.clone();
-        // Different for each agent, so that not all of them turn to the service at once.
+        // Random per agent, so that not all of them query the platform at the same time.
         let fallback_ms = FALLBACK_READ_MS + rand::random_range(0..FALLBACK_READ_MS);
         let must_read =
             move || !confirmed.is_current() || confirmed.confirmed_age_ms() > fallback_ms;
         spawn("platform", move || reader.run(&shutdown, must_read))?;
         spawn("peers", move || peers.run(&peer_shutdown))?;
         let (store, account) = (self.store.clone(), self.settings.account.clone());
-        spawn("fetch", move || fetch_wanted(&wanted, &store, &account, &fetcher, &fetch_peers))?;
+        spawn("fetch", move || serve_fetches(&requests, &store, &account, &fetcher, &fetch_peers))?;
         Ok(())
     }
 
-    /// Peers to ask: those of the settings file and the agents of the own service.
+    /// Peers to query: those of the settings file and the other agents of this service.
     fn candidates(&self) -> Arc<dyn Fn() -> Vec<SocketAddr> + Send + Sync> {
         let (store, service) = (self.store.clone(), self.identity().service);
         let (configured, own) = (self.settings.peers.clone(), self.settings.control_address);
@@ -167,20 +167,21 @@
         })
     }
 
-    /// Waits until the settings are current and name this upstream; false if told to shut down.
+    /// Waits until the settings are current and list this upstream. Returns false if shutdown is
+    /// requested first.
     fn wait_for_settings(&self) -> bool {
-        let mut said = false;
+        let mut warned = false;
         while !self.shutdown.is_requested() {
             let known = self.is_in_settings();
             if known && self.store.is_current() {
                 return true;
             }
-            if self.store.is_current() && !said {
+            if self.store.is_current() && !warned {
                 let code = codes::NOT_IN_SETTINGS;
-                log::warn!(code = code.0; "{code}: the published settings do not name this upstream");
-                said = true;
+                log::warn!(code = code.0; "{code}: the published settings do not list this upstream");
+                warned = true;
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
         false
     }
@@ -191,13 +192,13 @@
         service.is_some_and(|key| view.find_upstream(key, self.upstream()).is_some())
     }
 
-    fn start_plane(
+    fn start_data_plane(
         &self,
-        config: PlaneConfig,
+        config: DataPlaneConfig,
         inbox: mpsc::Receiver<Request>,
         report: Option<UpstreamReport>,
     ) -> Result<JoinHandle<()>, StartFault> {
-        // Read before the view: a change in between is then taken in a second time, not missed.
+        // Read before the view, so that a change in between is applied twice rather than missed.
         let generation = self.store.generation();
         let view = self.store.view();
         let agent_config = AgentConfig {
@@ -210,7 +211,7 @@
         let agent = Agent::new(agent_config, view.clone(), boottime::now());
         #[cfg(feature = "mutants")]
         let agent = crate::mutant::apply(agent);
-        let plane = Plane::new(config, agent, view, generation, inbox);
+        let plane = DataPlane::new(config, agent, view, generation, inbox);
         let handle = spawn("data", move || plane.run())?;
         self.timeline.record(self.settings.account.clone(), "started", Fields::default());
         log::info!("started");
@@ -224,7 +225,7 @@
     ) -> Result<(), StartFault> {
         let shutdown = self.shutdown.clone();
         let report = move |report| {
-            // The data thread outlives this one but for the last moments of the process.
+            // Sending fails only if the data thread has ended, that is while the process exits.
             let _ = requests.send(Request::Event(Event::Upstream(report)));
         };
         spawn("upstream-status", move || status.run(&shutdown, report)).map(|_| ())
@@ -232,12 +233,12 @@
 
     fn wait_for_shutdown(&self) {
         while !self.shutdown.is_requested() {
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Keeps serving until the peers have acknowledged what this agent knows, for the grace time at
-    /// most.
+    /// Keeps serving until the peers have acknowledged everything that this agent knows, or until
+    /// the grace time has elapsed.
     fn hand_over(&self, requests: &mpsc::Sender<Request>, handed_over: &AtomicBool) {
         self.timeline.record(self.settings.account.clone(), "leaving", Fields::default());
         log::info!("shutting down");
@@ -245,7 +246,7 @@
         let started = Instant::now();
         let grace = Duration::from_millis(self.settings.shutdown_grace_ms);
         while started.elapsed() < grace && !handed_over.load(Ordering::Acquire) {
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -280,35 +281,35 @@
     }
 }
 
-/// Whether the upstream may hold flows that an earlier life of this agent admitted.
+/// Whether the upstream may hold flows that a previous incarnation of this agent admitted.
 ///
-/// Taking an old upstream for a new one would break its flows, so only an answer that says both
-/// that the upstream has just started and that it holds nothing counts as new.
+/// Mistaking an old upstream for a new one would break its flows. An upstream therefore counts as
+/// new only if it reports both that it has just started and that it has no open flows.
 fn may_have_prior_flows(report: Option<UpstreamReport>) -> bool {
     !report.is_some_and(|report| {
-        report.open_flows == 0 && report.age_ms.is_some_and(|age| age < FRESH_UPSTREAM_MS)
+        report.open_flows == 0 && report.age_ms.is_some_and(|age| age < NEW_UPSTREAM_MAX_AGE_MS)
     })
 }
 
-/// Fetches settings that a peer's packet showed to be newer, from peers first: the platform may be
-/// down, and its reads are scarce.
-fn fetch_wanted(
-    wanted: &mpsc::Receiver<Version>,
+/// Fetches settings of at least the requested versions, which received datagrams have shown to
+/// exist. Queries peers first, because the platform may be down and its read capacity is limited.
+fn serve_fetches(
+    requests: &mpsc::Receiver<Version>,
     store: &Store,
     account: &str,
     platform: &Reader,
     peers: &PeerReader,
 ) {
-    let in_force = || {
+    let current_version = || {
         let versions = store.versions();
         let found = versions.iter().find(|(name, _)| **name == *account);
         found.map_or(Version(0), |(_, version)| *version)
     };
-    while let Ok(at_least) = wanted.recv() {
-        if in_force() < at_least {
+    while let Ok(at_least) = requests.recv() {
+        if current_version() < at_least {
             peers.compare_some(PEERS_PER_FETCH);
         }
-        if in_force() < at_least {
+        if current_version() < at_least {
             platform.fetch(account);
         }
     }
