--- a/crates/decision/src/agent/tests/assign.rs
+++ b/crates/decision/src/agent/tests/assign.rs
@@ -42,7 +42,7 @@
         fleet.send(number as usize % 5, flow(number), opening(1));
         fleet.send(number as usize % 5, flow(number), PacketKind::Middle);
         if number % 10 == 9 {
-            fleet.pass(MAX_TICK_INTERVAL_MS);
+            fleet.advance(MAX_TICK_INTERVAL_MS);
         }
     }
     let most = fleet.agents.iter().map(Agent::open_flows).max().expect("agents");
@@ -56,12 +56,12 @@
 #[case::half_way(0, 5_000, 55)]
 #[case::frozen_report(0, 20_000, 100)]
 #[case::warm(60_000, 0, 100)]
-fn ramp(#[case] age_ms: u64, #[case] pass_ms: u64, #[case] percent: u8) {
+fn ramp(#[case] age_ms: u64, #[case] elapsed_ms: u64, #[case] percent: u8) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 2));
     let cold = UpstreamReport { age_ms: Some(age_ms), ..report() };
-    fleet.event(0, Event::Upstream(cold));
-    fleet.pass(pass_ms);
-    fleet.event(0, Event::Upstream(cold));
+    fleet.handle_event(0, Event::Upstream(cold));
+    fleet.advance(elapsed_ms);
+    fleet.handle_event(0, Event::Upstream(cold));
     let mut out = Vec::new();
     fleet.agents[0].handle(fleet.now, Event::Leave, &mut out);
     let told = out.iter().find_map(|action| match action {
--- a/crates/decision/src/agent/tests/early.rs
+++ b/crates/decision/src/agent/tests/early.rs
@@ -31,12 +31,12 @@
         }
         Before::Draining(rank) => {
             let report = UpstreamReport { draining: true, ..report() };
-            fleet.event(ranking[rank], Event::Upstream(report));
-            fleet.pump();
+            fleet.handle_event(ranking[rank], Event::Upstream(report));
+            fleet.deliver_messages();
         }
         Before::Silent(rank) => {
-            fleet.cut.push(ranking[rank]);
-            fleet.pass(3_000);
+            fleet.cut_off.push(ranking[rank]);
+            fleet.advance(3_000);
         }
         Before::Newer(rank) => {
             let mut newer = spec.clone();
@@ -79,8 +79,8 @@
 fn home_not_accepting(#[case] bad: UpstreamReport) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 4));
     for number in 0..200 {
-        fleet.event(0, Event::Upstream(bad));
-        fleet.pump();
+        fleet.handle_event(0, Event::Upstream(bad));
+        fleet.deliver_messages();
         let home = fleet.ranking(flow(number))[0];
         let outcome = fleet.send(home, flow(number), opening(1));
         assert!(matches!(outcome, Outcome::Delivered(at) if at != 0), "{number}: {outcome:?}");
@@ -110,11 +110,11 @@
 fn returned_home_asks_stand_in(#[case] paused: bool) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
     let ranking = fleet.ranking(flow(5));
-    fleet.cut.push(ranking[0]);
+    fleet.cut_off.push(ranking[0]);
     fleet.paused.extend(paused.then_some(ranking[0]));
-    fleet.pass(3_000);
+    fleet.advance(3_000);
     let stand_in = fleet.send(ranking[1], flow(5), opening(1));
-    fleet.cut.clear();
+    fleet.cut_off.clear();
     fleet.paused.clear();
     assert_eq!(fleet.send(ranking[0], flow(5), opening(1)), stand_in);
 }
@@ -125,11 +125,11 @@
 #[test]
 fn returned_opening_is_answered() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 2));
-    fleet.cut = vec![0, 1];
+    fleet.cut_off = vec![0, 1];
     for index in 0..2 {
-        fleet.event(index, Event::Upstream(UpstreamReport { draining: true, ..report() }));
+        fleet.handle_event(index, Event::Upstream(UpstreamReport { draining: true, ..report() }));
     }
-    fleet.cut.clear();
+    fleet.cut_off.clear();
     let assigned =
         Packet { forwarding: Forwarding::Assigned, hops: 1, ..packet(flow(1), opening(1)) };
     assert_eq!(fleet.send_packet(0, assigned), Outcome::Refused(Reason::AllFull));
@@ -149,15 +149,15 @@
     let ranks = |fleet: &Fleet, flow: u64| fleet.ranking(flow).starts_with(&[0, 1]);
     let flows: Vec<u64> = (0..2_000).map(flow).filter(|flow| ranks(&fleet, *flow)).collect();
     assert!(flows.len() > 20, "{}", flows.len());
-    fleet.cut.push(0);
-    fleet.pass(3_000);
+    fleet.cut_off.push(0);
+    fleet.advance(3_000);
     for flow in &flows {
         let old = fleet.send(1, *flow, opening(1));
         assert_eq!(fleet.send(1, *flow, PacketKind::Middle), old, "{flow}");
         assert_eq!(fleet.send(1, *flow, PacketKind::Reset), old, "{flow}");
     }
-    fleet.cut.clear();
-    fleet.pass(back_ms);
+    fleet.cut_off.clear();
+    fleet.advance(back_ms);
     for flow in &flows {
         let new = fleet.send(1, *flow, opening(2));
         assert!(matches!(new, Outcome::Delivered(_)), "{flow}: {new:?}");
@@ -172,20 +172,20 @@
 fn held_opening_goes_elsewhere_after_a_drain() {
     let mut spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::started(&spec);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     let home = fleet.ranking(flow(1))[0];
     fleet.arrive(home, packet(flow(1), opening(1)));
     assert_eq!(fleet.held.len(), 1, "it waits for former homes");
     fleet.messages.clear();
     fleet.paused = vec![home];
-    fleet.cut = vec![home];
-    fleet.pass(4_000);
+    fleet.cut_off = vec![home];
+    fleet.advance(4_000);
     fleet.paused.clear();
-    fleet.cut.clear();
+    fleet.cut_off.clear();
     spec.version = 2;
     spec.states[home] = UpstreamState::Draining;
     (0..3).for_each(|index| fleet.install(index, &spec));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     assert!(fleet.outcomes.iter().all(|outcome| *outcome != Outcome::Delivered(home)));
     assert!(matches!(fleet.outcomes[0], Outcome::Delivered(_)), "{:?}", fleet.outcomes);
 }
--- a/crates/decision/src/agent/tests/explain.rs
+++ b/crates/decision/src/agent/tests/explain.rs
@@ -19,17 +19,17 @@
 #[case::first_leaving(&[], &[0], [AgentStatus::Leaving, AgentStatus::Up, AgentStatus::Up], 1)]
 #[case::two_down(&[1], &[0], [AgentStatus::Leaving, AgentStatus::Suspected, AgentStatus::Up], 2)]
 fn explain_standing(
-    #[case] cut: &[usize],
+    #[case] cut_off: &[usize],
     #[case] leaving: &[usize],
     #[case] expected: [AgentStatus; 3],
     #[case] home: usize,
 ) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
     let ranking = fleet.ranking(1);
-    leaving.iter().for_each(|rank| fleet.event(ranking[*rank], Event::Leave));
-    fleet.pump();
-    fleet.cut = cut.iter().map(|rank| ranking[*rank]).collect();
-    fleet.pass(5_000);
+    leaving.iter().for_each(|rank| fleet.handle_event(ranking[*rank], Event::Leave));
+    fleet.deliver_messages();
+    fleet.cut_off = cut_off.iter().map(|rank| ranking[*rank]).collect();
+    fleet.advance(5_000);
     assert_eq!(standings(&fleet, 2), (expected.to_vec(), Some(home)));
 }
 
@@ -37,7 +37,7 @@
 fn explain_leaving_itself() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 2));
     let first = fleet.ranking(1)[0];
-    fleet.event(first, Event::Leave);
+    fleet.handle_event(first, Event::Leave);
     assert_eq!(standings(&fleet, 0).0, [AgentStatus::Leaving, AgentStatus::Up]);
 }
 
@@ -49,7 +49,7 @@
     assert_eq!(location(&fleet, 0), FlowLocation::Unknown);
     let home = fleet.ranking(1)[0];
     fleet.send(home, 1, opening(7));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     let holder = fleet.holder(1).unwrap();
     assert!(matches!(location(&fleet, holder), FlowLocation::Local(_)));
     let FlowLocation::Remote(redirect) = location(&fleet, 1 - holder) else { panic!("not known") };
--- a/crates/decision/src/agent/tests/flows.rs
+++ b/crates/decision/src/agent/tests/flows.rs
@@ -29,7 +29,7 @@
     for step in steps {
         match step {
             Send(kind) => assert_eq!(fleet.send(0, 1, *kind), Outcome::Delivered(0)),
-            Pass(ms) => fleet.pass(*ms),
+            Pass(ms) => fleet.advance(*ms),
         }
     }
     let expected = match alive {
@@ -70,7 +70,7 @@
     fleet.send(0, 1, PacketKind::Middle);
     let late = Packet { sequence: FAR, ..packet(1, end) };
     assert_eq!(fleet.send_packet(0, late), Outcome::Delivered(0));
-    fleet.pass(15 * MINUTE_MS);
+    fleet.advance(15 * MINUTE_MS);
     assert_eq!(fleet.send(0, 1, PacketKind::Middle), Outcome::Delivered(0));
     assert_eq!(fleet.agents[0].open_flows(), 1);
 }
@@ -82,7 +82,7 @@
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 1));
     fleet.send(0, 1, opening(1));
     fleet.send(0, 1, PacketKind::Middle);
-    fleet.pass(MINUTE_MS);
+    fleet.advance(MINUTE_MS);
     for kind in [opening(FAR), PacketKind::Middle, PacketKind::Reset] {
         fleet.send_packet(0, Packet { sequence: FAR, ..packet(1, kind) });
     }
@@ -97,7 +97,7 @@
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 1));
     fleet.send(0, 1, opening(1));
     fleet.send(0, 1, PacketKind::Middle);
-    fleet.pass(3 * MINUTE_MS);
+    fleet.advance(3 * MINUTE_MS);
     for kind in [opening(FAR), PacketKind::Middle, PacketKind::Finish] {
         let outcome = fleet.send_packet(0, Packet { sequence: FAR, ..packet(1, kind) });
         assert_eq!(outcome, Outcome::Delivered(0));
@@ -115,6 +115,6 @@
         panic!("the opening must be delivered");
     };
     assert_eq!(fleet.send(holder, flow(1), PacketKind::Reset), Outcome::Delivered(holder));
-    fleet.pass(11_000);
+    fleet.advance(11_000);
     assert_eq!(fleet.send(holder, flow(1), opening(FAR)), Outcome::Delivered(holder));
 }
--- a/crates/decision/src/agent/tests/handover.rs
+++ b/crates/decision/src/agent/tests/handover.rs
@@ -15,12 +15,12 @@
     (0..50).for_each(|number| {
         fleet.send(0, flow(number), opening(1));
     });
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     if leaves {
         fleet.leave(2);
     }
     fleet.restart(2, &spec);
-    fleet.pass(500);
+    fleet.advance(500);
     assert_eq!(fleet.agents[2].stats(fleet.now).may_hold_unknown_flows, unsure);
 }
 
@@ -31,14 +31,14 @@
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
     let other = (home + 1) % 4;
-    fleet.event(other, Event::Leave);
-    fleet.pump();
-    fleet.pass(300);
+    fleet.handle_event(other, Event::Leave);
+    fleet.deliver_messages();
+    fleet.advance(300);
     let opened = fleet.send(home, flow(1), opening(1));
     assert_eq!(opened, Outcome::Delivered(home));
     fleet.restart(home, &spec);
     fleet.restart(other, &spec);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     assert_eq!(fleet.send(home, flow(1), PacketKind::Middle), opened);
 }
 
@@ -48,10 +48,10 @@
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(2, &spec);
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     fleet.leave(2);
     fleet.restart(2, &spec);
-    fleet.pass(500);
+    fleet.advance(500);
     assert!(fleet.agents[2].stats(fleet.now).may_hold_unknown_flows);
 }
 
@@ -63,17 +63,17 @@
     let mut fleet = Fleet::settled(&spec);
     let ranking = fleet.ranking(flow(1));
     let (holder, told, untold) = (ranking[0], ranking[1], ranking[2]);
-    fleet.cut.push(untold);
+    fleet.cut_off.push(untold);
     let opened = fleet.send(holder, flow(1), opening(1));
-    fleet.pass(300);
-    fleet.cut = vec![holder];
-    fleet.pass(3_000);
+    fleet.advance(300);
+    fleet.cut_off = vec![holder];
+    fleet.advance(3_000);
     fleet.leave(told);
     fleet.restart(told, &spec);
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     fleet.restart(holder, &spec);
-    fleet.cut.clear();
-    fleet.pass(1_000);
+    fleet.cut_off.clear();
+    fleet.advance(1_000);
     assert_eq!(fleet.holder(flow(1)), Some(holder));
     assert_eq!(fleet.send(untold, flow(1), PacketKind::Middle), opened);
 }
@@ -87,20 +87,20 @@
     let home = fleet.ranking(flow(1))[0];
     let at_home = (0..200).map(flow).filter(|flow| fleet.ranking(*flow)[0] == home);
     let flows: Vec<u64> = at_home.collect();
-    fleet.cut = (0..3).filter(|index| *index != home).collect();
+    fleet.cut_off = (0..3).filter(|index| *index != home).collect();
     let lost = flows.iter().find(|flow| fleet.send(home, **flow, opening(1)) == Outcome::Lost);
     assert!(lost.is_some(), "none was assigned to another agent");
-    let assigned = fleet.notes.iter().find_map(|(_, note)| match note {
+    let assigned = fleet.timeline.iter().find_map(|(_, note)| match note {
         TimelineEntry::Assigned { to, .. } => Some(*to),
         _ => None,
     });
     let holder = fleet.index(assigned.expect("an assigned opening"));
-    fleet.cut.clear();
-    fleet.event(holder, Event::Leave);
-    fleet.pump();
-    fleet.pass(300);
+    fleet.cut_off.clear();
+    fleet.handle_event(holder, Event::Leave);
+    fleet.deliver_messages();
+    fleet.advance(300);
     fleet.restart(holder, &spec);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     assert_eq!(fleet.agents[holder].open_flows(), 0);
 }
 
@@ -112,7 +112,7 @@
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
     fleet.send(home, flow(1), opening(1));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     fleet.restart(home, &spec);
     fleet.send(home, flow(1), PacketKind::Middle);
     fleet.send(home, flow(1), PacketKind::Finish);
@@ -125,18 +125,18 @@
 fn replaced_feed_is_told_to_have_ended() {
     let spec = Spec::new(WhenInDoubt::Refuse, 4);
     let mut fleet = Fleet::settled(&spec);
-    fleet.pass(125_000);
+    fleet.advance(125_000);
     let ranking = fleet.ranking(flow(1));
     let (home, third) = (ranking[0], ranking[3]);
     fleet.send(home, flow(1), opening(1));
-    fleet.pass(1_000);
-    fleet.cut.push(home);
-    fleet.pass(3_000);
+    fleet.advance(1_000);
+    fleet.cut_off.push(home);
+    fleet.advance(3_000);
     fleet.restart(third, &spec);
-    fleet.pass(1_000);
-    fleet.cut.clear();
+    fleet.advance(1_000);
+    fleet.cut_off.clear();
     fleet.restart(home, &spec);
-    fleet.pass(125_000);
+    fleet.advance(125_000);
     fleet.send(home, flow(1), opening(2));
     fleet.send(home, flow(1), PacketKind::Finish);
     assert_eq!(open_flows_of_next_life(&mut fleet, home, &spec), 0);
@@ -147,10 +147,10 @@
 fn nothing_is_taken_after_the_handover() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
-    fleet.pass(125_000);
+    fleet.advance(125_000);
     let home = fleet.ranking(flow(1))[0];
     fleet.send(home, flow(1), opening(1));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     fleet.leave(home);
     let outcome = fleet.send(home, flow(1), opening(2));
     assert_ne!(outcome, Outcome::Delivered(home));
@@ -167,20 +167,20 @@
     let (home, other) = (ranking[0], ranking[3]);
     let opened = fleet.send(home, flow(1), opening(1));
     assert_eq!(opened, Outcome::Delivered(home));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     if leaves {
         fleet.leave(other);
     }
     fleet.restart(other, &spec);
-    fleet.pass(500);
+    fleet.advance(500);
     let copy = Packet { hops: 1, forwarding: Forwarding::Assigned, ..packet(flow(1), opening(1)) };
     assert_eq!(fleet.send_packet(other, copy), opened);
 }
 
 /// Flows that an agent counts after it has died and relearned what its peers know.
 fn open_flows_of_next_life(fleet: &mut Fleet, index: usize, spec: &Spec) -> usize {
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     fleet.restart(index, spec);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     fleet.agents[index].open_flows()
 }
--- a/crates/decision/src/agent/tests/install.rs
+++ b/crates/decision/src/agent/tests/install.rs
@@ -17,7 +17,7 @@
         spec.version = *version;
         fleet.install(0, &spec);
     }
-    fleet.event(0, Event::View(Arc::new(View::default())));
+    fleet.handle_event(0, Event::View(Arc::new(View::default())));
     assert_eq!(fleet.agents[0].version(), Version(in_force));
 }
 
--- a/crates/decision/src/agent/tests/lookup.rs
+++ b/crates/decision/src/agent/tests/lookup.rs
@@ -161,14 +161,14 @@
     let (first, second) = (fleet.ranking(flow(1))[0], fleet.ranking(flow(1))[1]);
     assert_eq!(fleet.send(first, flow(1), opening(1)), Outcome::Delivered(first));
     assert_eq!(fleet.send(first, flow(1), PacketKind::Reset), Outcome::Delivered(first));
-    fleet.cut = vec![first];
-    fleet.pass(5_000);
+    fleet.cut_off = vec![first];
+    fleet.advance(5_000);
     let next = |kind| Packet { sequence: NEXT, ..packet(flow(1), kind) };
     let Outcome::Delivered(holder) = fleet.send_packet(second, next(opening(NEXT))) else {
         panic!("the next connection must open");
     };
     assert_ne!(holder, first);
-    fleet.cut = if silent { vec![holder] } else { Vec::new() };
+    fleet.cut_off = if silent { vec![holder] } else { Vec::new() };
     let expected = match silent {
         true => Outcome::Dropped(Reason::HolderSilent),
         false => Outcome::Delivered(holder),
@@ -185,11 +185,11 @@
     let mut fleet = Fleet::settled(&spec);
     let ranking = fleet.ranking(flow(1));
     fleet.restart(ranking[1], &spec);
-    fleet.pass(12_000);
+    fleet.advance(12_000);
     let Outcome::Delivered(holder) = fleet.send(ranking[0], flow(1), opening(1)) else {
         panic!("the session must open");
     };
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     assert_ne!(holder, ranking[1]);
     let asked = |fleet: &mut Fleet, number: u64| {
         let message = Message::Ask { flow: FlowId(flow(number)), question: 1 };
@@ -216,22 +216,22 @@
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
     fleet.restart(home, &spec);
-    fleet.pass(70_000);
+    fleet.advance(70_000);
     assert_eq!(fleet.send(home, flow(1), opening(1)), Outcome::Delivered(home));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     spec.version = 2;
     spec.states[home] = UpstreamState::Draining;
     (0..3).for_each(|index| fleet.install(index, &spec));
-    fleet.pass(12_000);
+    fleet.advance(12_000);
     assert_eq!(fleet.send(home, flow(1), PacketKind::Reset), Outcome::Delivered(home));
     fleet.arrive(home, packet(flow(1), PacketKind::Middle));
     // The peers answer now, and their answers arrive after the opening.
     for (to, from, message) in std::mem::take(&mut fleet.messages) {
-        fleet.event(to, Event::Message { from, message });
+        fleet.handle_event(to, Event::Message { from, message });
     }
     let next = |kind| Packet { sequence: NEXT, ..packet(flow(1), kind) };
     fleet.arrive(home, next(opening(NEXT)));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     let holder = fleet.holder(flow(1)).expect("a holder");
     assert_ne!(holder, home);
     assert_eq!(fleet.send_packet(home, next(PacketKind::Middle)), Outcome::Delivered(holder));
--- a/crates/decision/src/agent/tests/memberships.rs
+++ b/crates/decision/src/agent/tests/memberships.rs
@@ -26,11 +26,11 @@
     let mut fleet = Fleet::settled(&spec);
     retire(&mut spec, 2, &[0, 1, 2]);
     (0..6).for_each(|index| fleet.install(index, &spec));
-    fleet.pass(500);
-    fleet.cut = vec![0, 1, 2];
-    fleet.pass(125_000);
+    fleet.advance(500);
+    fleet.cut_off = vec![0, 1, 2];
+    fleet.advance(125_000);
     fleet.restart(restarted, &spec);
-    fleet.pass(5_000);
+    fleet.advance(5_000);
     for number in 0..20 {
         let outcome = fleet.send(restarted, flow(number), opening(1));
         assert!(matches!(outcome, Outcome::Delivered(_)), "{number}: {outcome:?}");
@@ -48,16 +48,16 @@
     let mut fleet = Fleet::settled(&spec);
     retire(&mut spec, 2, &[2]);
     (0..4).for_each(|index| fleet.install(index, &spec));
-    fleet.pass(1_000);
-    fleet.cut = vec![2];
+    fleet.advance(1_000);
+    fleet.cut_off = vec![2];
     spec.version = 3;
     (0..4).for_each(|index| fleet.install(index, &spec));
     retire(&mut spec, 4, &[0]);
     (0..4).for_each(|index| fleet.install(index, &spec));
-    fleet.pass(1_000);
-    fleet.cut = vec![0, 2];
+    fleet.advance(1_000);
+    fleet.cut_off = vec![0, 2];
     fleet.restart(1, &spec);
-    fleet.pass(130_000);
+    fleet.advance(130_000);
     for number in 0..20 {
         let outcome = fleet.send(1, flow(number), opening(1));
         assert!(matches!(outcome, Outcome::Delivered(_)), "{number}: {outcome:?}");
@@ -72,12 +72,12 @@
     let mut spec = Spec::new(WhenInDoubt::Refuse, 6);
     spec.listed[3..].fill((2, None));
     let mut fleet = Fleet::settled(&spec);
-    fleet.cut = vec![0, 1];
+    fleet.cut_off = vec![0, 1];
     retire(&mut spec, 2, &[0, 1, 2]);
     (2..6).for_each(|index| fleet.install(index, &spec));
-    fleet.pass(130_000);
+    fleet.advance(130_000);
     fleet.restart(3, &spec);
-    fleet.pass(130_000);
+    fleet.advance(130_000);
     let outcome = fleet.send(3, flow(1), opening(1));
     assert!(!matches!(outcome, Outcome::Delivered(_)), "{outcome:?}");
 }
--- a/crates/decision/src/agent/tests/mod.rs
+++ b/crates/decision/src/agent/tests/mod.rs
@@ -52,7 +52,7 @@
     when_in_doubt: WhenInDoubt,
     transport: Transport,
     /// Whether the service has an endpoint of the other protocol as well.
-    mixed: bool,
+    both_protocols: bool,
     max_flows: u32,
     states: Vec<UpstreamState>,
     /// By upstream: first version that lists it and version that retires it.
@@ -65,7 +65,7 @@
             version: 1,
             when_in_doubt,
             transport: Transport::Tcp,
-            mixed: false,
+            both_protocols: false,
             max_flows: 2_000,
             states: vec![UpstreamState::Active; upstreams],
             listed: vec![(1, None); upstreams],
@@ -94,7 +94,7 @@
         let other = Some(Endpoint { transport: other, ..endpoint });
         let service = ServiceSpec {
             name: SERVICE.into(),
-            endpoints: [Some(endpoint), other.filter(|_| self.mixed)]
+            endpoints: [Some(endpoint), other.filter(|_| self.both_protocols)]
                 .into_iter()
                 .flatten()
                 .collect(),
@@ -128,15 +128,15 @@
     now: Millis,
     agents: Vec<Agent>,
     /// Agents that neither get nor send anything.
-    cut: Vec<usize>,
+    cut_off: Vec<usize>,
     /// Agents that see no time pass; they are cut off as well.
     paused: Vec<usize>,
     /// Agents that cannot read what the last release did not have.
-    last_release: Vec<usize>,
+    previous_release: Vec<usize>,
     messages: VecDeque<(usize, UpstreamId, Message)>,
     held: Vec<(usize, HoldKey, Packet)>,
     outcomes: Vec<Outcome>,
-    notes: Vec<(usize, TimelineEntry)>,
+    timeline: Vec<(usize, TimelineEntry)>,
     fetches: Vec<(usize, Version)>,
     reports: Vec<(usize, Member)>,
 }
@@ -145,7 +145,7 @@
     /// Agents without a past, after time enough that nobody doubts anything.
     fn settled(spec: &Spec) -> Self {
         let mut fleet = Self::started(spec);
-        fleet.pass(12_000);
+        fleet.advance(12_000);
         fleet
     }
 
@@ -157,13 +157,13 @@
         Self {
             now,
             agents,
-            cut: Vec::new(),
+            cut_off: Vec::new(),
             paused: Vec::new(),
-            last_release: Vec::new(),
+            previous_release: Vec::new(),
             messages: VecDeque::new(),
             held: Vec::new(),
             outcomes: Vec::new(),
-            notes: Vec::new(),
+            timeline: Vec::new(),
             fetches: Vec::new(),
             reports: Vec::new(),
         }
@@ -171,19 +171,19 @@
 
     /// The agent dies without handover and comes back, its upstream unharmed.
     fn restart(&mut self, index: usize, spec: &Spec) {
-        let life = 2 + self.now.0;
-        self.agents[index] = agent(index, life, true, spec.view(), self.now);
+        let incarnation = 2 + self.now.0;
+        self.agents[index] = agent(index, incarnation, true, spec.view(), self.now);
         self.held.retain(|(at, _, _)| *at != index);
     }
 
     /// The agent is told to end, and has time to hand over.
     fn leave(&mut self, index: usize) {
-        self.event(index, Event::Leave);
-        self.pump();
-        self.pass(1_000);
+        self.handle_event(index, Event::Leave);
+        self.deliver_messages();
+        self.advance(1_000);
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         let end = self.now.after(ms);
         while self.now < end {
             self.now = self.now.after(MAX_TICK_INTERVAL_MS);
@@ -191,21 +191,21 @@
                 if self.paused.contains(&index) {
                     continue;
                 }
-                self.event(index, Event::Tick);
+                self.handle_event(index, Event::Tick);
             }
-            self.pump();
+            self.deliver_messages();
         }
     }
 
-    fn event(&mut self, index: usize, event: Event) {
+    fn handle_event(&mut self, index: usize, event: Event) {
         let mut out = Vec::new();
         self.agents[index].handle(self.now, event, &mut out);
-        self.act(index, out);
+        self.perform(index, out);
     }
 
     fn install(&mut self, index: usize, spec: &Spec) {
-        self.event(index, Event::View(spec.view()));
-        self.pump();
+        self.handle_event(index, Event::View(spec.view()));
+        self.deliver_messages();
     }
 
     /// Hands one packet to an agent and follows it to its end, for up to two seconds.
@@ -216,28 +216,28 @@
     fn send_packet(&mut self, to: usize, packet: Packet) -> Outcome {
         let before = self.outcomes.len();
         self.arrive(to, packet);
-        self.pump();
+        self.deliver_messages();
         for _ in 0..40 {
             if self.outcomes.len() > before {
                 return self.outcomes[before];
             }
-            self.pass(MAX_TICK_INTERVAL_MS);
+            self.advance(MAX_TICK_INTERVAL_MS);
         }
         Outcome::Lost
     }
 
     fn arrive(&mut self, to: usize, packet: Packet) {
-        if self.cut.contains(&to) {
+        if self.cut_off.contains(&to) {
             self.outcomes.push(Outcome::Lost);
             return;
         }
         let mut out = Vec::new();
         let verdict = self.agents[to].handle_packet(self.now, &packet, &mut out);
-        self.follow(to, packet, verdict);
-        self.act(to, out);
+        self.apply_verdict(to, packet, verdict);
+        self.perform(to, out);
     }
 
-    fn follow(&mut self, at: usize, packet: Packet, verdict: Verdict) {
+    fn apply_verdict(&mut self, at: usize, packet: Packet, verdict: Verdict) {
         match verdict {
             Verdict::Deliver => self.outcomes.push(Outcome::Delivered(at)),
             Verdict::Refuse(reason) => self.outcomes.push(Outcome::Refused(reason)),
@@ -251,31 +251,32 @@
         }
     }
 
-    fn act(&mut self, at: usize, actions: Vec<Action>) {
+    fn perform(&mut self, at: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, message } => {
                     let to = self.index(to);
-                    let unread = self.last_release.contains(&to) && is_new(&message);
-                    if !unread && !self.cut.contains(&at) && !self.cut.contains(&to) {
+                    let unreadable = self.previous_release.contains(&to)
+                        && is_unknown_to_previous_release(&message);
+                    if !unreadable && !self.cut_off.contains(&at) && !self.cut_off.contains(&to) {
                         self.messages.push_back((to, id(at), message));
                     }
                 }
                 Action::Resolve { hold, verdict } => {
                     let held = self.held.iter().position(|known| (known.0, known.1) == (at, hold));
                     let (_, _, packet) = self.held.remove(held.expect("a held packet"));
-                    self.follow(at, packet, verdict);
+                    self.apply_verdict(at, packet, verdict);
                 }
                 Action::FetchSettings { at_least } => self.fetches.push((at, at_least)),
                 Action::Report(member) => self.reports.push((at, member)),
-                Action::Record(note) => self.notes.push((at, note)),
+                Action::Record(entry) => self.timeline.push((at, entry)),
             }
         }
     }
 
-    fn pump(&mut self) {
+    fn deliver_messages(&mut self) {
         while let Some((to, from, message)) = self.messages.pop_front() {
-            self.event(to, Event::Message { from, message });
+            self.handle_event(to, Event::Message { from, message });
         }
     }
 
@@ -297,7 +298,7 @@
 }
 
 /// Whether the last release does not have a message.
-fn is_new(message: &Message) -> bool {
+fn is_unknown_to_previous_release(message: &Message) -> bool {
     matches!(
         message,
         Message::AskAbout { .. }
@@ -307,12 +308,12 @@
     )
 }
 
-fn agent(index: usize, life: u64, past: bool, view: Arc<View>, now: Millis) -> Agent {
+fn agent(index: usize, incarnation: u64, prior_flows: bool, view: Arc<View>, now: Millis) -> Agent {
     let config = AgentConfig {
         upstream: id(index),
         service: service(),
-        incarnation: Incarnation(life),
-        may_have_prior_flows: past,
+        incarnation: Incarnation(incarnation),
+        may_have_prior_flows: prior_flows,
         seed: 7 + index as u64,
     };
     Agent::new(config, view, now)
--- a/crates/decision/src/agent/tests/once.rs
+++ b/crates/decision/src/agent/tests/once.rs
@@ -36,8 +36,8 @@
 #[case::three_of_five_silent(&[2, 3, 4], false)]
 fn silent_witnesses(#[case] silent: &[usize], #[case] runs: bool) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Refuse, 5));
-    fleet.cut = silent.to_vec();
-    fleet.pass(3_000);
+    fleet.cut_off = silent.to_vec();
+    fleet.advance(3_000);
     let outcome = fleet.send(0, flow(1), opening(1));
     match runs {
         true => assert!(matches!(outcome, Outcome::Delivered(_)), "{outcome:?}"),
@@ -56,7 +56,7 @@
         panic!("the first copy must run");
     };
     fleet.restart(holder, &spec);
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     for to in 0..5 {
         let outcome = fleet.send(to, flow(1), opening(1));
         assert!(matches!(outcome, Outcome::Dropped(_)), "copy at {to}: {outcome:?}");
@@ -72,7 +72,7 @@
 #[rstest]
 #[case::at_once(0)]
 #[case::soon(2_000)]
-fn replaced_holder_never_runs_again(#[case] pass_ms: u64) {
+fn replaced_holder_never_runs_again(#[case] elapsed_ms: u64) {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
     spec.transport = Transport::Udp;
     let mut fleet = Fleet::settled(&spec);
@@ -80,7 +80,7 @@
         panic!("the first copy must run");
     };
     fleet.agents[holder] = agent(holder, 2 + fleet.now.0, false, spec.view(), fleet.now);
-    fleet.pass(pass_ms);
+    fleet.advance(elapsed_ms);
     let late = Packet { forwarding: Forwarding::Assigned, hops: 1, ..packet(flow(1), opening(1)) };
     let outcome = fleet.send_packet(holder, late);
     assert!(!matches!(outcome, Outcome::Delivered(_)), "late copy: {outcome:?}");
@@ -97,7 +97,7 @@
     spec.max_flows = 2_000;
     spec.version = 2;
     (0..3).for_each(|index| fleet.install(index, &spec));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     for to in 0..3 {
         let outcome = fleet.send(to, flow(1), opening(1));
         assert!(matches!(outcome, Outcome::Refused(_)), "copy at {to}: {outcome:?}");
@@ -105,8 +105,8 @@
 }
 
 /// What a witness is asked, by which upstream and life.
-const fn ask(from: usize, life: u64, claim: Option<usize>) -> (usize, u64, Option<usize>) {
-    (from, life, claim)
+const fn ask(from: usize, incarnation: u64, claim: Option<usize>) -> (usize, u64, Option<usize>) {
+    (from, incarnation, claim)
 }
 
 /// Two holders may claim one confirmation at the same time. A witness answers each request by what
@@ -152,7 +152,7 @@
     let mut fleet = Fleet::settled(&spec);
     for index in 0..upstreams {
         fleet.restart(index, &spec);
-        fleet.pass(3_000);
+        fleet.advance(3_000);
         let outcome = fleet.send(index, flow(index as u64), opening(1));
         assert!(matches!(outcome, Outcome::Delivered(_)), "after {index}: {outcome:?}");
     }
@@ -169,7 +169,7 @@
     };
     let (witness, rival) = ((holder + 1) % 3, (holder + 2) % 3);
     fleet.restart(witness, &spec);
-    fleet.pass(3_000);
+    fleet.advance(3_000);
     let now = fleet.now;
     let requests = [ask(rival, 1, Some(rival))];
     let answer = last_answer(&mut fleet.agents[witness], now, &requests);
@@ -187,8 +187,8 @@
     let spec = Spec::new(WhenInDoubt::Refuse, upstreams);
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(0, &spec);
-    fleet.cut = silent.to_vec();
-    fleet.pass(10_000);
+    fleet.cut_off = silent.to_vec();
+    fleet.advance(10_000);
     let now = fleet.now;
     let answer = last_answer(&mut fleet.agents[0], now, &[ask(1, 1, Some(1))]);
     assert_eq!(answer == ClaimAnswer::Granted, votes, "{answer:?}");
@@ -201,7 +201,7 @@
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(0, &spec);
     fleet.restart(1, &spec);
-    fleet.pass(10_000);
+    fleet.advance(10_000);
     let now = fleet.now;
     let answer = last_answer(&mut fleet.agents[0], now, &[ask(1, 1, Some(1))]);
     assert_eq!(answer, ClaimAnswer::Abstained);
@@ -218,7 +218,7 @@
         last_answer(&mut fleet.agents[witness], now, &[ask(claimant, 1, Some(claimant))]);
     }
     fleet.restart(0, &spec);
-    fleet.pass(3_000);
+    fleet.advance(3_000);
     let now = fleet.now;
     for claimant in [1, 2] {
         let requests = [ask(claimant, 1, Some(claimant))];
@@ -238,10 +238,10 @@
         panic!("the confirmation must run");
     };
     for index in [holder, (holder + 1) % 3] {
-        let life = 2 + fleet.now.0;
-        fleet.agents[index] = agent(index, life, false, spec.view(), fleet.now);
+        let incarnation = 2 + fleet.now.0;
+        fleet.agents[index] = agent(index, incarnation, false, spec.view(), fleet.now);
     }
-    fleet.pass(30_000);
+    fleet.advance(30_000);
     for to in 0..3 {
         let outcome = fleet.send(to, flow(1), opening(1));
         assert!(!matches!(outcome, Outcome::Delivered(_)), "at {to}: {outcome:?}");
@@ -255,7 +255,7 @@
 #[case::seven(7)]
 fn new_service_runs_soon(#[case] upstreams: usize) {
     let mut fleet = Fleet::started(&Spec::new(WhenInDoubt::Refuse, upstreams));
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     let outcome = fleet.send(0, flow(1), opening(1));
     assert!(matches!(outcome, Outcome::Delivered(_)), "{outcome:?}");
 }
@@ -267,7 +267,7 @@
 fn young_witness_catches_up_before_it_answers() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::started(&spec);
-    fleet.pass(3_000);
+    fleet.advance(3_000);
     let message = Message::ClaimRequest {
         opening: Opening { flow: FlowId(flow(1)), nonce: 1 },
         claim: Claim::Run(id(1)),
@@ -304,7 +304,7 @@
     let spec = Spec::new(when_in_doubt, 3);
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(1, &spec);
-    fleet.pass(after_ms);
+    fleet.advance(after_ms);
     assert_eq!(fleet.agents[1].is_ready(fleet.now), ready);
 }
 
@@ -317,7 +317,7 @@
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
     spec.version = 4;
     let mut fleet = Fleet::started(&spec);
-    fleet.pass(after_ms);
+    fleet.advance(after_ms);
     let outcome = fleet.send(0, flow(1), opening(1));
     assert_eq!(matches!(outcome, Outcome::Delivered(_)), runs, "{outcome:?}");
 }
@@ -329,12 +329,12 @@
 ) -> ClaimAnswer {
     let opening = Opening { flow: FlowId(flow(1)), nonce: 1 };
     let mut last = None;
-    for (from, life, claim) in requests {
+    for (from, incarnation, claim) in requests {
         let message = Message::ClaimRequest {
             opening,
             claim: claim.map_or(Claim::Refuse, |holder| Claim::Run(id(holder))),
             view: Version(1),
-            incarnation: Incarnation(*life),
+            incarnation: Incarnation(*incarnation),
         };
         let mut out = Vec::new();
         agent.handle(now, Event::Message { from: id(*from), message }, &mut out);
@@ -352,7 +352,7 @@
 #[rstest]
 #[case::at_once(1_000, false)]
 #[case::after_ttl(125_000, true)]
-fn replaced_upstreams(#[case] pass_ms: u64, #[case] runs: bool) {
+fn replaced_upstreams(#[case] elapsed_ms: u64, #[case] runs: bool) {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 6);
     spec.listed[3..].fill((2, None));
     let mut fleet = Fleet::settled(&spec);
@@ -362,9 +362,9 @@
         spec.states[index] = UpstreamState::Retired;
     }
     (0..6).for_each(|index| fleet.install(index, &spec));
-    fleet.pass(500);
-    fleet.cut = vec![0, 1, 2];
-    fleet.pass(pass_ms);
+    fleet.advance(500);
+    fleet.cut_off = vec![0, 1, 2];
+    fleet.advance(elapsed_ms);
     let outcome = fleet.send(4, flow(1), opening(1));
     assert_eq!(matches!(outcome, Outcome::Delivered(_)), runs, "{outcome:?}");
 }
@@ -379,8 +379,8 @@
     let grants: Vec<_> = std::mem::take(&mut fleet.messages).into_iter().collect();
     fleet.now = fleet.now.after(600_000);
     fleet.messages.extend(grants);
-    fleet.pump();
-    fleet.pass(1_000);
+    fleet.deliver_messages();
+    fleet.advance(1_000);
     assert_eq!(fleet.holder(flow(1)), None);
 }
 
@@ -394,7 +394,7 @@
     let mut spec =
         Spec { transport: Transport::Udp, ..Spec::new(WhenInDoubt::Refuse, upstreams - 1) };
     let mut fleet = Fleet::started(&spec);
-    fleet.pass(4_000);
+    fleet.advance(4_000);
     spec.version = 2;
     spec.states.push(UpstreamState::Active);
     spec.listed.push((2, None));
@@ -404,7 +404,7 @@
     }
     fleet.agents.push(agent(upstreams - 1, 1, false, spec.view(), fleet.now));
     for index in 0..upstreams - 1 {
-        fleet.event(index, Event::View(spec.view()));
+        fleet.handle_event(index, Event::View(spec.view()));
     }
     for number in 0..20 {
         let newer = Packet { view: Version(2), ..packet(flow(number), opening(1)) };
--- a/crates/decision/src/agent/tests/ports.rs
+++ b/crates/decision/src/agent/tests/ports.rs
@@ -20,16 +20,16 @@
     let ranking = fleet.ranking(flow(1));
     let (older, holder) = (ranking[0], ranking[1]);
     assert_eq!(fleet.send(older, flow(1), opening(1)), Outcome::Delivered(older));
-    fleet.cut.push(older);
-    fleet.pass(5_000);
+    fleet.cut_off.push(older);
+    fleet.advance(5_000);
     assert_eq!(fleet.send(holder, flow(1), opening(LATER)), Outcome::Delivered(holder));
     assert_eq!(fleet.send_packet(holder, later()), Outcome::Delivered(holder));
-    fleet.pass(1_000);
-    fleet.cut.clear();
-    fleet.pass(20_000);
+    fleet.advance(1_000);
+    fleet.cut_off.clear();
+    fleet.advance(20_000);
     if restarts {
         fleet.restart(holder, &spec);
-        fleet.pass(2_000);
+        fleet.advance(2_000);
     }
     let to = if to_older { older } else { holder };
     assert_eq!(fleet.send_packet(to, later()), Outcome::Delivered(holder));
@@ -43,7 +43,7 @@
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
     fleet.send(home, flow(1), opening(1));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     assert_eq!(fleet.send_packet(home, later()), Outcome::Delivered(home));
 }
 
@@ -52,11 +52,11 @@
 fn last_release_is_asked_without_a_sequence_number() {
     let spec = Spec::new(WhenInDoubt::Admit, 5);
     let mut fleet = Fleet::settled(&spec);
-    fleet.last_release = (0..5).collect();
+    fleet.previous_release = (0..5).collect();
     let ranking = fleet.ranking(flow(1));
     let opened = fleet.send(ranking[0], flow(1), opening(1));
     assert_eq!(opened, Outcome::Delivered(ranking[0]));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     assert_eq!(fleet.send(ranking[4], flow(1), PacketKind::Middle), opened);
 }
 
@@ -74,9 +74,9 @@
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
     fleet.send(home, flow(1), opening(1));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     fleet.restart(home, &spec);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     assert_eq!(fleet.send(home, flow(1), opening(LATER)), Outcome::Delivered(home));
     assert_eq!(fleet.send(home, flow(1), PacketKind::Reset), Outcome::Delivered(home));
     if drains {
@@ -84,7 +84,7 @@
         spec.states[home] = UpstreamState::Draining;
         (0..4).for_each(|index| fleet.install(index, &spec));
     }
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     let outcome = fleet.send(home, flow(1), opening(LATER));
     assert!(matches!(outcome, Outcome::Delivered(_)), "{outcome:?}");
     assert_eq!(outcome != Outcome::Delivered(home), drains);
--- a/crates/decision/src/agent/tests/relearn.rs
+++ b/crates/decision/src/agent/tests/relearn.rs
@@ -17,10 +17,10 @@
     let mut fleet = Fleet::settled(&spec);
     let opened: Vec<Outcome> =
         (0..300).map(|number| fleet.send(0, flow(number), opening(1))).collect();
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     for index in restarts {
         fleet.restart(*index, &spec);
-        fleet.pass(apart_ms);
+        fleet.advance(apart_ms);
     }
     for (number, outcome) in (0..).zip(&opened) {
         let to = number as usize % 5;
@@ -38,10 +38,10 @@
     let opened = fleet.send(home, flow(1), opening(1));
     assert_eq!(opened, Outcome::Delivered(home));
     fleet.restart(home, &spec);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     let other = (home + 1) % 3;
     assert_eq!(fleet.send(other, flow(1), PacketKind::Middle), opened);
-    assert!(fleet.notes.contains(&(home, TimelineEntry::Adopted(FlowId(flow(1))))));
+    assert!(fleet.timeline.contains(&(home, TimelineEntry::Adopted(FlowId(flow(1))))));
 }
 
 /// A feed was closed by its tablet, but the last part of the answer is still on its way when the
@@ -52,10 +52,10 @@
     let mut fleet = Fleet::settled(&spec);
     let opened = fleet.send(0, flow(1), opening(1));
     assert_eq!(fleet.send(0, flow(1), PacketKind::Finish), opened);
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     let holder = fleet.holder(flow(1)).expect("a holder");
     fleet.restart(holder, &spec);
-    fleet.pass(70_000);
+    fleet.advance(70_000);
     assert_eq!(fleet.send((holder + 1) % 4, flow(1), PacketKind::Middle), opened);
 }
 
@@ -67,9 +67,9 @@
     let mut fleet = Fleet::settled(&spec);
     let opened: Vec<Outcome> =
         (0..200).map(|number| fleet.send(0, flow(number), opening(1))).collect();
-    fleet.event(2, Event::Leave);
-    fleet.pump();
-    fleet.pass(500);
+    fleet.handle_event(2, Event::Leave);
+    fleet.deliver_messages();
+    fleet.advance(500);
     assert!(fleet.agents[2].is_handed_over());
     for (number, outcome) in (0..).zip(&opened) {
         assert_eq!(fleet.send(0, flow(number), PacketKind::Middle), *outcome, "{number}");
@@ -88,17 +88,17 @@
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let opened = fleet.send(0, flow(1), opening(1));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     let holder = fleet.holder(flow(1)).expect("a holder");
-    fleet.cut.push(holder);
-    fleet.pass(8_000);
+    fleet.cut_off.push(holder);
+    fleet.advance(8_000);
     for witness in (0..4).filter(|index| *index != holder) {
         fleet.restart(witness, &spec);
-        fleet.pass(3_000);
+        fleet.advance(3_000);
     }
     fleet.restart(holder, &spec);
-    fleet.cut.clear();
-    fleet.pass(3_000);
+    fleet.cut_off.clear();
+    fleet.advance(3_000);
     assert_eq!(fleet.send((holder + 1) % 4, flow(1), PacketKind::Middle), opened);
 }
 
@@ -109,13 +109,13 @@
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     fleet.send(0, flow(1), opening(1));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     let holder = fleet.holder(flow(1)).expect("a holder");
-    let life = 2 + fleet.now.0;
-    fleet.agents[holder] = agent(holder, life, false, spec.view(), fleet.now);
-    fleet.pass(2_000);
+    let incarnation = 2 + fleet.now.0;
+    fleet.agents[holder] = agent(holder, incarnation, false, spec.view(), fleet.now);
+    fleet.advance(2_000);
     fleet.restart(holder, &spec);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     assert_eq!(fleet.agents[holder].open_flows(), 0);
 }
 
@@ -127,25 +127,25 @@
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     let assigned = |fleet: &Fleet| {
-        let notes = fleet.notes.iter();
+        let notes = fleet.timeline.iter();
         notes
             .filter(|(at, note)| *at == 0 && matches!(note, TimelineEntry::Assigned { .. }))
             .count()
     };
     let homes = |fleet: &Fleet, number: &u64| fleet.ranking(flow(*number))[0] == 0;
     let flows: Vec<u64> = (0..400).filter(|number| homes(&fleet, number)).map(flow).collect();
-    fleet.cut = vec![1, 2];
+    fleet.cut_off = vec![1, 2];
     let lost = flows[..40].iter().filter(|flow| fleet.send(0, **flow, opening(1)) == Outcome::Lost);
     assert!(lost.count() > 5 && assigned(&fleet) > 5);
-    fleet.cut.clear();
-    fleet.pass(2_000);
+    fleet.cut_off.clear();
+    fleet.advance(2_000);
     let opened: Vec<Outcome> =
         flows[40..].iter().map(|flow| fleet.send(0, *flow, opening(1))).collect();
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     let held = opened.iter().filter(|outcome| **outcome == Outcome::Delivered(1)).count();
     assert!(held > 0);
     fleet.restart(1, &spec);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     assert_eq!(fleet.agents[1].open_flows(), held);
 }
 
@@ -156,15 +156,15 @@
     let spec = Spec::new(WhenInDoubt::Admit, 6);
     let mut fleet = Fleet::settled(&spec);
     let opened = fleet.send(0, flow(1), opening(1));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     let holder = fleet.holder(flow(1)).expect("a holder");
     for index in 0..6 {
         assert_eq!(fleet.send(index, flow(1), PacketKind::Middle), opened);
     }
     assert_eq!(fleet.send(holder, flow(1), PacketKind::Reset), opened);
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     fleet.restart(holder, &spec);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     assert_eq!(fleet.agents[holder].open_flows(), 0);
 }
 
@@ -177,19 +177,19 @@
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
     assert_eq!(fleet.send(home, flow(1), opening(1)), Outcome::Delivered(home));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     let second = fleet.ranking(flow(1))[1];
     // While the second rank is away the third is told, and it stays on record there.
-    fleet.cut = vec![second];
-    fleet.pass(3_000);
+    fleet.cut_off = vec![second];
+    fleet.advance(3_000);
     fleet.restart(home, &spec);
-    fleet.cut.clear();
-    fleet.pass(3_000);
+    fleet.cut_off.clear();
+    fleet.advance(3_000);
     let ended = fleet.send(home, flow(1), PacketKind::Finish);
     assert_eq!(ended, Outcome::Delivered(home));
-    fleet.pass(5_000);
+    fleet.advance(5_000);
     fleet.restart(home, &spec);
-    fleet.pass(3_000);
+    fleet.advance(3_000);
     assert_eq!(fleet.agents[home].open_flows(), 0);
 }
 
@@ -201,14 +201,14 @@
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
     assert_eq!(fleet.send(home, flow(1), opening(1)), Outcome::Delivered(home));
-    fleet.pass(1_000);
-    fleet.event(home, Event::Leave);
-    fleet.pump();
-    fleet.pass(3_000);
+    fleet.advance(1_000);
+    fleet.handle_event(home, Event::Leave);
+    fleet.deliver_messages();
+    fleet.advance(3_000);
     let other = (home + 1) % 3;
     assert_eq!(fleet.send(other, flow(1), PacketKind::Finish), Outcome::Delivered(home));
     fleet.restart(home, &spec);
-    fleet.pass(3_000);
+    fleet.advance(3_000);
     assert_eq!(fleet.agents[home].open_flows(), 0);
 }
 
@@ -223,10 +223,10 @@
     let mut fleet = Fleet::settled(&spec);
     let homes = |fleet: &Fleet, number: &u64| fleet.ranking(flow(*number))[0] == 0;
     let flows: Vec<u64> = (0..400).filter(|number| homes(&fleet, number)).map(flow).collect();
-    fleet.cut = vec![1, 2];
+    fleet.cut_off = vec![1, 2];
     let to_1 = |fleet: &Fleet| {
         let assigned = |note: &TimelineEntry| matches!(note, TimelineEntry::Assigned { to, .. } if *to == id(1));
-        fleet.notes.iter().filter(|(at, note)| *at == 0 && assigned(note)).count()
+        fleet.timeline.iter().filter(|(at, note)| *at == 0 && assigned(note)).count()
     };
     for flow in flows {
         if to_1(&fleet) == 0 {
@@ -234,10 +234,10 @@
         }
     }
     assert_eq!(to_1(&fleet), 1);
-    fleet.cut.clear();
-    fleet.pass(lives_ms);
+    fleet.cut_off.clear();
+    fleet.advance(lives_ms);
     fleet.restart(1, &spec);
-    fleet.pass(3_000);
+    fleet.advance(3_000);
     assert_eq!(fleet.agents[1].open_flows(), relearned);
 }
 
@@ -252,12 +252,12 @@
     let outcomes: Vec<Outcome> =
         (0..9).map(|number| fleet.send(0, flow(number), opening(1))).collect();
     assert!(outcomes.iter().all(|outcome| matches!(outcome, Outcome::Delivered(_))));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     for index in 0..3 {
         fleet.restart(index, &spec);
-        fleet.pass(2_500);
+        fleet.advance(2_500);
     }
-    fleet.pass(20_000);
+    fleet.advance(20_000);
     let outcome = fleet.send(0, flow(10), opening(1));
     assert!(matches!(outcome, Outcome::Delivered(_)), "{outcome:?}");
 }
@@ -275,16 +275,16 @@
     for number in 0..6 {
         fleet.send(0, flow(number), opening(1));
     }
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     for index in 0..2 {
         fleet.restart(index, &spec);
-        fleet.pass(15_000);
+        fleet.advance(15_000);
     }
     for _ in 0..2 {
         for index in 0..2 {
-            fleet.event(index, Event::Upstream(UpstreamReport { open_flows, ..report() }));
+            fleet.handle_event(index, Event::Upstream(UpstreamReport { open_flows, ..report() }));
         }
-        fleet.pass(1_000);
+        fleet.advance(1_000);
     }
     let outcome = fleet.send(0, flow(10), opening(1));
     assert_eq!(matches!(outcome, Outcome::Delivered(_)), takes, "{outcome:?}");
@@ -297,16 +297,16 @@
 #[case::all_in_turn(&[0, 1, 2, 3, 4])]
 #[case::two_at_once(&[0, 1])]
 fn feeds_of_a_mixed_service_are_relearned(#[case] restarts: &[usize]) {
-    let spec = Spec { mixed: true, ..Spec::new(WhenInDoubt::Refuse, 5) };
+    let spec = Spec { both_protocols: true, ..Spec::new(WhenInDoubt::Refuse, 5) };
     let mut fleet = Fleet::settled(&spec);
     let opened: Vec<Outcome> =
         (0..100).map(|number| fleet.send(0, flow(number), opening(1))).collect();
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     for index in restarts {
         fleet.restart(*index, &spec);
-        fleet.pass(if restarts.len() == 2 { 0 } else { 7_000 });
+        fleet.advance(if restarts.len() == 2 { 0 } else { 7_000 });
     }
-    fleet.pass(3_000);
+    fleet.advance(3_000);
     for (number, outcome) in (0..).zip(&opened) {
         let to = number as usize % 5;
         assert_eq!(fleet.send(to, flow(number), PacketKind::Middle), *outcome, "{number}");
@@ -322,16 +322,16 @@
     let mut fleet = Fleet::settled(&spec);
     let (home, gone) = (fleet.ranking(flow(1))[0], fleet.ranking(flow(1))[3]);
     assert_eq!(fleet.send(home, flow(1), opening(1)), Outcome::Delivered(home));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     spec.version = 2;
     spec.states[gone] = UpstreamState::Retired;
     spec.listed[gone].1 = Some(2);
     (0..4).for_each(|index| fleet.install(index, &spec));
-    fleet.cut = vec![gone];
+    fleet.cut_off = vec![gone];
     fleet.restart(home, &spec);
-    fleet.pass(3_000);
+    fleet.advance(3_000);
     assert_eq!(fleet.send(home, flow(1), PacketKind::Finish), Outcome::Delivered(home));
-    fleet.pass(70_000);
+    fleet.advance(70_000);
     let mut out = Vec::new();
     for _ in 0..100 {
         fleet.now = fleet.now.after(MAX_TICK_INTERVAL_MS);
--- a/crates/decision/src/agent/tests/reports.rs
+++ b/crates/decision/src/agent/tests/reports.rs
@@ -28,14 +28,14 @@
 #[test]
 fn suspect_dead_agent_is_reported_until_heard_again() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
-    fleet.cut = vec![2];
-    fleet.pass(5_000);
+    fleet.cut_off = vec![2];
+    fleet.advance(5_000);
     assert!(reports_about(&fleet, 2).contains(&(0, false)));
     assert!(reports_about(&fleet, 2).contains(&(1, false)));
     let down_at = last_beat(&fleet, 0, false);
     assert_eq!(last_beat(&fleet, 0, true), None);
-    fleet.cut.clear();
-    fleet.pass(5_000);
+    fleet.cut_off.clear();
+    fleet.advance(5_000);
     assert!(last_beat(&fleet, 0, true) > down_at);
 }
 
@@ -44,8 +44,8 @@
 #[test]
 fn report_myself_when_cut_off() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
-    fleet.cut = vec![2];
-    fleet.pass(5_000);
+    fleet.cut_off = vec![2];
+    fleet.advance(5_000);
     assert!(reports_about(&fleet, 2).contains(&(2, true)));
 }
 
@@ -53,6 +53,6 @@
 #[test]
 fn suspect_nobody_while_all_are_heard() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
-    fleet.pass(30_000);
+    fleet.advance(30_000);
     assert_eq!(fleet.reports, []);
 }
--- a/crates/decision/src/agent/tests/unknown.rs
+++ b/crates/decision/src/agent/tests/unknown.rs
@@ -13,8 +13,8 @@
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(1, &spec);
     for _ in 0..70 {
-        fleet.pass(1_000);
-        fleet.event(1, Event::Upstream(UpstreamReport { open_flows, ..report() }));
+        fleet.advance(1_000);
+        fleet.handle_event(1, Event::Upstream(UpstreamReport { open_flows, ..report() }));
     }
     assert_eq!(fleet.agents[1].stats(fleet.now).may_hold_unknown_flows, unsure);
 }
@@ -35,9 +35,9 @@
     fleet.restart(1, &spec);
     fleet.restart(2, &spec);
     for _ in 0..2 {
-        fleet.pass(1_000);
-        fleet.event(1, Event::Upstream(UpstreamReport { open_flows: first, ..report() }));
-        fleet.event(2, Event::Upstream(UpstreamReport { open_flows: second, ..report() }));
+        fleet.advance(1_000);
+        fleet.handle_event(1, Event::Upstream(UpstreamReport { open_flows: first, ..report() }));
+        fleet.handle_event(2, Event::Upstream(UpstreamReport { open_flows: second, ..report() }));
     }
     let expected = found.map_or(Outcome::Dropped(Reason::HolderSilent), Outcome::Delivered);
     assert_eq!(fleet.send(3, flow(1), PacketKind::Middle), expected);
@@ -53,13 +53,13 @@
     spec.max_flows = 3;
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(0, &spec);
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     for number in 0..3 {
         assert_eq!(fleet.send(0, flow(number), PacketKind::Middle), Outcome::Delivered(0));
     }
     for _ in 0..2 {
-        fleet.event(0, Event::Upstream(UpstreamReport { open_flows, ..report() }));
-        fleet.pass(1_000);
+        fleet.handle_event(0, Event::Upstream(UpstreamReport { open_flows, ..report() }));
+        fleet.advance(1_000);
     }
     let outcome = fleet.send(0, flow(10), opening(1));
     assert_eq!(outcome == Outcome::Delivered(0), takes, "{outcome:?}");
