--- a/crates/decision/src/agent/tests/handover.rs
+++ b/crates/decision/src/agent/tests/handover.rs
@@ -9,7 +9,7 @@
 #[rstest]
 #[case::planned(true, false)]
 #[case::crashed(false, true)]
-fn next_life_is_unsure_only_after_a_crash(#[case] leaves: bool, #[case] unsure: bool) {
+fn may_hold_unknown_flows_only_after_crash(#[case] leaves: bool, #[case] incomplete: bool) {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     (0..50).for_each(|number| {
@@ -21,12 +21,12 @@
     }
     fleet.restart(2, &spec);
     fleet.advance(500);
-    assert_eq!(fleet.agents[2].stats(fleet.now).may_hold_unknown_flows, unsure);
+    assert_eq!(fleet.agents[2].stats(fleet.now).may_hold_unknown_flows, incomplete);
 }
 
 /// The same feed, found at the only agent that can hold it.
 #[rstest]
-fn unannounced_feed_is_adopted_beside_a_planned_restart() {
+fn adopt_unannounced_flow_beside_planned_restart() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
@@ -44,7 +44,7 @@
 
 /// An agent that may hold flows without knowing is told to end: its next life is in doubt as well.
 #[rstest]
-fn unsure_agent_does_not_hand_over() {
+fn send_handover_incomplete_state() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(2, &spec);
@@ -58,30 +58,30 @@
 /// A feed's holder dies, the only agent that it had told of the feed ends as planned, and the feed would be
 /// known to nobody.
 #[rstest]
-fn flows_of_a_silent_agent_are_handed_on() {
+fn handover_flows_of_unresponsive_agent() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let ranking = fleet.ranking(flow(1));
-    let (holder, told, untold) = (ranking[0], ranking[1], ranking[2]);
-    fleet.cut_off.push(untold);
+    let (holder, informed, uninformed) = (ranking[0], ranking[1], ranking[2]);
+    fleet.cut_off.push(uninformed);
     let opened = fleet.send(holder, flow(1), opening(1));
     fleet.advance(300);
     fleet.cut_off = vec![holder];
     fleet.advance(3_000);
-    fleet.leave(told);
-    fleet.restart(told, &spec);
+    fleet.leave(informed);
+    fleet.restart(informed, &spec);
     fleet.advance(1_000);
     fleet.restart(holder, &spec);
     fleet.cut_off.clear();
     fleet.advance(1_000);
     assert_eq!(fleet.holder(flow(1)), Some(holder));
-    assert_eq!(fleet.send(untold, flow(1), PacketKind::Middle), opened);
+    assert_eq!(fleet.send(uninformed, flow(1), PacketKind::Middle), opened);
 }
 
 /// An opening is assigned to an agent and lost on its way, and the agent ends as planned. Its next life must
 /// not count it as a feed.
 #[rstest]
-fn opening_that_did_not_arrive_before_the_end_is_not_relearned() {
+fn relearn_assigned_opening_lost_before_shutdown() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
@@ -90,7 +90,7 @@
     fleet.cut_off = (0..3).filter(|index| *index != home).collect();
     let lost = flows.iter().find(|flow| fleet.send(home, **flow, opening(1)) == Outcome::Lost);
     assert!(lost.is_some(), "none was assigned to another agent");
-    let assigned = fleet.timeline.iter().find_map(|(_, note)| match note {
+    let assigned = fleet.timeline.iter().find_map(|(_, entry)| match entry {
         TimelineEntry::Assigned { to, .. } => Some(*to),
         _ => None,
     });
@@ -107,7 +107,7 @@
 /// A feed that its agent knows only from a packet of its middle ends. Peers that know its opening from an
 /// earlier life forget it as well.
 #[rstest]
-fn end_of_an_adopted_feed_is_told() {
+fn announce_end_adopted_flow() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
@@ -116,13 +116,13 @@
     fleet.restart(home, &spec);
     fleet.send(home, flow(1), PacketKind::Middle);
     fleet.send(home, flow(1), PacketKind::Finish);
-    assert_eq!(open_flows_of_next_life(&mut fleet, home, &spec), 0);
+    assert_eq!(open_flows_after_restart(&mut fleet, home, &spec), 0);
 }
 
 /// A caller opens its next feed on the ports of one whose end was lost. Peers that were told of the old one
 /// by an earlier life must not name it at the next restart.
 #[rstest]
-fn replaced_feed_is_told_to_have_ended() {
+fn announce_end_replaced_flow() {
     let spec = Spec::new(WhenInDoubt::Refuse, 4);
     let mut fleet = Fleet::settled(&spec);
     fleet.advance(125_000);
@@ -139,12 +139,12 @@
     fleet.advance(125_000);
     fleet.send(home, flow(1), opening(2));
     fleet.send(home, flow(1), PacketKind::Finish);
-    assert_eq!(open_flows_of_next_life(&mut fleet, home, &spec), 0);
+    assert_eq!(open_flows_after_restart(&mut fleet, home, &spec), 0);
 }
 
 /// An agent that has handed over takes no opening: its next life would not know of it.
 #[rstest]
-fn nothing_is_taken_after_the_handover() {
+fn can_take_flow_after_handover() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
     fleet.advance(125_000);
@@ -160,7 +160,7 @@
 #[rstest]
 #[case::planned(true)]
 #[case::crashed(false)]
-fn late_copy_at_a_restarted_agent_finds_the_feed(#[case] leaves: bool) {
+fn accept_assigned_late_copy_after_restart(#[case] leaves: bool) {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let ranking = fleet.ranking(flow(1));
@@ -178,7 +178,7 @@
 }
 
 /// Flows that an agent counts after it has died and relearned what its peers know.
-fn open_flows_of_next_life(fleet: &mut Fleet, index: usize, spec: &Spec) -> usize {
+fn open_flows_after_restart(fleet: &mut Fleet, index: usize, spec: &Spec) -> usize {
     fleet.advance(1_000);
     fleet.restart(index, spec);
     fleet.advance(2_000);
--- a/crates/decision/src/agent/tests/memberships.rs
+++ b/crates/decision/src/agent/tests/memberships.rs
@@ -20,7 +20,7 @@
 #[rstest]
 #[case::first_successor(3)]
 #[case::last_successor(5)]
-fn restarted_agent_leaves_out_what_its_peers_left_out(#[case] restarted: usize) {
+fn outdated_membership_restarted_agent(#[case] restarted: usize) {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 6);
     spec.listed[3..].fill((2, None));
     let mut fleet = Fleet::settled(&spec);
@@ -42,7 +42,7 @@
 /// the others had told it. Only the newcomer knows that the second one ran later settings, and says so.
 /// Before, the third counted the first membership for ever, of which it is the only member left.
 #[test]
-fn survivor_that_restarts_is_told_of_the_gone() {
+fn outdated_membership_restarted_survivor() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 4);
     spec.listed[3] = (3, None);
     let mut fleet = Fleet::settled(&spec);
@@ -68,7 +68,7 @@
 /// may still serve balancers beyond the cut. Their peers' silence is no reason to leave them out, and a
 /// restart is none either: the confirmation could run at both sides of the cut.
 #[test]
-fn silent_majority_is_never_left_out() {
+fn outdated_membership_unresponsive_majority() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 6);
     spec.listed[3..].fill((2, None));
     let mut fleet = Fleet::settled(&spec);
--- a/crates/decision/src/agent/tests/once.rs
+++ b/crates/decision/src/agent/tests/once.rs
@@ -10,7 +10,7 @@
 #[rstest]
 #[case::datagram(Transport::Udp, Outcome::Dropped(Reason::Duplicate))]
 #[case::tcp(Transport::Tcp, Outcome::Delivered(9))]
-fn copies(#[case] transport: Transport, #[case] copy: Outcome) {
+fn open_at_most_once_copies(#[case] transport: Transport, #[case] copy: Outcome) {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 5);
     spec.transport = transport;
     let mut fleet = Fleet::settled(&spec);
@@ -31,12 +31,12 @@
 /// The caller's confirmation arrives while some agents are unreachable. With a majority it runs;
 /// without, the caller gets no answer, because neither "run" nor "not run" could be kept.
 #[rstest]
-#[case::all_there(&[], true)]
-#[case::two_of_five_silent(&[3, 4], true)]
-#[case::three_of_five_silent(&[2, 3, 4], false)]
-fn silent_witnesses(#[case] silent: &[usize], #[case] runs: bool) {
+#[case::all_up(&[], true)]
+#[case::two_of_five_unresponsive(&[3, 4], true)]
+#[case::three_of_five_unresponsive(&[2, 3, 4], false)]
+fn claim_by_quorum_unresponsive_witnesses(#[case] unresponsive: &[usize], #[case] runs: bool) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Refuse, 5));
-    fleet.cut_off = silent.to_vec();
+    fleet.cut_off = unresponsive.to_vec();
     fleet.advance(3_000);
     let outcome = fleet.send(0, flow(1), opening(1));
     match runs {
@@ -48,7 +48,7 @@
 /// The holder runs a confirmation, and its agent dies and comes back before a copy arrives. The
 /// new life knows nothing of the run, but the witnesses remember which life has claimed it.
 #[rstest]
-fn restarted_holder_never_runs_again() {
+fn open_at_most_once_restarted_holder() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 5);
     spec.transport = Transport::Udp;
     let mut fleet = Fleet::settled(&spec);
@@ -72,7 +72,7 @@
 #[rstest]
 #[case::at_once(0)]
 #[case::soon(2_000)]
-fn replaced_holder_never_runs_again(#[case] elapsed_ms: u64) {
+fn open_at_most_once_replaced_holder(#[case] elapsed_ms: u64) {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
     spec.transport = Transport::Udp;
     let mut fleet = Fleet::settled(&spec);
@@ -89,7 +89,7 @@
 /// All upstreams are full, so the confirmation is refused as not run. An upstream gets room, and
 /// a late copy arrives by way of any other agent: it must not run any more.
 #[rstest]
-fn refused_stays_refused() {
+fn open_at_most_once_refused_opening() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
     spec.max_flows = 0;
     let mut fleet = Fleet::settled(&spec);
@@ -105,24 +105,31 @@
 }
 
 /// What a witness is asked, by which upstream and life.
-const fn ask(from: usize, incarnation: u64, claim: Option<usize>) -> (usize, u64, Option<usize>) {
+const fn request(
+    from: usize,
+    incarnation: u64,
+    claim: Option<usize>,
+) -> (usize, u64, Option<usize>) {
     (from, incarnation, claim)
 }
 
 /// Two holders may claim one confirmation at the same time. A witness answers each request by what
 /// it has promised before; if it promised both, the confirmation would run twice.
 #[rstest]
-#[case::first(&[ask(1, 1, Some(1))], ClaimAnswer::Granted)]
-#[case::repeated(&[ask(1, 1, Some(1)), ask(1, 1, Some(1))], ClaimAnswer::Granted)]
-#[case::rival(&[ask(1, 1, Some(1)), ask(2, 1, Some(2))], ClaimAnswer::Taken(Claim::Run(id(1))))]
-#[case::later_life(&[ask(1, 1, Some(1)), ask(1, 2, Some(1))], ClaimAnswer::Taken(Claim::Run(id(1))))]
-#[case::given_up(&[ask(1, 1, Some(1)), ask(1, 1, None)], ClaimAnswer::Granted)]
-#[case::given_up_by_later_life(&[ask(1, 1, Some(1)), ask(1, 2, None)], ClaimAnswer::Taken(Claim::Run(id(1))))]
-#[case::refused_by_rival(&[ask(1, 1, Some(1)), ask(2, 1, None)], ClaimAnswer::Taken(Claim::Run(id(1))))]
-#[case::run_after_refusal(&[ask(1, 1, None), ask(2, 1, Some(2))], ClaimAnswer::Taken(Claim::Refuse))]
-#[case::two_refusals(&[ask(1, 1, None), ask(2, 1, None)], ClaimAnswer::Granted)]
-#[case::for_another(&[ask(1, 1, Some(2))], ClaimAnswer::Abstained)]
-fn witness(#[case] requests: &[(usize, u64, Option<usize>)], #[case] expected: ClaimAnswer) {
+#[case::first(&[request(1, 1, Some(1))], ClaimAnswer::Granted)]
+#[case::repeated(&[request(1, 1, Some(1)), request(1, 1, Some(1))], ClaimAnswer::Granted)]
+#[case::rival(&[request(1, 1, Some(1)), request(2, 1, Some(2))], ClaimAnswer::Taken(Claim::Run(id(1))))]
+#[case::later_incarnation(&[request(1, 1, Some(1)), request(1, 2, Some(1))], ClaimAnswer::Taken(Claim::Run(id(1))))]
+#[case::withdrawn(&[request(1, 1, Some(1)), request(1, 1, None)], ClaimAnswer::Granted)]
+#[case::withdrawn_by_later_incarnation(&[request(1, 1, Some(1)), request(1, 2, None)], ClaimAnswer::Taken(Claim::Run(id(1))))]
+#[case::refused_by_rival(&[request(1, 1, Some(1)), request(2, 1, None)], ClaimAnswer::Taken(Claim::Run(id(1))))]
+#[case::run_after_refusal(&[request(1, 1, None), request(2, 1, Some(2))], ClaimAnswer::Taken(Claim::Refuse))]
+#[case::two_refusals(&[request(1, 1, None), request(2, 1, None)], ClaimAnswer::Granted)]
+#[case::for_another(&[request(1, 1, Some(2))], ClaimAnswer::Abstained)]
+fn witness_at_most_once_answer(
+    #[case] requests: &[(usize, u64, Option<usize>)],
+    #[case] expected: ClaimAnswer,
+) {
     let fleet = Fleet::settled(&Spec::new(WhenInDoubt::Refuse, 3));
     let mut agent = fleet.agents.into_iter().next().expect("an agent");
     assert_eq!(last_answer(&mut agent, fleet.now, requests), expected);
@@ -134,11 +141,11 @@
 #[case::at_once(0, ClaimAnswer::Abstained)]
 #[case::just_before(119_999, ClaimAnswer::Abstained)]
 #[case::afterwards(120_000, ClaimAnswer::Granted)]
-fn restarted_witness(#[case] after_ms: u64, #[case] expected: ClaimAnswer) {
+fn must_abstain_after_restart(#[case] after_ms: u64, #[case] expected: ClaimAnswer) {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut witness = agent(0, 2, true, spec.view(), Millis(5_000));
     let now = Millis(5_000).after(after_ms);
-    assert_eq!(last_answer(&mut witness, now, &[ask(1, 1, Some(1))]), expected);
+    assert_eq!(last_answer(&mut witness, now, &[request(1, 1, Some(1))]), expected);
 }
 
 /// Agents are restarted one after the other, as in every rollout. The callers' confirmations run on:
@@ -147,7 +154,7 @@
 #[rstest]
 #[case::three(3)]
 #[case::seven(7)]
-fn rolling_restart_keeps_running(#[case] upstreams: usize) {
+fn recall_rolling_restart(#[case] upstreams: usize) {
     let spec = Spec::new(WhenInDoubt::Refuse, upstreams);
     let mut fleet = Fleet::settled(&spec);
     for index in 0..upstreams {
@@ -161,7 +168,7 @@
 /// A confirmation ran; one of its witnesses restarts and recalls. A rival holder that claims the same
 /// confirmation gets no vote from it: with one it could run the confirmation a second time.
 #[test]
-fn recalled_promise_is_kept() {
+fn recall_keeps_vote() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
     let Outcome::Delivered(holder) = fleet.send(0, flow(1), opening(1)) else {
@@ -171,7 +178,7 @@
     fleet.restart(witness, &spec);
     fleet.advance(3_000);
     let now = fleet.now;
-    let requests = [ask(rival, 1, Some(rival))];
+    let requests = [request(rival, 1, Some(rival))];
     let answer = last_answer(&mut fleet.agents[witness], now, &requests);
     assert_eq!(answer, ClaimAnswer::Taken(Claim::Run(id(holder))));
 }
@@ -179,49 +186,49 @@
 /// A witness restarts while others are silent. Of three, both others must have told their records: the
 /// silent one may be the only one that knows of a claim which won with this agent's vote.
 #[rstest]
-#[case::both_tell(3, &[], true)]
-#[case::one_of_two_silent(3, &[2], false)]
-#[case::three_of_four_tell(5, &[4], true)]
-#[case::two_of_four_silent(5, &[3, 4], false)]
-fn recall_needs_enough(#[case] upstreams: usize, #[case] silent: &[usize], #[case] votes: bool) {
+#[case::both_answer(3, &[], true)]
+#[case::one_of_two_unresponsive(3, &[2], false)]
+#[case::three_of_four_answer(5, &[4], true)]
+#[case::two_of_four_unresponsive(5, &[3, 4], false)]
+fn recall_quorum(#[case] upstreams: usize, #[case] unresponsive: &[usize], #[case] votes: bool) {
     let spec = Spec::new(WhenInDoubt::Refuse, upstreams);
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(0, &spec);
-    fleet.cut_off = silent.to_vec();
+    fleet.cut_off = unresponsive.to_vec();
     fleet.advance(10_000);
     let now = fleet.now;
-    let answer = last_answer(&mut fleet.agents[0], now, &[ask(1, 1, Some(1))]);
+    let answer = last_answer(&mut fleet.agents[0], now, &[request(1, 1, Some(1))]);
     assert_eq!(answer == ClaimAnswer::Granted, votes, "{answer:?}");
 }
 
 /// Two witnesses restart together. Neither may take the other's empty table for knowledge.
 #[test]
-fn recall_from_forgetful_witness_does_not_count() {
+fn recall_from_forgetful_witness() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(0, &spec);
     fleet.restart(1, &spec);
     fleet.advance(10_000);
     let now = fleet.now;
-    let answer = last_answer(&mut fleet.agents[0], now, &[ask(1, 1, Some(1))]);
+    let answer = last_answer(&mut fleet.agents[0], now, &[request(1, 1, Some(1))]);
     assert_eq!(answer, ClaimAnswer::Abstained);
 }
 
 /// Two claims for one confirmation are on record, and the restarted witness cannot tell which of them
 /// had its vote. It votes for neither: with the wrong one, both could win.
 #[test]
-fn recall_of_two_claims_votes_for_neither() {
+fn recall_disputed_opening() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
     let now = fleet.now;
     for (witness, claimant) in [(1, 2), (2, 1)] {
-        last_answer(&mut fleet.agents[witness], now, &[ask(claimant, 1, Some(claimant))]);
+        last_answer(&mut fleet.agents[witness], now, &[request(claimant, 1, Some(claimant))]);
     }
     fleet.restart(0, &spec);
     fleet.advance(3_000);
     let now = fleet.now;
     for claimant in [1, 2] {
-        let requests = [ask(claimant, 1, Some(claimant))];
+        let requests = [request(claimant, 1, Some(claimant))];
         let answer = last_answer(&mut fleet.agents[0], now, &requests);
         assert_eq!(answer, ClaimAnswer::Abstained);
     }
@@ -231,7 +238,7 @@
 /// A late copy of a confirmation that ran before must not find a majority among them. It did (fuzzing,
 /// seeds 518 and 553), since a witness with a new upstream took itself for one without a past.
 #[test]
-fn replaced_hosts_do_not_run_again() {
+fn recall_replaced_hosts() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
     let Outcome::Delivered(holder) = fleet.send(0, flow(1), opening(1)) else {
@@ -253,7 +260,7 @@
 #[rstest]
 #[case::two(2)]
 #[case::seven(7)]
-fn new_service_runs_soon(#[case] upstreams: usize) {
+fn recall_new_service(#[case] upstreams: usize) {
     let mut fleet = Fleet::started(&Spec::new(WhenInDoubt::Refuse, upstreams));
     fleet.advance(2_000);
     let outcome = fleet.send(0, flow(1), opening(1));
@@ -264,7 +271,7 @@
 /// abstained at once took away the majority, and datagrams of that moment were lost (lab --quick,
 /// seeds 21 to 23). It says nothing until it has caught up, and then grants.
 #[test]
-fn young_witness_catches_up_before_it_answers() {
+fn must_catch_up_newer_settings() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::started(&spec);
     fleet.advance(3_000);
@@ -313,7 +320,7 @@
 #[rstest]
 #[case::soon(30_000, false)]
 #[case::after_all_copies(125_000, true)]
-fn whole_service_replaced(#[case] after_ms: u64, #[case] runs: bool) {
+fn recall_whole_service_replaced(#[case] after_ms: u64, #[case] runs: bool) {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
     spec.version = 4;
     let mut fleet = Fleet::started(&spec);
@@ -352,7 +359,7 @@
 #[rstest]
 #[case::at_once(1_000, false)]
 #[case::after_ttl(125_000, true)]
-fn replaced_upstreams(#[case] elapsed_ms: u64, #[case] runs: bool) {
+fn outdated_membership_replaced_upstreams(#[case] elapsed_ms: u64, #[case] runs: bool) {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 6);
     spec.listed[3..].fill((2, None));
     let mut fleet = Fleet::settled(&spec);
@@ -372,7 +379,7 @@
 /// A claimant is paused after its witnesses were asked, and wakes up when their grants have long
 /// been forgotten. The confirmation that it still holds must not run then.
 #[rstest]
-fn paused_claimant_ignores_late_grants() {
+fn claim_by_quorum_paused_claimant() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Refuse, 3));
     let holder = (0..3).find(|at| fleet.ranking(flow(1))[0] == *at).expect("a home");
     fleet.arrive(holder, packet(flow(1), opening(1)));
@@ -390,7 +397,7 @@
 #[rstest]
 #[case::added(&[], 5)]
 #[case::replaced(&[3], 5)]
-fn datagram_during_a_change_is_answered(#[case] retired: &[usize], #[case] upstreams: usize) {
+fn is_catching_up_datagram_during_change(#[case] retired: &[usize], #[case] upstreams: usize) {
     let mut spec =
         Spec { transport: Transport::Udp, ..Spec::new(WhenInDoubt::Refuse, upstreams - 1) };
     let mut fleet = Fleet::started(&spec);
--- a/crates/decision/src/agent/tests/relearn.rs
+++ b/crates/decision/src/agent/tests/relearn.rs
@@ -12,7 +12,7 @@
 #[case::two_in_turn(&[0, 1], 7_000)]
 #[case::all_in_turn(&[0, 1, 2, 3, 4], 7_000)]
 #[case::one_twice(&[2, 2], 7_000)]
-fn feeds_survive_restarts(#[case] restarts: &[usize], #[case] apart_ms: u64) {
+fn relearn_keeps_flows(#[case] restarts: &[usize], #[case] apart_ms: u64) {
     let spec = Spec::new(WhenInDoubt::Admit, 5);
     let mut fleet = Fleet::settled(&spec);
     let opened: Vec<Outcome> =
@@ -31,7 +31,7 @@
 /// The agent dies before it has announced a feed to anybody. Every other agent denies the feed,
 /// so only the restarted one can hold it, and its upstream goes on.
 #[rstest]
-fn unannounced_feed_is_adopted() {
+fn adopt_unannounced_flow() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
@@ -47,7 +47,7 @@
 /// A feed was closed by its tablet, but the last part of the answer is still on its way when the
 /// agent restarts: the tablet's acknowledgements still reach the upstream.
 #[rstest]
-fn finishing_flow_survives_restart() {
+fn relearn_finishing_flow() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let opened = fleet.send(0, flow(1), opening(1));
@@ -62,7 +62,7 @@
 /// An agent leaves gracefully: what it holds is announced before it ends, buckets move to the
 /// next rank, and its feeds are found as before.
 #[rstest]
-fn leaving_agent_hands_over() {
+fn handover_leaving_agent() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let opened: Vec<Outcome> =
@@ -84,7 +84,7 @@
 /// after the other. The second one to restart has told the first, so the feeds are found again once
 /// the holder's agent is back.
 #[rstest]
-fn witnesses_restart_while_holder_is_down() {
+fn relearn_entrusted_flows() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let opened = fleet.send(0, flow(1), opening(1));
@@ -105,7 +105,7 @@
 /// A host crashes and its upstream starts anew, without the feeds of its earlier life. Its agent then
 /// restarts beside it. Peers must not tell it of the dead feeds: they would fill it for a day.
 #[rstest]
-fn flows_of_dead_upstream_are_not_relearned() {
+fn relearn_flows_of_failed_upstream() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     fleet.send(0, flow(1), opening(1));
@@ -123,17 +123,17 @@
 /// The upstream takes other feeds and announces them. When its agent restarts, the home must not tell it
 /// of the feed that never ran: it would fill the upstream for a day.
 #[rstest]
-fn assigned_feed_that_never_ran_is_not_relearned() {
+fn relearn_assigned_flow_never_delivered() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     let assigned = |fleet: &Fleet| {
-        let notes = fleet.timeline.iter();
-        notes
-            .filter(|(at, note)| *at == 0 && matches!(note, TimelineEntry::Assigned { .. }))
+        let entries = fleet.timeline.iter();
+        entries
+            .filter(|(at, entry)| *at == 0 && matches!(entry, TimelineEntry::Assigned { .. }))
             .count()
     };
-    let homes = |fleet: &Fleet, number: &u64| fleet.ranking(flow(*number))[0] == 0;
-    let flows: Vec<u64> = (0..400).filter(|number| homes(&fleet, number)).map(flow).collect();
+    let is_home = |fleet: &Fleet, number: &u64| fleet.ranking(flow(*number))[0] == 0;
+    let flows: Vec<u64> = (0..400).filter(|number| is_home(&fleet, number)).map(flow).collect();
     fleet.cut_off = vec![1, 2];
     let lost = flows[..40].iter().filter(|flow| fleet.send(0, **flow, opening(1)) == Outcome::Lost);
     assert!(lost.count() > 5 && assigned(&fleet) > 5);
@@ -152,7 +152,7 @@
 /// An agent that is neither home nor second rank has looked a feed up, and is not told of its end. When
 /// the holder's agent restarts, the looked-up answer must not bring the feed back.
 #[rstest]
-fn looked_up_feed_that_ended_is_not_relearned() {
+fn relearn_looked_up_flow_ended() {
     let spec = Spec::new(WhenInDoubt::Admit, 6);
     let mut fleet = Fleet::settled(&spec);
     let opened = fleet.send(0, flow(1), opening(1));
@@ -172,7 +172,7 @@
 /// told of the feed, nor that one of them is no longer told. If that one is not told of the end, it names the
 /// feed to the third life, which counts it for a day.
 #[test]
-fn end_of_a_relearned_feed_is_told_to_all() {
+fn announce_end_relearned_flow() {
     let spec = Spec::new(WhenInDoubt::Admit, 5);
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
@@ -196,7 +196,7 @@
 /// A feed ends in the last moment before a leaving agent's process does. Its peers are told at once: the
 /// next batch would be too late, and the new life would count the feed for a day.
 #[test]
-fn end_in_the_last_moment_is_told() {
+fn announce_end_while_leaving() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
@@ -216,26 +216,26 @@
 /// lives on for seconds, so whatever it had taken would be announced. When its agent restarts, the home
 /// must not tell it of the feed. If it died at once, nobody else may know, and the home must.
 #[rstest]
-#[case::lived_on(3_000, 0)]
+#[case::survived_deadline(3_000, 0)]
 #[case::died_at_once(0, 1)]
-fn assigned_feed_is_relearned_only_in_doubt(#[case] lives_ms: u64, #[case] relearned: usize) {
+fn relearn_assigned_flow_unannounced(#[case] survives_ms: u64, #[case] relearned: usize) {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
-    let homes = |fleet: &Fleet, number: &u64| fleet.ranking(flow(*number))[0] == 0;
-    let flows: Vec<u64> = (0..400).filter(|number| homes(&fleet, number)).map(flow).collect();
+    let is_home = |fleet: &Fleet, number: &u64| fleet.ranking(flow(*number))[0] == 0;
+    let flows: Vec<u64> = (0..400).filter(|number| is_home(&fleet, number)).map(flow).collect();
     fleet.cut_off = vec![1, 2];
-    let to_1 = |fleet: &Fleet| {
-        let assigned = |note: &TimelineEntry| matches!(note, TimelineEntry::Assigned { to, .. } if *to == id(1));
-        fleet.timeline.iter().filter(|(at, note)| *at == 0 && assigned(note)).count()
+    let assigned_to_1 = |fleet: &Fleet| {
+        let assigned = |entry: &TimelineEntry| matches!(entry, TimelineEntry::Assigned { to, .. } if *to == id(1));
+        fleet.timeline.iter().filter(|(at, entry)| *at == 0 && assigned(entry)).count()
     };
     for flow in flows {
-        if to_1(&fleet) == 0 {
+        if assigned_to_1(&fleet) == 0 {
             fleet.send(0, flow, opening(1));
         }
     }
-    assert_eq!(to_1(&fleet), 1);
+    assert_eq!(assigned_to_1(&fleet), 1);
     fleet.cut_off.clear();
-    fleet.advance(lives_ms);
+    fleet.advance(survives_ms);
     fleet.restart(1, &spec);
     fleet.advance(3_000);
     assert_eq!(fleet.agents[1].open_flows(), relearned);
@@ -244,7 +244,7 @@
 /// An upstream has answered restock confirmations, each one datagram, and its agent restarts. The peers
 /// remember them. They are over: an upstream that counted them as open would refuse all others as full.
 #[test]
-fn answered_datagrams_are_not_relearned() {
+fn relearn_answered_datagrams() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
     spec.transport = Transport::Udp;
     spec.max_flows = 3;
@@ -268,7 +268,7 @@
 #[rstest]
 #[case::ended_unseen(0, true)]
 #[case::still_open(3, false)]
-fn ended_feeds_do_not_fill_an_upstream(#[case] open_flows: u32, #[case] takes: bool) {
+fn relearn_flows_ended_unseen(#[case] open_flows: u32, #[case] accepts: bool) {
     let mut spec = Spec::new(WhenInDoubt::Admit, 2);
     spec.max_flows = 3;
     let mut fleet = Fleet::settled(&spec);
@@ -287,7 +287,7 @@
         fleet.advance(1_000);
     }
     let outcome = fleet.send(0, flow(10), opening(1));
-    assert_eq!(matches!(outcome, Outcome::Delivered(_)), takes, "{outcome:?}");
+    assert_eq!(matches!(outcome, Outcome::Delivered(_)), accepts, "{outcome:?}");
 }
 
 /// A service takes feeds by TCP and confirmations by datagram, and refuses when in doubt. Its agents restart one
@@ -296,7 +296,7 @@
 #[rstest]
 #[case::all_in_turn(&[0, 1, 2, 3, 4])]
 #[case::two_at_once(&[0, 1])]
-fn feeds_of_a_mixed_service_are_relearned(#[case] restarts: &[usize]) {
+fn relearn_service_with_both_protocols(#[case] restarts: &[usize]) {
     let spec = Spec { both_protocols: true, ..Spec::new(WhenInDoubt::Refuse, 5) };
     let mut fleet = Fleet::settled(&spec);
     let opened: Vec<Outcome> =
@@ -317,7 +317,7 @@
 /// every peer. The gone one never acknowledges it: without a bound the same batch goes to its address every
 /// two seconds until the operators take the entry out.
 #[test]
-fn gone_peer_is_not_announced_to_for_ever() {
+fn announce_to_retired_peer_stops() {
     let mut spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let (home, gone) = (fleet.ranking(flow(1))[0], fleet.ranking(flow(1))[3]);
