--- a/crates/decision/src/agent/tests/assign.rs
+++ b/crates/decision/src/agent/tests/assign.rs
@@ -11,11 +11,11 @@
 
 /// Loads in flows of the candidates, the own one first, and the policy's choice.
 #[rstest]
-#[case::home_busy(prefer_local, &[9, 0, 0], 0)]
+#[case::local_busier(prefer_local, &[9, 0, 0], 0)]
 #[case::least(least_loaded, &[9, 3, 0], 2)]
-#[case::least_own_among_equals(least_loaded, &[0, 0, 0], 0)]
-#[case::near_little_busier(two_choices_prefer_local, &[2, 0, 0], 0)]
-fn choice(#[case] policy: Policy, #[case] flows: &[u64], #[case] expected: usize) {
+#[case::least_local_among_equals(least_loaded, &[0, 0, 0], 0)]
+#[case::local_slightly_busier(two_choices_prefer_local, &[2, 0, 0], 0)]
+fn policy_choice(#[case] policy: Policy, #[case] flows: &[u64], #[case] expected: usize) {
     let step = 100;
     let candidates: Vec<Candidate> = (0..)
         .zip(flows)
@@ -33,9 +33,9 @@
 
 /// Many feeds are opened through one balancer: no upstream gets far more than its share.
 #[rstest]
-#[case::near(two_choices_prefer_local, 115)]
+#[case::local_preferred(two_choices_prefer_local, 115)]
 #[case::least(least_loaded, 130)]
-fn imbalance(#[case] policy: Policy, #[case] max_over_mean_percent: usize) {
+fn policy_imbalance(#[case] policy: Policy, #[case] max_over_mean_percent: usize) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 5));
     fleet.agents.iter_mut().for_each(|agent| agent.set_policy(policy));
     for number in 0..1_000 {
@@ -56,7 +56,7 @@
 #[case::half_way(0, 5_000, 55)]
 #[case::frozen_report(0, 20_000, 100)]
 #[case::warm(60_000, 0, 100)]
-fn ramp(#[case] age_ms: u64, #[case] elapsed_ms: u64, #[case] percent: u8) {
+fn heartbeat_ramp_percent(#[case] age_ms: u64, #[case] elapsed_ms: u64, #[case] percent: u8) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 2));
     let cold = UpstreamReport { age_ms: Some(age_ms), ..report() };
     fleet.handle_event(0, Event::Upstream(cold));
@@ -64,9 +64,9 @@
     fleet.handle_event(0, Event::Upstream(cold));
     let mut out = Vec::new();
     fleet.agents[0].handle(fleet.now, Event::Leave, &mut out);
-    let told = out.iter().find_map(|action| match action {
+    let announced = out.iter().find_map(|action| match action {
         Action::Send { message: Message::Heartbeat(heartbeat), .. } => Some(heartbeat.ramp_percent),
         _ => None,
     });
-    assert_eq!(told, Some(percent));
+    assert_eq!(announced, Some(percent));
 }
--- a/crates/decision/src/agent/tests/early.rs
+++ b/crates/decision/src/agent/tests/early.rs
@@ -6,7 +6,7 @@
 
 /// What happens before the opening arrives at the agent of the given rank.
 #[derive(Clone, Copy, Debug)]
-enum Before {
+enum Setup {
     /// The same opening came to the agent of this rank.
     Copy(usize),
     /// The caller closed the flow and uses its ports again.
@@ -14,31 +14,31 @@
     /// The agent of this rank is draining.
     Draining(usize),
     /// The agent of this rank is silent for long enough to be suspected.
-    Silent(usize),
+    Unresponsive(usize),
     /// Newer settings reach only the agent of this rank.
-    Newer(usize),
+    NewerSettings(usize),
 }
 
-fn prepare(fleet: &mut Fleet, spec: &Spec, before: Before) {
+fn prepare(fleet: &mut Fleet, spec: &Spec, setup: Setup) {
     let ranking = fleet.ranking(flow(3));
-    match before {
-        Before::Copy(rank) => {
+    match setup {
+        Setup::Copy(rank) => {
             fleet.send(ranking[rank], flow(3), opening(1));
         }
-        Before::Closed => {
+        Setup::Closed => {
             fleet.send(ranking[0], flow(3), opening(9));
             fleet.send(ranking[0], flow(3), PacketKind::Finish);
         }
-        Before::Draining(rank) => {
+        Setup::Draining(rank) => {
             let report = UpstreamReport { draining: true, ..report() };
             fleet.handle_event(ranking[rank], Event::Upstream(report));
             fleet.deliver_messages();
         }
-        Before::Silent(rank) => {
+        Setup::Unresponsive(rank) => {
             fleet.cut_off.push(ranking[rank]);
             fleet.advance(3_000);
         }
-        Before::Newer(rank) => {
+        Setup::NewerSettings(rank) => {
             let mut newer = spec.clone();
             newer.version = 2;
             fleet.install(ranking[rank], &newer);
@@ -49,24 +49,28 @@
 /// The caller's SYN, and a copy of it by way of another balancer, get one answer from one
 /// upstream. Whatever changed between the two, both copies lead to the same holder.
 #[rstest]
-#[case::steady(&[], 0, 0)]
+#[case::no_change(&[], 0, 0)]
 #[case::other_agent(&[], 0, 3)]
-#[case::copy_first_elsewhere(&[Before::Copy(2)], 1, 0)]
-#[case::ports_used_again(&[Before::Closed], 0, 1)]
-#[case::home_draining(&[Before::Draining(0)], 0, 1)]
-#[case::home_silent(&[Before::Silent(0)], 1, 2)]
-#[case::home_silent_after_copy(&[Before::Copy(0), Before::Silent(0)], 1, 2)]
-#[case::view_of_home_newer(&[Before::Newer(0)], 1, 0)]
-#[case::view_of_other_newer(&[Before::Newer(1)], 1, 0)]
-fn copies_one_holder(#[case] before: &[Before], #[case] first: usize, #[case] second: usize) {
+#[case::earlier_copy_at_another_agent(&[Setup::Copy(2)], 1, 0)]
+#[case::ports_reused(&[Setup::Closed], 0, 1)]
+#[case::home_draining(&[Setup::Draining(0)], 0, 1)]
+#[case::home_unresponsive(&[Setup::Unresponsive(0)], 1, 2)]
+#[case::home_unresponsive_after_copy(&[Setup::Copy(0), Setup::Unresponsive(0)], 1, 2)]
+#[case::newer_view_at_home(&[Setup::NewerSettings(0)], 1, 0)]
+#[case::newer_view_at_another_agent(&[Setup::NewerSettings(1)], 1, 0)]
+fn open_optimistically_copies_reach_one_holder(
+    #[case] setup: &[Setup],
+    #[case] first: usize,
+    #[case] second: usize,
+) {
     let spec = Spec::new(WhenInDoubt::Admit, 5);
     let mut fleet = Fleet::settled(&spec);
-    before.iter().for_each(|step| prepare(&mut fleet, &spec, *step));
+    setup.iter().for_each(|step| prepare(&mut fleet, &spec, *step));
     let ranking = fleet.ranking(flow(3));
     let one = fleet.send(ranking[first], flow(3), opening(1));
     let other = fleet.send(ranking[second], flow(3), opening(1));
     assert_eq!(one, other);
-    let lost = before.iter().any(|step| matches!(step, Before::Silent(_)));
+    let lost = setup.iter().any(|step| matches!(step, Setup::Unresponsive(_)));
     assert!(lost || matches!(one, Outcome::Delivered(_)), "{one:?}");
 }
 
@@ -76,10 +80,10 @@
 #[case::draining(UpstreamReport { draining: true, ..report() })]
 #[case::shedding(UpstreamReport { shedding: true, ..report() })]
 #[case::unhealthy(UpstreamReport { healthy: false, ..report() })]
-fn home_not_accepting(#[case] bad: UpstreamReport) {
+fn open_optimistically_home_not_accepting(#[case] not_accepting: UpstreamReport) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 4));
     for number in 0..200 {
-        fleet.handle_event(0, Event::Upstream(bad));
+        fleet.handle_event(0, Event::Upstream(not_accepting));
         fleet.deliver_messages();
         let home = fleet.ranking(flow(number))[0];
         let outcome = fleet.send(home, flow(number), opening(1));
@@ -89,7 +93,7 @@
 
 /// All upstreams are full: the caller is told at once, and a copy of the same SYN as well.
 #[rstest]
-fn all_full_refused() {
+fn open_optimistically_all_full() {
     let mut spec = Spec::new(WhenInDoubt::Admit, 2);
     spec.max_flows = 3;
     let mut fleet = Fleet::settled(&spec);
@@ -107,23 +111,23 @@
 #[rstest]
 #[case::paused(true)]
 #[case::cut_off(false)]
-fn returned_home_asks_stand_in(#[case] paused: bool) {
+fn open_optimistically_home_back(#[case] paused: bool) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
     let ranking = fleet.ranking(flow(5));
     fleet.cut_off.push(ranking[0]);
     fleet.paused.extend(paused.then_some(ranking[0]));
     fleet.advance(3_000);
-    let stand_in = fleet.send(ranking[1], flow(5), opening(1));
+    let admitted = fleet.send(ranking[1], flow(5), opening(1));
     fleet.cut_off.clear();
     fleet.paused.clear();
-    assert_eq!(fleet.send(ranking[0], flow(5), opening(1)), stand_in);
+    assert_eq!(fleet.send(ranking[0], flow(5), opening(1)), admitted);
 }
 
 /// Both agents begin to drain, and neither has heard it of the other yet. An opening that is assigned to
 /// one goes to the other and comes back. The caller is refused at once; before, each copy of the
 /// opening ran between the two until its hops were used up (fuzzing, seeds 6 and 132).
 #[test]
-fn returned_opening_is_answered() {
+fn reassign_returned_both_draining() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 2));
     fleet.cut_off = vec![0, 1];
     for index in 0..2 {
@@ -140,9 +144,9 @@
 /// goes to the second rank, which passes the openings to the home but remembers the old feeds. The next
 /// packets must not follow that: an old upstream would reset a new feed.
 #[rstest]
-#[case::doubted_home(3_000)]
-#[case::settled_home(12_000)]
-fn used_again_ports_lead_to_the_new_holder(#[case] back_ms: u64) {
+#[case::home_just_back(3_000)]
+#[case::home_back_for_longer(12_000)]
+fn forget_closing_reused_ports(#[case] back_ms: u64) {
     let mut spec = Spec::new(WhenInDoubt::Admit, 7);
     spec.states[1] = UpstreamState::Draining;
     let mut fleet = Fleet::settled(&spec);
@@ -169,7 +173,7 @@
 /// upstream begins to drain, and the settings that say so are the first thing that it takes in on waking.
 /// The packet that it still holds goes to an upstream that stays.
 #[test]
-fn held_opening_goes_elsewhere_after_a_drain() {
+fn reconsider_after_pause_upstream_drains() {
     let mut spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::started(&spec);
     fleet.advance(2_000);
--- a/crates/decision/src/agent/tests/explain.rs
+++ b/crates/decision/src/agent/tests/explain.rs
@@ -6,19 +6,19 @@
 use crate::agent::{AgentStatus, FlowLocation};
 
 /// AgentStatus of each rank of flow 1 and rank of its home, as the agent of `observer` rank sees it.
-fn standings(fleet: &Fleet, observer: usize) -> (Vec<AgentStatus>, Option<usize>) {
+fn agent_statuses(fleet: &Fleet, observer: usize) -> (Vec<AgentStatus>, Option<usize>) {
     let explanation = fleet.agents[fleet.ranking(1)[observer]].explain(fleet.now, FlowId(1));
     let ranks = explanation.ranking.iter();
     let home = ranks.clone().position(|(upstream, _)| Some(*upstream) == explanation.home);
-    (ranks.map(|(_, standing)| *standing).collect(), home)
+    (ranks.map(|(_, status)| *status).collect(), home)
 }
 
 #[rstest]
 #[case::all_up(&[], &[], [AgentStatus::Up; 3], 0)]
-#[case::first_silent(&[0], &[], [AgentStatus::Suspected, AgentStatus::Up, AgentStatus::Up], 1)]
+#[case::first_suspected(&[0], &[], [AgentStatus::Suspected, AgentStatus::Up, AgentStatus::Up], 1)]
 #[case::first_leaving(&[], &[0], [AgentStatus::Leaving, AgentStatus::Up, AgentStatus::Up], 1)]
 #[case::two_down(&[1], &[0], [AgentStatus::Leaving, AgentStatus::Suspected, AgentStatus::Up], 2)]
-fn explain_standing(
+fn explain_agent_status(
     #[case] cut_off: &[usize],
     #[case] leaving: &[usize],
     #[case] expected: [AgentStatus; 3],
@@ -30,19 +30,19 @@
     fleet.deliver_messages();
     fleet.cut_off = cut_off.iter().map(|rank| ranking[*rank]).collect();
     fleet.advance(5_000);
-    assert_eq!(standings(&fleet, 2), (expected.to_vec(), Some(home)));
+    assert_eq!(agent_statuses(&fleet, 2), (expected.to_vec(), Some(home)));
 }
 
 #[test]
-fn explain_leaving_itself() {
+fn explain_own_status_leaving() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 2));
     let first = fleet.ranking(1)[0];
     fleet.handle_event(first, Event::Leave);
-    assert_eq!(standings(&fleet, 0).0, [AgentStatus::Leaving, AgentStatus::Up]);
+    assert_eq!(agent_statuses(&fleet, 0).0, [AgentStatus::Leaving, AgentStatus::Up]);
 }
 
 #[test]
-fn explain_whereabouts() {
+fn explain_flow_location() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 2));
     let location =
         |fleet: &Fleet, agent: usize| fleet.agents[agent].explain(fleet.now, FlowId(1)).location;
--- a/crates/decision/src/agent/tests/flows.rs
+++ b/crates/decision/src/agent/tests/flows.rs
@@ -8,28 +8,28 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Send(PacketKind),
-    Pass(u64),
+    Advance(u64),
 }
 
-use Step::{Pass, Send};
+use Step::{Advance, Send};
 
 const MINUTE_MS: u64 = 60_000;
 
 /// A caller's packets over time. The last one still reaches the upstream, or is refused because
 /// the flow is long gone.
 #[rstest]
-#[case::idle_feed(&[Send(opening(1)), Send(PacketKind::Middle), Pass(300 * MINUTE_MS)], true)]
-#[case::answer_after_finish(&[Send(opening(1)), Send(PacketKind::Finish), Pass(9 * MINUTE_MS)], true)]
-#[case::long_after_finish(&[Send(opening(1)), Send(PacketKind::Finish), Pass(15 * MINUTE_MS)], false)]
-#[case::stray_after_reset(&[Send(opening(1)), Send(PacketKind::Reset), Pass(MINUTE_MS / 2)], true)]
-#[case::long_after_reset(&[Send(opening(1)), Send(PacketKind::Reset), Pass(3 * MINUTE_MS)], false)]
-#[case::never_answered(&[Send(opening(1)), Pass(2 * MINUTE_MS)], false)]
-fn lifetime(#[case] steps: &[Step], #[case] alive: bool) {
+#[case::idle_open_flow(&[Send(opening(1)), Send(PacketKind::Middle), Advance(300 * MINUTE_MS)], true)]
+#[case::answer_after_finish(&[Send(opening(1)), Send(PacketKind::Finish), Advance(9 * MINUTE_MS)], true)]
+#[case::long_after_finish(&[Send(opening(1)), Send(PacketKind::Finish), Advance(15 * MINUTE_MS)], false)]
+#[case::stray_after_reset(&[Send(opening(1)), Send(PacketKind::Reset), Advance(MINUTE_MS / 2)], true)]
+#[case::long_after_reset(&[Send(opening(1)), Send(PacketKind::Reset), Advance(3 * MINUTE_MS)], false)]
+#[case::never_answered(&[Send(opening(1)), Advance(2 * MINUTE_MS)], false)]
+fn flow_lifetime(#[case] steps: &[Step], #[case] alive: bool) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 1));
     for step in steps {
         match step {
             Send(kind) => assert_eq!(fleet.send(0, 1, *kind), Outcome::Delivered(0)),
-            Pass(ms) => fleet.advance(*ms),
+            Advance(ms) => fleet.advance(*ms),
         }
     }
     let expected = match alive {
@@ -45,7 +45,7 @@
 #[case::open(None, 1)]
 #[case::finished(Some(PacketKind::Finish), 1)]
 #[case::reset(Some(PacketKind::Reset), 1)]
-fn ports_used_again(#[case] end: Option<PacketKind>, #[case] open: usize) {
+fn open_optimistically_reused_ports(#[case] end: Option<PacketKind>, #[case] open: usize) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 1));
     fleet.send(0, 1, opening(1));
     if let Some(kind) = end {
@@ -56,7 +56,7 @@
 }
 
 /// Initial sequence number of a connection that has nothing in common with those of the other tests.
-const FAR: u32 = 1 << 31;
+const OTHER_SEQUENCE: u32 = 1 << 31;
 
 /// A cutter's fitting session on ports that were used a moment ago, and a copy of what ended the last
 /// connection comes late. The upstream's TCP knows it for an old one by its sequence number and goes on; the
@@ -64,11 +64,11 @@
 #[rstest]
 #[case::reset(PacketKind::Reset)]
 #[case::finish(PacketKind::Finish)]
-fn late_end_of_an_older_connection(#[case] end: PacketKind) {
+fn close_late_end_of_older_connection(#[case] end: PacketKind) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 1));
     fleet.send(0, 1, opening(1));
     fleet.send(0, 1, PacketKind::Middle);
-    let late = Packet { sequence: FAR, ..packet(1, end) };
+    let late = Packet { sequence: OTHER_SEQUENCE, ..packet(1, end) };
     assert_eq!(fleet.send_packet(0, late), Outcome::Delivered(0));
     fleet.advance(15 * MINUTE_MS);
     assert_eq!(fleet.send(0, 1, PacketKind::Middle), Outcome::Delivered(0));
@@ -78,13 +78,13 @@
 /// Packets of an older connection come late, all of them, its end last. None of them makes the agent
 /// take the numbers of the older one for those of the present one.
 #[test]
-fn late_copies_of_a_whole_older_connection() {
+fn close_late_copies_of_older_connection() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 1));
     fleet.send(0, 1, opening(1));
     fleet.send(0, 1, PacketKind::Middle);
     fleet.advance(MINUTE_MS);
-    for kind in [opening(FAR), PacketKind::Middle, PacketKind::Reset] {
-        fleet.send_packet(0, Packet { sequence: FAR, ..packet(1, kind) });
+    for kind in [opening(OTHER_SEQUENCE), PacketKind::Middle, PacketKind::Reset] {
+        fleet.send_packet(0, Packet { sequence: OTHER_SEQUENCE, ..packet(1, kind) });
     }
     assert_eq!(fleet.agents[0].open_flows(), 1);
 }
@@ -93,13 +93,13 @@
 /// ends the new connection. The agent takes the old one's place for it, and must see its end: else the flow
 /// counts as open for a day.
 #[test]
-fn end_of_a_connection_on_the_ports_of_a_lost_one() {
+fn close_flow_after_lost_connection() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 1));
     fleet.send(0, 1, opening(1));
     fleet.send(0, 1, PacketKind::Middle);
     fleet.advance(3 * MINUTE_MS);
-    for kind in [opening(FAR), PacketKind::Middle, PacketKind::Finish] {
-        let outcome = fleet.send_packet(0, Packet { sequence: FAR, ..packet(1, kind) });
+    for kind in [opening(OTHER_SEQUENCE), PacketKind::Middle, PacketKind::Finish] {
+        let outcome = fleet.send_packet(0, Packet { sequence: OTHER_SEQUENCE, ..packet(1, kind) });
         assert_eq!(outcome, Outcome::Delivered(0));
     }
     assert_eq!(fleet.agents[0].open_flows(), 0);
@@ -109,12 +109,12 @@
 /// caller resets it, as TCP asks, and sends the same opening again. It has not run and must be delivered,
 /// also where copies of openings that ran no longer are.
 #[test]
-fn opening_that_was_not_understood_comes_again() {
+fn met_older_connection_opening_repeated() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Refuse, 3));
-    let Outcome::Delivered(holder) = fleet.send(0, flow(1), opening(FAR)) else {
+    let Outcome::Delivered(holder) = fleet.send(0, flow(1), opening(OTHER_SEQUENCE)) else {
         panic!("the opening must be delivered");
     };
     assert_eq!(fleet.send(holder, flow(1), PacketKind::Reset), Outcome::Delivered(holder));
     fleet.advance(11_000);
-    assert_eq!(fleet.send(holder, flow(1), opening(FAR)), Outcome::Delivered(holder));
+    assert_eq!(fleet.send(holder, flow(1), opening(OTHER_SEQUENCE)), Outcome::Delivered(holder));
 }
--- a/crates/decision/src/agent/tests/install.rs
+++ b/crates/decision/src/agent/tests/install.rs
@@ -10,7 +10,7 @@
 #[case::newer(&[2], 2)]
 #[case::older(&[3, 2], 3)]
 #[case::same_twice(&[2, 2], 2)]
-fn order(#[case] versions: &[u64], #[case] in_force: u64) {
+fn install_order(#[case] versions: &[u64], #[case] in_force: u64) {
     let mut spec = Spec::new(WhenInDoubt::Admit, 2);
     let mut fleet = Fleet::settled(&spec);
     for version in versions {
@@ -29,7 +29,7 @@
     spec.states[1] = UpstreamState::Retired;
     spec.listed[1].1 = Some(2);
 })]
-fn feeds_survive_settings(#[case] change: fn(&mut Spec)) {
+fn install_keeps_flows(#[case] change: fn(&mut Spec)) {
     let mut spec = Spec::new(WhenInDoubt::Admit, 5);
     let mut fleet = Fleet::settled(&spec);
     let opened: Vec<Outcome> =
--- a/crates/decision/src/agent/tests/lookup.rs
+++ b/crates/decision/src/agent/tests/lookup.rs
@@ -13,11 +13,11 @@
     &[Some(Knowledge::NotMine), Some(Knowledge::Mine), Some(Knowledge::NotMine)],
     Verdict::Forward { to: id(2), forwarding: Forwarding::Redirected },
 )]
-#[case::one_holds_others_silent(
+#[case::one_holds_others_unanswered(
     &[None, Some(Knowledge::Mine), None],
     Verdict::Forward { to: id(2), forwarding: Forwarding::Redirected },
 )]
-#[case::one_silent(
+#[case::one_unanswered(
     &[Some(Knowledge::NotMine), None, Some(Knowledge::NotMine)],
     Verdict::Drop(Reason::HolderSilent),
 )]
@@ -49,15 +49,15 @@
     &[Some(Knowledge::NotMine), Some(Knowledge::Unlikely), Some(Knowledge::NotMine)],
     Verdict::Forward { to: id(2), forwarding: Forwarding::Adopt },
 )]
-#[case::one_likely_one_silent(
+#[case::one_likely_one_unanswered(
     &[Some(Knowledge::Likely), None, Some(Knowledge::NotMine)],
     Verdict::Drop(Reason::HolderSilent),
 )]
-#[case::one_unsure_one_silent(
+#[case::one_unsure_one_unanswered(
     &[Some(Knowledge::Unsure), None, Some(Knowledge::NotMine)],
     Verdict::Drop(Reason::HolderSilent),
 )]
-#[case::closing_one_silent(
+#[case::closing_one_unanswered(
     &[Some(Knowledge::Closing), None, Some(Knowledge::NotMine)],
     Verdict::Drop(Reason::HolderSilent),
 )]
@@ -69,7 +69,7 @@
     &[Some(Knowledge::HeldBy(id(3))), Some(Knowledge::NotMine), Some(Knowledge::NotMine)],
     Verdict::Forward { to: id(3), forwarding: Forwarding::Redirected },
 )]
-fn unknown_middle(#[case] answers: &[Option<Knowledge>], #[case] expected: Verdict) {
+fn look_up_unknown_flow(#[case] answers: &[Option<Knowledge>], #[case] expected: Verdict) {
     let fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 4));
     let mut agent = fleet.agents.into_iter().next().expect("an agent");
     assert_eq!(look_up(&mut agent, fleet.now, answers, 0), Some(expected));
@@ -78,7 +78,7 @@
 /// A late answer to an older question says that a flow does not exist which has been opened
 /// since. Were it counted, a living flow would be reset.
 #[rstest]
-fn late_denials_are_not_counted() {
+fn answer_received_late_denials() {
     let fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 4));
     let mut agent = fleet.agents.into_iter().next().expect("an agent");
     let verdict = look_up(&mut agent, fleet.now, &[Some(Knowledge::NotMine); 3], 1);
@@ -115,7 +115,7 @@
 
 /// An open feed's packets may be handed to any agent at any time: each finds the holder.
 #[rstest]
-fn any_agent_finds_the_holder() {
+fn look_up_from_any_agent() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 5));
     for number in 0..100 {
         let opened = fleet.send(number as usize % 5, flow(number), opening(1));
@@ -128,7 +128,7 @@
 /// The settings that name the holder have not reached this agent yet. Its peers deny the flow,
 /// but one of them runs newer settings, in which there may be holders that were not asked.
 #[rstest]
-fn newer_settings_forbid_a_reset() {
+fn look_up_newer_settings_at_peer() {
     let mut spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     spec.version = 2;
@@ -142,7 +142,7 @@
 #[rstest]
 #[case::middle(PacketKind::Middle)]
 #[case::opening(opening(1))]
-fn wrong_service(#[case] kind: PacketKind) {
+fn handle_packet_wrong_service(#[case] kind: PacketKind) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 2));
     let stray = Packet { service: ServiceId::of("bajio", "fitting"), ..packet(1, kind) };
     assert_eq!(fleet.send_packet(0, stray), Outcome::Dropped(Reason::WrongService));
@@ -154,22 +154,22 @@
 /// where the holder is silent, the caller must send again.
 #[rstest]
 #[case::holder_answers(false)]
-#[case::holder_silent(true)]
-fn ports_used_again_after_a_reset(#[case] silent: bool) {
-    const NEXT: u32 = 1 << 31;
+#[case::holder_unresponsive(true)]
+fn look_up_reused_ports_after_reset(#[case] unresponsive: bool) {
+    const NEXT_SEQUENCE: u32 = 1 << 31;
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
     let (first, second) = (fleet.ranking(flow(1))[0], fleet.ranking(flow(1))[1]);
     assert_eq!(fleet.send(first, flow(1), opening(1)), Outcome::Delivered(first));
     assert_eq!(fleet.send(first, flow(1), PacketKind::Reset), Outcome::Delivered(first));
     fleet.cut_off = vec![first];
     fleet.advance(5_000);
-    let next = |kind| Packet { sequence: NEXT, ..packet(flow(1), kind) };
-    let Outcome::Delivered(holder) = fleet.send_packet(second, next(opening(NEXT))) else {
+    let next = |kind| Packet { sequence: NEXT_SEQUENCE, ..packet(flow(1), kind) };
+    let Outcome::Delivered(holder) = fleet.send_packet(second, next(opening(NEXT_SEQUENCE))) else {
         panic!("the next connection must open");
     };
     assert_ne!(holder, first);
-    fleet.cut_off = if silent { vec![holder] } else { Vec::new() };
-    let expected = match silent {
+    fleet.cut_off = if unresponsive { vec![holder] } else { Vec::new() };
+    let expected = match unresponsive {
         true => Outcome::Dropped(Reason::HolderSilent),
         false => Outcome::Delivered(holder),
     };
@@ -180,7 +180,7 @@
 /// session, the restarted agent says who has announced it. That it is unsure of what it held before has
 /// no part in that: the answer *unsure* left the word to agents that remembered an older connection.
 #[test]
-fn unsure_agent_says_what_it_was_told() {
+fn knowledge_announced_flow_in_incomplete_state() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let ranking = fleet.ranking(flow(1));
@@ -210,8 +210,8 @@
 /// are there, the caller's next opening on the same ports is handed on by this agent. The answers name
 /// this agent for the old connection; taken for the new one, its packets would be reset here.
 #[test]
-fn opening_overtakes_a_lookup() {
-    const NEXT: u32 = 1 << 31;
+fn look_up_overtaken_by_opening() {
+    const NEXT_SEQUENCE: u32 = 1 << 31;
     let mut spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
@@ -229,8 +229,8 @@
     for (to, from, message) in std::mem::take(&mut fleet.messages) {
         fleet.handle_event(to, Event::Message { from, message });
     }
-    let next = |kind| Packet { sequence: NEXT, ..packet(flow(1), kind) };
-    fleet.arrive(home, next(opening(NEXT)));
+    let next = |kind| Packet { sequence: NEXT_SEQUENCE, ..packet(flow(1), kind) };
+    fleet.arrive(home, next(opening(NEXT_SEQUENCE)));
     fleet.advance(1_000);
     let holder = fleet.holder(flow(1)).expect("a holder");
     assert_ne!(holder, home);
--- a/crates/decision/src/agent/tests/ports.rs
+++ b/crates/decision/src/agent/tests/ports.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 /// Far from the sequence number of the older connection.
-const LATER: u32 = 1 << 30;
+const LATER_SEQUENCE: u32 = 1 << 30;
 
 /// A caller's second connection on its ports is cut: the agent that holds the first one, whose end was lost,
 /// delivers its packets, or says that it holds it when the restarted holder asks.
@@ -14,7 +14,7 @@
 #[case::packet_reaches_the_holder(false, false)]
 #[case::restarted_holder_asks(true, false)]
 #[case::older_holder_asks_the_restarted_one(true, true)]
-fn later_connection_is_found(#[case] restarts: bool, #[case] to_older: bool) {
+fn look_up_later_connection(#[case] restarts: bool, #[case] to_older: bool) {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let ranking = fleet.ranking(flow(1));
@@ -22,8 +22,8 @@
     assert_eq!(fleet.send(older, flow(1), opening(1)), Outcome::Delivered(older));
     fleet.cut_off.push(older);
     fleet.advance(5_000);
-    assert_eq!(fleet.send(holder, flow(1), opening(LATER)), Outcome::Delivered(holder));
-    assert_eq!(fleet.send_packet(holder, later()), Outcome::Delivered(holder));
+    assert_eq!(fleet.send(holder, flow(1), opening(LATER_SEQUENCE)), Outcome::Delivered(holder));
+    assert_eq!(fleet.send_packet(holder, later_packet()), Outcome::Delivered(holder));
     fleet.advance(1_000);
     fleet.cut_off.clear();
     fleet.advance(20_000);
@@ -32,24 +32,24 @@
         fleet.advance(2_000);
     }
     let to = if to_older { older } else { holder };
-    assert_eq!(fleet.send_packet(to, later()), Outcome::Delivered(holder));
+    assert_eq!(fleet.send_packet(to, later_packet()), Outcome::Delivered(holder));
 }
 
 /// Nobody holds the connection that a packet belongs to. The upstream that has another one on its ports
 /// judges; no agent resets it.
 #[rstest]
-fn packet_of_no_connection_is_left_to_the_upstream() {
+fn look_up_packet_of_no_connection() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
     fleet.send(home, flow(1), opening(1));
     fleet.advance(1_000);
-    assert_eq!(fleet.send_packet(home, later()), Outcome::Delivered(home));
+    assert_eq!(fleet.send_packet(home, later_packet()), Outcome::Delivered(home));
 }
 
 /// Agents of the last release cannot read a question with a sequence number, and are asked as before.
 #[rstest]
-fn last_release_is_asked_without_a_sequence_number() {
+fn ask_previous_release() {
     let spec = Spec::new(WhenInDoubt::Admit, 5);
     let mut fleet = Fleet::settled(&spec);
     fleet.previous_release = (0..5).collect();
@@ -60,8 +60,8 @@
     assert_eq!(fleet.send(ranking[4], flow(1), PacketKind::Middle), opened);
 }
 
-fn later() -> Packet {
-    Packet { sequence: LATER, ..packet(flow(1), PacketKind::Middle) }
+fn later_packet() -> Packet {
+    Packet { sequence: LATER_SEQUENCE, ..packet(flow(1), PacketKind::Middle) }
 }
 
 /// A draining upstream gets an opening seconds later: it came on the ports of an older connection before the
@@ -69,7 +69,7 @@
 #[rstest]
 #[case::before_the_drain(true)]
 #[case::without_a_drain(false)]
-fn opening_that_was_not_understood_leaves_a_draining_upstream(#[case] drains: bool) {
+fn has_never_run_draining_upstream(#[case] drains: bool) {
     let mut spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
@@ -77,7 +77,7 @@
     fleet.advance(1_000);
     fleet.restart(home, &spec);
     fleet.advance(2_000);
-    assert_eq!(fleet.send(home, flow(1), opening(LATER)), Outcome::Delivered(home));
+    assert_eq!(fleet.send(home, flow(1), opening(LATER_SEQUENCE)), Outcome::Delivered(home));
     assert_eq!(fleet.send(home, flow(1), PacketKind::Reset), Outcome::Delivered(home));
     if drains {
         spec.version = 2;
@@ -85,7 +85,7 @@
         (0..4).for_each(|index| fleet.install(index, &spec));
     }
     fleet.advance(2_000);
-    let outcome = fleet.send(home, flow(1), opening(LATER));
+    let outcome = fleet.send(home, flow(1), opening(LATER_SEQUENCE));
     assert!(matches!(outcome, Outcome::Delivered(_)), "{outcome:?}");
     assert_eq!(outcome != Outcome::Delivered(home), drains);
 }
--- a/crates/decision/src/agent/tests/reports.rs
+++ b/crates/decision/src/agent/tests/reports.rs
@@ -26,7 +26,7 @@
 /// up; instead each peer reports it after three missed heartbeats. When it is back its own later
 /// heartbeat refutes the reports, in whatever order they arrive.
 #[test]
-fn suspect_dead_agent_is_reported_until_heard_again() {
+fn suspect_dead_agent_until_back() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
     fleet.cut_off = vec![2];
     fleet.advance(5_000);
@@ -42,7 +42,7 @@
 /// A partition cuts one agent off from its peers, but not from the balancers on its side. Its peers
 /// report it down; its own word, with a later beat, keeps its open feeds coming to it.
 #[test]
-fn report_myself_when_cut_off() {
+fn report_self_when_cut_off() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
     fleet.cut_off = vec![2];
     fleet.advance(5_000);
@@ -51,7 +51,7 @@
 
 /// Nobody reports anything while all is well, so membership costs no bytes then.
 #[test]
-fn suspect_nobody_while_all_are_heard() {
+fn suspect_nobody_while_all_respond() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
     fleet.advance(30_000);
     assert_eq!(fleet.reports, []);
--- a/crates/decision/src/agent/tests/unknown.rs
+++ b/crates/decision/src/agent/tests/unknown.rs
@@ -8,7 +8,7 @@
 #[rstest]
 #[case::one_more_than_known(1, true)]
 #[case::none(0, false)]
-fn doubt_lasts_while_the_upstream_has_more(#[case] open_flows: u32, #[case] unsure: bool) {
+fn may_hold_unknown_flows_upstream_has_more(#[case] open_flows: u32, #[case] incomplete: bool) {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(1, &spec);
@@ -16,7 +16,7 @@
         fleet.advance(1_000);
         fleet.handle_event(1, Event::Upstream(UpstreamReport { open_flows, ..report() }));
     }
-    assert_eq!(fleet.agents[1].stats(fleet.now).may_hold_unknown_flows, unsure);
+    assert_eq!(fleet.agents[1].stats(fleet.now).may_hold_unknown_flows, incomplete);
 }
 
 /// Two agents may hold a feed without knowing, and its packets go nowhere. Their upstreams tell which has it.
@@ -25,7 +25,7 @@
 #[case::only_the_other_has_more(0, 1, Some(2))]
 #[case::both_have_more(1, 1, None)]
 #[case::neither(0, 0, None)]
-fn upstream_with_an_unknown_flow_gets_it(
+fn look_up_upstream_with_unknown_flow(
     #[case] first: u32,
     #[case] second: u32,
     #[case] found: Option<usize>,
@@ -48,7 +48,7 @@
 #[rstest]
 #[case::upstream_has_none(0, true)]
 #[case::upstream_has_them(3, false)]
-fn adopted_strays_do_not_fill_an_upstream(#[case] open_flows: u32, #[case] takes: bool) {
+fn adopt_stray_packets(#[case] open_flows: u32, #[case] accepts: bool) {
     let mut spec = Spec::new(WhenInDoubt::Admit, 1);
     spec.max_flows = 3;
     let mut fleet = Fleet::settled(&spec);
@@ -62,5 +62,5 @@
         fleet.advance(1_000);
     }
     let outcome = fleet.send(0, flow(10), opening(1));
-    assert_eq!(outcome == Outcome::Delivered(0), takes, "{outcome:?}");
+    assert_eq!(outcome == Outcome::Delivered(0), accepts, "{outcome:?}");
 }
