--- a/crates/decision/src/agent/tests/assign.rs
+++ b/crates/decision/src/agent/tests/assign.rs
@@ -1,4 +1,4 @@
-//! Spreading openings.
+//! Assignment of openings to upstreams.
 
 use rand::SeedableRng as _;
 use rand_pcg::Pcg64Mcg;
@@ -9,7 +9,8 @@
     Candidate, Policy, least_loaded, prefer_local, two_choices_prefer_local,
 };
 
-/// Loads in flows of the candidates, the own one first, and the policy's choice.
+/// Each case gives the candidates' loads in flows, the local one first, and the index of the
+/// expected choice.
 #[rstest]
 #[case::local_busier(prefer_local, &[9, 0, 0], 0)]
 #[case::least(least_loaded, &[9, 3, 0], 2)]
@@ -31,7 +32,7 @@
     assert_eq!(policy(&candidates, &mut random), expected);
 }
 
-/// Many feeds are opened through one balancer: no upstream gets far more than its share.
+/// No upstream may get far more than its share when many flows are opened in a short time.
 #[rstest]
 #[case::local_preferred(two_choices_prefer_local, 115)]
 #[case::least(least_loaded, 130)]
@@ -46,11 +47,14 @@
         }
     }
     let most = fleet.agents.iter().map(Agent::open_flows).max().expect("agents");
-    assert!(most * 5 * 100 <= 1_000 * max_over_mean_percent, "the busiest holds {most}");
+    assert!(
+        most * 5 * 100 <= 1_000 * max_over_mean_percent,
+        "the busiest upstream holds {most} flows"
+    );
 }
 
-/// A cold upstream says its age: its share grows slowly, and a report that freezes at a low age
-/// does not hold it down for ever.
+/// A cold upstream reports its age, and its share grows slowly. A report that stays at a low age
+/// must not keep the share low forever.
 #[rstest]
 #[case::cold(0, 0, 10)]
 #[case::half_way(0, 5_000, 55)]
--- a/crates/decision/src/agent/tests/early.rs
+++ b/crates/decision/src/agent/tests/early.rs
@@ -4,18 +4,18 @@
 
 use super::*;
 
-/// What happens before the opening arrives at the agent of the given rank.
+/// What happens before the opening under test arrives. Ranks are those of its flow.
 #[derive(Clone, Copy, Debug)]
 enum Setup {
-    /// The same opening came to the agent of this rank.
+    /// A copy of the opening has reached the agent of this rank.
     Copy(usize),
-    /// The caller closed the flow and uses its ports again.
+    /// The caller has closed an earlier flow on the same ports.
     Closed,
     /// The agent of this rank is draining.
     Draining(usize),
-    /// The agent of this rank is silent for long enough to be suspected.
+    /// The agent of this rank has been unresponsive for long enough to be suspected.
     Unresponsive(usize),
-    /// Newer settings reach only the agent of this rank.
+    /// Newer settings have reached only the agent of this rank.
     NewerSettings(usize),
 }
 
@@ -46,8 +46,8 @@
     }
 }
 
-/// The caller's SYN, and a copy of it by way of another balancer, get one answer from one
-/// upstream. Whatever changed between the two, both copies lead to the same holder.
+/// Copies of one SYN may arrive through different balancers. They must reach the same holder
+/// whatever changes in between, or two upstreams would answer the caller.
 #[rstest]
 #[case::no_change(&[], 0, 0)]
 #[case::other_agent(&[], 0, 3)]
@@ -74,8 +74,8 @@
     assert!(lost || matches!(one, Outcome::Delivered(_)), "{one:?}");
 }
 
-/// A tablet opens a feed. Its home is draining, cold, or full: another upstream takes it, and no
-/// opening reaches the one that wants none, whoever had promised it before.
+/// An upstream that is draining, shedding load or unhealthy must get no opening, whether its own
+/// agent or another one is the home. Another upstream takes the opening.
 #[rstest]
 #[case::draining(UpstreamReport { draining: true, ..report() })]
 #[case::shedding(UpstreamReport { shedding: true, ..report() })]
@@ -91,7 +91,8 @@
     }
 }
 
-/// All upstreams are full: the caller is told at once, and a copy of the same SYN as well.
+/// If all upstreams are full, the caller must be refused at once, and so must a copy of the same
+/// SYN.
 #[rstest]
 fn open_optimistically_all_full() {
     let mut spec = Spec::new(WhenInDoubt::Admit, 2);
@@ -105,9 +106,9 @@
     assert_eq!(fleet.send(1, flow(7), opening(1)), Outcome::Refused(Reason::Tombstone));
 }
 
-/// The caller's SYN was admitted by a stand-in while its home was paused or cut off. A copy of it
-/// reaches the home just as that is back and has heard nothing yet. The home asks before it
-/// admits, so the caller's flow is not split over two upstreams.
+/// Another agent has admitted the caller's SYN while the home was paused or cut off. A copy reaches
+/// the home just after its return. The home must ask before it admits, or the flow would be split
+/// over two upstreams.
 #[rstest]
 #[case::paused(true)]
 #[case::cut_off(false)]
@@ -123,9 +124,9 @@
     assert_eq!(fleet.send(ranking[0], flow(5), opening(1)), admitted);
 }
 
-/// Both agents begin to drain, and neither has heard it of the other yet. An opening that is assigned to
-/// one goes to the other and comes back. The caller is refused at once; before, each copy of the
-/// opening ran between the two until its hops were used up (fuzzing, seeds 6 and 132).
+/// Two agents begin to drain, and neither knows it of the other yet, so each passes an opening to
+/// the other. The caller must be refused at once. Otherwise each copy loops until its hops are used
+/// up (found by fuzzing, seeds 6 and 132).
 #[test]
 fn reassign_returned_both_draining() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 2));
@@ -139,10 +140,9 @@
     assert_eq!(fleet.send_packet(0, assigned), Outcome::Refused(Reason::AllFull));
 }
 
-/// Feeds are opened through the second rank, whose own upstream drains, while their home is down, and
-/// reset. The home is back, the ports are used again, and a balancer that has not heard of it still
-/// goes to the second rank, which passes the openings to the home but remembers the old feeds. The next
-/// packets must not follow that: an old upstream would reset a new feed.
+/// While the home is down, flows are opened through the second rank and reset. Later their ports
+/// are reused, still through the second rank, which passes the openings to the home. It must not
+/// follow its redirects to the old holders, since an old upstream would reset the new flow.
 #[rstest]
 #[case::home_just_back(3_000)]
 #[case::home_back_for_longer(12_000)]
@@ -169,9 +169,9 @@
     }
 }
 
-/// A home claims an opening for its own upstream and is paused while it waits for former homes. Meanwhile the
-/// upstream begins to drain, and the settings that say so are the first thing that it takes in on waking.
-/// The packet that it still holds goes to an upstream that stays.
+/// A home that claims an opening for its own upstream is paused while it waits for former homes.
+/// When it resumes, it first receives settings by which that upstream drains. The held packet must
+/// go to another upstream.
 #[test]
 fn reconsider_after_pause_upstream_drains() {
     let mut spec = Spec::new(WhenInDoubt::Admit, 3);
@@ -179,7 +179,7 @@
     fleet.advance(2_000);
     let home = fleet.ranking(flow(1))[0];
     fleet.arrive(home, packet(flow(1), opening(1)));
-    assert_eq!(fleet.held.len(), 1, "it waits for former homes");
+    assert_eq!(fleet.held.len(), 1, "the opening must wait for the former homes");
     fleet.messages.clear();
     fleet.paused = vec![home];
     fleet.cut_off = vec![home];
--- a/crates/decision/src/agent/tests/explain.rs
+++ b/crates/decision/src/agent/tests/explain.rs
@@ -1,11 +1,11 @@
-//! What an agent says about the way of a flow's packets.
+//! Explanations of where an agent sends the packets of a flow.
 
 use rstest::rstest;
 
 use super::*;
 use crate::agent::{AgentStatus, FlowLocation};
 
-/// AgentStatus of each rank of flow 1 and rank of its home, as the agent of `observer` rank sees it.
+/// Status of each rank of flow 1 and rank of its home, as seen by the agent of rank `observer`.
 fn agent_statuses(fleet: &Fleet, observer: usize) -> (Vec<AgentStatus>, Option<usize>) {
     let explanation = fleet.agents[fleet.ranking(1)[observer]].explain(fleet.now, FlowId(1));
     let ranks = explanation.ranking.iter();
@@ -52,6 +52,8 @@
     fleet.advance(1_000);
     let holder = fleet.holder(1).unwrap();
     assert!(matches!(location(&fleet, holder), FlowLocation::Local(_)));
-    let FlowLocation::Remote(redirect) = location(&fleet, 1 - holder) else { panic!("not known") };
+    let FlowLocation::Remote(redirect) = location(&fleet, 1 - holder) else {
+        panic!("the other agent must know the holder")
+    };
     assert_eq!((redirect.holder, redirect.nonce), (id(holder), Some(7)));
 }
--- a/crates/decision/src/agent/tests/flows.rs
+++ b/crates/decision/src/agent/tests/flows.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// One step of a flow's life, or time that passes.
+/// A packet of the flow, or time that elapses.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Send(PacketKind),
@@ -15,14 +15,29 @@
 
 const MINUTE_MS: u64 = 60_000;
 
-/// A caller's packets over time. The last one still reaches the upstream, or is refused because
-/// the flow is long gone.
+/// A flow must be kept for as long as packets of it may arrive, and no longer. Its last packet
+/// reaches the upstream, or is refused because the flow is no longer known.
 #[rstest]
-#[case::idle_open_flow(&[Send(opening(1)), Send(PacketKind::Middle), Advance(300 * MINUTE_MS)], true)]
-#[case::answer_after_finish(&[Send(opening(1)), Send(PacketKind::Finish), Advance(9 * MINUTE_MS)], true)]
-#[case::long_after_finish(&[Send(opening(1)), Send(PacketKind::Finish), Advance(15 * MINUTE_MS)], false)]
-#[case::stray_after_reset(&[Send(opening(1)), Send(PacketKind::Reset), Advance(MINUTE_MS / 2)], true)]
-#[case::long_after_reset(&[Send(opening(1)), Send(PacketKind::Reset), Advance(3 * MINUTE_MS)], false)]
+#[case::idle_open_flow(
+    &[Send(opening(1)), Send(PacketKind::Middle), Advance(300 * MINUTE_MS)],
+    true,
+)]
+#[case::answer_after_finish(
+    &[Send(opening(1)), Send(PacketKind::Finish), Advance(9 * MINUTE_MS)],
+    true,
+)]
+#[case::long_after_finish(
+    &[Send(opening(1)), Send(PacketKind::Finish), Advance(15 * MINUTE_MS)],
+    false,
+)]
+#[case::stray_after_reset(
+    &[Send(opening(1)), Send(PacketKind::Reset), Advance(MINUTE_MS / 2)],
+    true,
+)]
+#[case::long_after_reset(
+    &[Send(opening(1)), Send(PacketKind::Reset), Advance(3 * MINUTE_MS)],
+    false,
+)]
 #[case::never_answered(&[Send(opening(1)), Advance(2 * MINUTE_MS)], false)]
 fn flow_lifetime(#[case] steps: &[Step], #[case] alive: bool) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 1));
@@ -55,12 +70,12 @@
     assert_eq!(fleet.agents[0].open_flows(), open);
 }
 
-/// Initial sequence number of a connection that has nothing in common with those of the other tests.
+/// Initial sequence number of another connection, far from that of the default one.
 const OTHER_SEQUENCE: u32 = 1 << 31;
 
-/// A cutter's fitting session on ports that were used a moment ago, and a copy of what ended the last
-/// connection comes late. The upstream's TCP knows it for an old one by its sequence number and goes on; the
-/// agent took the session for ended, forgot it, and reset the cutter at the next packet after a pause.
+/// A late copy of the packet that ended an older connection must not end the present one on the
+/// same ports. The upstream's TCP ignores it by its sequence number. If the agent forgot the flow,
+/// it would reset the caller at the next packet after a pause.
 #[rstest]
 #[case::reset(PacketKind::Reset)]
 #[case::finish(PacketKind::Finish)]
@@ -75,8 +90,8 @@
     assert_eq!(fleet.agents[0].open_flows(), 1);
 }
 
-/// Packets of an older connection come late, all of them, its end last. None of them makes the agent
-/// take the numbers of the older one for those of the present one.
+/// All packets of an older connection arrive late, its end last. The agent must not take their
+/// sequence numbers for those of the present connection, or the old end would close it.
 #[test]
 fn close_late_copies_of_older_connection() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 1));
@@ -89,9 +104,9 @@
     assert_eq!(fleet.agents[0].open_flows(), 1);
 }
 
-/// An upstream has lost its connection and nobody was told. The caller uses its ports again, is served, and
-/// ends the new connection. The agent takes the old one's place for it, and must see its end: else the flow
-/// counts as open for a day.
+/// An upstream has lost its connection unnoticed, and the caller opens and ends a new one on the
+/// same ports. The agent, which still has the old flow, must recognize this end, or the flow counts
+/// as open for a day.
 #[test]
 fn close_flow_after_lost_connection() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 1));
@@ -105,9 +120,9 @@
     assert_eq!(fleet.agents[0].open_flows(), 0);
 }
 
-/// An upstream still has an older connection on the caller's ports. It answers the opening for that one; the
-/// caller resets it, as TCP asks, and sends the same opening again. It has not run and must be delivered,
-/// also where copies of openings that ran no longer are.
+/// An upstream answers an opening for an older connection on the caller's ports. The caller resets
+/// that one, as TCP requires, and repeats the opening. It has not run, so it must be delivered,
+/// even when copies of openings that ran no longer are.
 #[test]
 fn met_older_connection_opening_repeated() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Refuse, 3));
--- a/crates/decision/src/agent/tests/install.rs
+++ b/crates/decision/src/agent/tests/install.rs
@@ -1,11 +1,10 @@
-//! Settings that come into force, and their order.
+//! Installation of settings, and their order.
 
 use rstest::rstest;
 
 use super::*;
 
-/// An operator's settings are in force. A late reader hands the agent older ones, or none that
-/// list its service: what is in force stays.
+/// Older settings, or settings that do not list the service, must not replace those in force.
 #[rstest]
 #[case::newer(&[2], 2)]
 #[case::older(&[3, 2], 3)]
@@ -21,8 +20,8 @@
     assert_eq!(fleet.agents[0].version(), Version(in_force));
 }
 
-/// Upstreams are added and drained while feeds are open: every feed stays where it is, from
-/// whichever agent and with whichever settings its packets come.
+/// An upstream is drained or retired while flows are open. Every flow must stay at its upstream,
+/// whichever agent gets its packets and whichever settings that agent has.
 #[rstest]
 #[case::drained(|spec: &mut Spec| spec.states[1] = UpstreamState::Draining)]
 #[case::retired(|spec: &mut Spec| {
--- a/crates/decision/src/agent/tests/mod.rs
+++ b/crates/decision/src/agent/tests/mod.rs
@@ -1,5 +1,5 @@
-//! Tests of the agent through its public interface: several agents, a network without delay that
-//! can lose what goes to or comes from an agent, and time that only moves when told.
+//! Tests of the agent through its public interface: several agents, a simulated network without
+//! delay from which agents can be cut off, and a clock that the tests advance.
 
 mod assign;
 mod early;
@@ -36,7 +36,7 @@
 const ACCOUNT: &str = "cascadia";
 const SERVICE: &str = "shelf";
 
-/// What became of a packet.
+/// Final outcome of a packet, followed over all forwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
     Delivered(usize),
@@ -123,15 +123,15 @@
     ServiceId::of(ACCOUNT, SERVICE)
 }
 
-/// Several agents of one service.
+/// Agents of one service, with a simulated network and clock.
 struct Fleet {
     now: Millis,
     agents: Vec<Agent>,
-    /// Agents that neither get nor send anything.
+    /// Agents that are cut off: their messages in both directions and the packets to them are lost.
     cut_off: Vec<usize>,
-    /// Agents that see no time pass; they are cut off as well.
+    /// Agents that get no ticks. A test that pauses an agent also cuts it off.
     paused: Vec<usize>,
-    /// Agents that cannot read what the last release did not have.
+    /// Agents that cannot read messages introduced after the previous release.
     previous_release: Vec<usize>,
     messages: VecDeque<(usize, UpstreamId, Message)>,
     held: Vec<(usize, HoldKey, Packet)>,
@@ -142,7 +142,8 @@
 }
 
 impl Fleet {
-    /// Agents without a past, after time enough that nobody doubts anything.
+    /// Starts agents without a previous incarnation and advances past the start-up periods in which
+    /// their state counts as incomplete.
     fn settled(spec: &Spec) -> Self {
         let mut fleet = Self::started(spec);
         fleet.advance(12_000);
@@ -169,14 +170,14 @@
         }
     }
 
-    /// The agent dies without handover and comes back, its upstream unharmed.
+    /// Restarts an agent without handover. Its upstream keeps running.
     fn restart(&mut self, index: usize, spec: &Spec) {
         let incarnation = 2 + self.now.0;
         self.agents[index] = agent(index, incarnation, true, spec.view(), self.now);
         self.held.retain(|(at, _, _)| *at != index);
     }
 
-    /// The agent is told to end, and has time to hand over.
+    /// Shuts an agent down gracefully, with enough time to hand over.
     fn leave(&mut self, index: usize) {
         self.handle_event(index, Event::Leave);
         self.deliver_messages();
@@ -208,7 +209,7 @@
         self.deliver_messages();
     }
 
-    /// Hands one packet to an agent and follows it to its end, for up to two seconds.
+    /// Sends one packet to an agent and follows it to its outcome, for up to two seconds.
     fn send(&mut self, to: usize, flow: u64, kind: PacketKind) -> Outcome {
         self.send_packet(to, packet(flow, kind))
     }
@@ -297,7 +298,7 @@
     }
 }
 
-/// Whether the last release does not have a message.
+/// Whether agents of the previous release cannot read a message.
 fn is_unknown_to_previous_release(message: &Message) -> bool {
     matches!(
         message,
@@ -319,7 +320,7 @@
     Agent::new(config, view, now)
 }
 
-/// A packet of a caller that began its connection at sequence number 1 or a little above.
+/// A packet of a connection whose sequence numbers start at 1 or slightly above.
 fn packet(flow: u64, kind: PacketKind) -> Packet {
     Packet {
         service: service(),
@@ -346,7 +347,7 @@
     }
 }
 
-/// The `number`-th flow whose bucket is spread over the service, for tests of many flows.
+/// The `number`-th of many flows, which are spread over all buckets.
 fn flow(number: u64) -> u64 {
     let bucket = number % u64::from(rank::BUCKET_COUNT);
     (bucket << 58) | (1 + number)
