--- a/crates/decision/src/agent/tests/handover.rs
+++ b/crates/decision/src/agent/tests/handover.rs
@@ -1,11 +1,13 @@
-//! Planned ends: what a leaving agent hands over, and what its next life is sure of.
+//! Planned shutdowns: what a leaving agent hands over, and whether its next incarnation knows all
+//! flows.
 
 use rstest::rstest;
 
 use super::*;
 
-/// A tablet's feed hangs for a minute: its holder's agent died before it told anybody, and another agent,
-/// restarted as planned, says that it may hold the feed without knowing.
+/// A planned restart must not leave an agent with possibly unknown flows. Otherwise, if another
+/// agent crashed before it announced a flow, either might hold it, and its packets would be dropped
+/// for a minute.
 #[rstest]
 #[case::planned(true, false)]
 #[case::crashed(false, true)]
@@ -24,7 +26,8 @@
     assert_eq!(fleet.agents[2].stats(fleet.now).may_hold_unknown_flows, incomplete);
 }
 
-/// The same feed, found at the only agent that can hold it.
+/// A holder crashes before it has announced a flow, while another agent restarts as planned. Only
+/// the holder may have unknown flows, so it must adopt the flow.
 #[rstest]
 fn adopt_unannounced_flow_beside_planned_restart() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
@@ -42,7 +45,8 @@
     assert_eq!(fleet.send(home, flow(1), PacketKind::Middle), opened);
 }
 
-/// An agent that may hold flows without knowing is told to end: its next life is in doubt as well.
+/// An agent that may hold unknown flows is shut down. It must not hand over, and its next
+/// incarnation may hold unknown flows as well.
 #[rstest]
 fn send_handover_incomplete_state() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
@@ -55,8 +59,8 @@
     assert!(fleet.agents[2].stats(fleet.now).may_hold_unknown_flows);
 }
 
-/// A feed's holder dies, the only agent that it had told of the feed ends as planned, and the feed would be
-/// known to nobody.
+/// A holder crashes, and the only agent to which it had announced a flow shuts down as planned.
+/// That agent must hand the flow over, or no agent would know it.
 #[rstest]
 fn handover_flows_of_unresponsive_agent() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
@@ -78,8 +82,8 @@
     assert_eq!(fleet.send(uninformed, flow(1), PacketKind::Middle), opened);
 }
 
-/// An opening is assigned to an agent and lost on its way, and the agent ends as planned. Its next life must
-/// not count it as a feed.
+/// An opening is assigned to an agent and lost on the way, and the agent shuts down as planned. Its
+/// next incarnation must not count the opening as a flow.
 #[rstest]
 fn relearn_assigned_opening_lost_before_shutdown() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
@@ -89,7 +93,7 @@
     let flows: Vec<u64> = at_home.collect();
     fleet.cut_off = (0..3).filter(|index| *index != home).collect();
     let lost = flows.iter().find(|flow| fleet.send(home, **flow, opening(1)) == Outcome::Lost);
-    assert!(lost.is_some(), "none was assigned to another agent");
+    assert!(lost.is_some(), "no opening was assigned to another agent");
     let assigned = fleet.timeline.iter().find_map(|(_, entry)| match entry {
         TimelineEntry::Assigned { to, .. } => Some(*to),
         _ => None,
@@ -104,8 +108,9 @@
     assert_eq!(fleet.agents[holder].open_flows(), 0);
 }
 
-/// A feed that its agent knows only from a packet of its middle ends. Peers that know its opening from an
-/// earlier life forget it as well.
+/// A flow ends that its agent has adopted without a record of its opening. Peers that know the
+/// opening from a previous incarnation must forget it, or they would report the flow at the next
+/// restart.
 #[rstest]
 fn announce_end_adopted_flow() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
@@ -119,8 +124,9 @@
     assert_eq!(open_flows_after_restart(&mut fleet, home, &spec), 0);
 }
 
-/// A caller opens its next feed on the ports of one whose end was lost. Peers that were told of the old one
-/// by an earlier life must not name it at the next restart.
+/// A caller opens a flow on the ports of one whose end was lost. Peers to which a previous
+/// incarnation announced the old flow must learn of its end, or they would report it at the next
+/// restart.
 #[rstest]
 fn announce_end_replaced_flow() {
     let spec = Spec::new(WhenInDoubt::Refuse, 4);
@@ -142,7 +148,7 @@
     assert_eq!(open_flows_after_restart(&mut fleet, home, &spec), 0);
 }
 
-/// An agent that has handed over takes no opening: its next life would not know of it.
+/// An agent that has handed over must take no opening: its next incarnation would not know of it.
 #[rstest]
 fn can_take_flow_after_handover() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
@@ -156,7 +162,8 @@
     assert_ne!(outcome, Outcome::Delivered(home));
 }
 
-/// A copy of an opening that an agent had passed on comes to its next life, while the feed is open elsewhere.
+/// A late copy of an opening is assigned to an agent that has restarted, while the flow is open at
+/// another one. The copy must reach the flow's holder instead of opening a second flow.
 #[rstest]
 #[case::planned(true)]
 #[case::crashed(false)]
@@ -177,7 +184,8 @@
     assert_eq!(fleet.send_packet(other, copy), opened);
 }
 
-/// Flows that an agent counts after it has died and relearned what its peers know.
+/// Number of flows that an agent counts as open after a crash, once its peers have reported what
+/// they know.
 fn open_flows_after_restart(fleet: &mut Fleet, index: usize, spec: &Spec) -> usize {
     fleet.advance(1_000);
     fleet.restart(index, spec);
--- a/crates/decision/src/agent/tests/memberships.rs
+++ b/crates/decision/src/agent/tests/memberships.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// Settings that retire the given upstreams from `version` on.
+/// Changes the settings to `version`, which retires the given upstreams.
 fn retire(spec: &mut Spec, version: u64, upstreams: &[usize]) {
     spec.version = version;
     for index in upstreams {
@@ -13,10 +13,9 @@
     }
 }
 
-/// A service of three was replaced by three others hours ago; the old ones are gone, and their entries are
-/// still listed as retired. The running agents have left the old membership out. One of them restarts
-/// and counts it again, by its own knowledge for ever, since nobody of it answers: callers whose
-/// confirmations it proposes got no answer, however often they sent them. Its peers tell it.
+/// All upstreams of a service were replaced; the old ones are gone but still listed as retired. A
+/// restarted agent counts their membership again until its peers report it as outdated. Otherwise
+/// it waits forever for a majority that never answers, and its openings get no reply.
 #[rstest]
 #[case::first_successor(3)]
 #[case::last_successor(5)]
@@ -37,10 +36,10 @@
     }
 }
 
-/// Of three upstreams one is retired, a fourth is listed, and one more of the old ones is retired; both end
-/// in good order and are gone. In these seconds the agent of the third is restarted: it has forgotten what
-/// the others had told it. Only the newcomer knows that the second one ran later settings, and says so.
-/// Before, the third counted the first membership for ever, of which it is the only member left.
+/// Of three upstreams one is retired, a fourth is listed, and a second one is retired. The third
+/// one's agent restarts and no longer knows that the others ran later settings. The fourth one's
+/// agent must report it, or the third counts the first membership forever, of which it is the only
+/// member left.
 #[test]
 fn outdated_membership_restarted_survivor() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 4);
@@ -64,9 +63,9 @@
     }
 }
 
-/// Nobody knows that most of the old membership ran later settings: they were cut off with the old ones and
-/// may still serve balancers beyond the cut. Their peers' silence is no reason to leave them out, and a
-/// restart is none either: the confirmation could run at both sides of the cut.
+/// Most of the old membership is cut off and may still serve balancers beyond the partition.
+/// Neither missing replies nor a restart may make the agents ignore it unless they know that it
+/// runs later settings, or an opening could run on both sides of the partition.
 #[test]
 fn outdated_membership_unresponsive_majority() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 6);
--- a/crates/decision/src/agent/tests/once.rs
+++ b/crates/decision/src/agent/tests/once.rs
@@ -5,8 +5,9 @@
 use super::*;
 use crate::message::{Claim, ClaimAnswer, Opening};
 
-/// A restock confirmation is sent once and its copies arrive anywhere: it runs at one upstream,
-/// and every further copy is dropped there, since a second run would bill the inn twice.
+/// Copies of an opening may reach any agent, but it must run at one upstream only. A copy of a
+/// datagram is dropped there, since a second run could bill a customer twice; a copy of a SYN is
+/// left to the upstream's TCP.
 #[rstest]
 #[case::datagram(Transport::Udp, Outcome::Dropped(Reason::Duplicate))]
 #[case::tcp(Transport::Tcp, Outcome::Delivered(9))]
@@ -28,8 +29,8 @@
     }
 }
 
-/// The caller's confirmation arrives while some agents are unreachable. With a majority it runs;
-/// without, the caller gets no answer, because neither "run" nor "not run" could be kept.
+/// With a majority of the witnesses an opening must run. Without one the caller must get no reply,
+/// since neither "run" nor "not run" could be guaranteed.
 #[rstest]
 #[case::all_up(&[], true)]
 #[case::two_of_five_unresponsive(&[3, 4], true)]
@@ -45,8 +46,9 @@
     }
 }
 
-/// The holder runs a confirmation, and its agent dies and comes back before a copy arrives. The
-/// new life knows nothing of the run, but the witnesses remember which life has claimed it.
+/// A holder's agent restarts after an opening has run and before a copy arrives. The new
+/// incarnation knows nothing of the run, but the witnesses know which incarnation has claimed the
+/// opening.
 #[rstest]
 fn open_at_most_once_restarted_holder() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 5);
@@ -66,9 +68,9 @@
     assert!(matches!(outcome, Outcome::Dropped(_)), "late assigned copy: {outcome:?}");
 }
 
-/// Upstream and agent of the holder are replaced together under the same name right after a
-/// confirmation has run, and the new agent is told that it has no past. Its peers know better. If
-/// it voted at once, a copy of the confirmation would win with its vote and run again.
+/// Right after an opening has run, the holder's upstream and agent are replaced under the same name
+/// and configured as new. The peers know the previous incarnation. If the new agent voted at once,
+/// a copy of the opening would win with its vote and run again.
 #[rstest]
 #[case::at_once(0)]
 #[case::soon(2_000)]
@@ -86,8 +88,8 @@
     assert!(!matches!(outcome, Outcome::Delivered(_)), "late copy: {outcome:?}");
 }
 
-/// All upstreams are full, so the confirmation is refused as not run. An upstream gets room, and
-/// a late copy arrives by way of any other agent: it must not run any more.
+/// An opening is refused as not run because all upstreams are full. A late copy must not run,
+/// whichever agent it reaches, once an upstream has room.
 #[rstest]
 fn open_at_most_once_refused_opening() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
@@ -104,7 +106,8 @@
     }
 }
 
-/// What a witness is asked, by which upstream and life.
+/// A claim request to a witness: the claimant, its incarnation, and the upstream that is to run the
+/// opening, or `None` to refuse it.
 const fn request(
     from: usize,
     incarnation: u64,
@@ -113,17 +116,32 @@
     (from, incarnation, claim)
 }
 
-/// Two holders may claim one confirmation at the same time. A witness answers each request by what
-/// it has promised before; if it promised both, the confirmation would run twice.
+/// Two holders may claim one opening at the same time. A witness must answer each request according
+/// to its earlier votes: if it granted both claims, the opening could run twice.
 #[rstest]
 #[case::first(&[request(1, 1, Some(1))], ClaimAnswer::Granted)]
 #[case::repeated(&[request(1, 1, Some(1)), request(1, 1, Some(1))], ClaimAnswer::Granted)]
-#[case::rival(&[request(1, 1, Some(1)), request(2, 1, Some(2))], ClaimAnswer::Taken(Claim::Run(id(1))))]
-#[case::later_incarnation(&[request(1, 1, Some(1)), request(1, 2, Some(1))], ClaimAnswer::Taken(Claim::Run(id(1))))]
+#[case::rival(
+    &[request(1, 1, Some(1)), request(2, 1, Some(2))],
+    ClaimAnswer::Taken(Claim::Run(id(1))),
+)]
+#[case::later_incarnation(
+    &[request(1, 1, Some(1)), request(1, 2, Some(1))],
+    ClaimAnswer::Taken(Claim::Run(id(1))),
+)]
 #[case::withdrawn(&[request(1, 1, Some(1)), request(1, 1, None)], ClaimAnswer::Granted)]
-#[case::withdrawn_by_later_incarnation(&[request(1, 1, Some(1)), request(1, 2, None)], ClaimAnswer::Taken(Claim::Run(id(1))))]
-#[case::refused_by_rival(&[request(1, 1, Some(1)), request(2, 1, None)], ClaimAnswer::Taken(Claim::Run(id(1))))]
-#[case::run_after_refusal(&[request(1, 1, None), request(2, 1, Some(2))], ClaimAnswer::Taken(Claim::Refuse))]
+#[case::withdrawn_by_later_incarnation(
+    &[request(1, 1, Some(1)), request(1, 2, None)],
+    ClaimAnswer::Taken(Claim::Run(id(1))),
+)]
+#[case::refused_by_rival(
+    &[request(1, 1, Some(1)), request(2, 1, None)],
+    ClaimAnswer::Taken(Claim::Run(id(1))),
+)]
+#[case::run_after_refusal(
+    &[request(1, 1, None), request(2, 1, Some(2))],
+    ClaimAnswer::Taken(Claim::Refuse),
+)]
 #[case::two_refusals(&[request(1, 1, None), request(2, 1, None)], ClaimAnswer::Granted)]
 #[case::for_another(&[request(1, 1, Some(2))], ClaimAnswer::Abstained)]
 fn witness_at_most_once_answer(
@@ -135,8 +153,8 @@
     assert_eq!(last_answer(&mut agent, fleet.now, requests), expected);
 }
 
-/// A restarted witness may have promised something that it has forgotten: it abstains until no
-/// copy of that opening can exist any more. If it did not, an opening could run twice.
+/// A restarted witness may have granted a claim that it no longer knows. It must abstain until no
+/// copy of that opening can exist any more, or the opening could run twice.
 #[rstest]
 #[case::at_once(0, ClaimAnswer::Abstained)]
 #[case::just_before(119_999, ClaimAnswer::Abstained)]
@@ -148,9 +166,9 @@
     assert_eq!(last_answer(&mut witness, now, &[request(1, 1, Some(1))]), expected);
 }
 
-/// Agents are restarted one after the other, as in every rollout. The callers' confirmations run on:
-/// each restarted witness recalls its promises from the others and votes again. Before it could,
-/// a service of three stood still for two minutes after its second restart.
+/// Openings must still run while agents restart one after the other, as in every rollout. If
+/// restarted witnesses did not recall their votes from the others, a service of three would stop
+/// for two minutes after its second restart.
 #[rstest]
 #[case::three(3)]
 #[case::seven(7)]
@@ -165,14 +183,14 @@
     }
 }
 
-/// A confirmation ran; one of its witnesses restarts and recalls. A rival holder that claims the same
-/// confirmation gets no vote from it: with one it could run the confirmation a second time.
+/// One of the witnesses of an opening that has run restarts and recalls its votes. It must not vote
+/// for a rival holder that claims the same opening, or the opening could run a second time.
 #[test]
 fn recall_keeps_vote() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
     let Outcome::Delivered(holder) = fleet.send(0, flow(1), opening(1)) else {
-        panic!("the confirmation must run");
+        panic!("the opening must run");
     };
     let (witness, rival) = ((holder + 1) % 3, (holder + 2) % 3);
     fleet.restart(witness, &spec);
@@ -183,8 +201,9 @@
     assert_eq!(answer, ClaimAnswer::Taken(Claim::Run(id(holder))));
 }
 
-/// A witness restarts while others are silent. Of three, both others must have told their records: the
-/// silent one may be the only one that knows of a claim which won with this agent's vote.
+/// A witness restarts while others are unresponsive. Of three, both others must have sent their
+/// records: an unresponsive one may be the only one that knows of a claim that won with this
+/// agent's vote.
 #[rstest]
 #[case::both_answer(3, &[], true)]
 #[case::one_of_two_unresponsive(3, &[2], false)]
@@ -201,7 +220,7 @@
     assert_eq!(answer == ClaimAnswer::Granted, votes, "{answer:?}");
 }
 
-/// Two witnesses restart together. Neither may take the other's empty table for knowledge.
+/// Two witnesses restart together. Neither may count the other's empty table as complete records.
 #[test]
 fn recall_from_forgetful_witness() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
@@ -214,8 +233,8 @@
     assert_eq!(answer, ClaimAnswer::Abstained);
 }
 
-/// Two claims for one confirmation are on record, and the restarted witness cannot tell which of them
-/// had its vote. It votes for neither: with the wrong one, both could win.
+/// Two claims for one opening are on record, and the restarted witness cannot tell which of them
+/// had its vote. It must vote for neither: with a vote for the wrong one, both could win.
 #[test]
 fn recall_disputed_opening() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
@@ -234,15 +253,15 @@
     }
 }
 
-/// Two hosts of three are replaced within seconds: upstreams and agents are new, their names are not.
-/// A late copy of a confirmation that ran before must not find a majority among them. It did (fuzzing,
-/// seeds 518 and 553), since a witness with a new upstream took itself for one without a past.
+/// Two hosts of three are replaced within seconds under the same names. A late copy of an opening
+/// that ran before must not find a majority among them. It did (fuzzing, seeds 518 and 553) when a
+/// witness with a new upstream assumed that it had no previous incarnation.
 #[test]
 fn recall_replaced_hosts() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
     let Outcome::Delivered(holder) = fleet.send(0, flow(1), opening(1)) else {
-        panic!("the confirmation must run");
+        panic!("the opening must run");
     };
     for index in [holder, (holder + 1) % 3] {
         let incarnation = 2 + fleet.now.0;
@@ -255,8 +274,9 @@
     }
 }
 
-/// A service begins: no witness has a past, and openings run after a second, not after two minutes.
-/// Where one of them has met an earlier life of another, that one is not believed to be new.
+/// In a new service no witness has a previous incarnation, and openings must run after a second,
+/// not after two minutes. A witness is not considered new if another one has seen a previous
+/// incarnation of it.
 #[rstest]
 #[case::two(2)]
 #[case::seven(7)]
@@ -267,9 +287,9 @@
     assert!(matches!(outcome, Outcome::Delivered(_)), "{outcome:?}");
 }
 
-/// Settings are published while the agents are young, and reach the claimant first. A witness that
-/// abstained at once took away the majority, and datagrams of that moment were lost (lab --quick,
-/// seeds 21 to 23). It says nothing until it has caught up, and then grants.
+/// New settings reach the claimant before a witness that started a moment ago. If the witness
+/// abstained, the majority and thus a datagram would be lost (lab --quick, seeds 21 to 23). It must
+/// not reply until it has caught up, and then grant the claim.
 #[test]
 fn must_catch_up_newer_settings() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
@@ -297,8 +317,8 @@
     assert_eq!(answers(&mut fleet.agents[0], now), [ClaimAnswer::Granted]);
 }
 
-/// An operator rolls the agents of a service and waits for each to be ready. One that cannot vote yet is
-/// not: with the next one restarted as well, the service would have no majority.
+/// An operator restarts the agents of a service one by one and waits for each to be ready. An agent
+/// that cannot vote yet is not: with the next one restarted as well, there would be no majority.
 #[rstest]
 #[case::refuse_restarted(WhenInDoubt::Refuse, 500, false)]
 #[case::refuse_recalled(WhenInDoubt::Refuse, 3_000, true)]
@@ -315,8 +335,9 @@
     assert_eq!(fleet.agents[1].is_ready(fleet.now), ready);
 }
 
-/// The whole service dies at once and starts anew, upstreams included, under settings that are no
-/// longer its first. Nobody remembers what ran, so nothing runs while copies of it may exist.
+/// The whole service crashes at once and starts anew, upstreams included, under settings that are
+/// not its first. No agent knows which openings ran, so none may run while copies of them can
+/// exist.
 #[rstest]
 #[case::soon(30_000, false)]
 #[case::after_all_copies(125_000, true)]
@@ -353,9 +374,9 @@
     last.expect("an answer")
 }
 
-/// Upstreams are replaced one after another, the old ones die, and their entries stay listed as
-/// retired. Confirmations go on: the old membership no longer needs a majority once most of its
-/// members had told that they run newer settings, and it was given time to forget.
+/// Upstreams are replaced, shut down, and stay listed as retired. Openings must still run: the old
+/// membership needs no majority once most of its members have reported that they run newer settings
+/// and its claims have had time to expire.
 #[rstest]
 #[case::at_once(1_000, false)]
 #[case::after_ttl(125_000, true)]
@@ -376,8 +397,8 @@
     assert_eq!(matches!(outcome, Outcome::Delivered(_)), runs, "{outcome:?}");
 }
 
-/// A claimant is paused after its witnesses were asked, and wakes up when their grants have long
-/// been forgotten. The confirmation that it still holds must not run then.
+/// A claimant is paused after it has asked its witnesses, and resumes long after they have
+/// forgotten their grants. The opening that it still holds must not run then.
 #[rstest]
 fn claim_by_quorum_paused_claimant() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Refuse, 3));
@@ -391,9 +412,9 @@
     assert_eq!(fleet.holder(flow(1)), None);
 }
 
-/// A service has begun a moment ago, and one more upstream is listed. For some milliseconds no witness has
-/// heard of the newcomer what it may know. A clerk's datagram that arrives just then, which is never sent
-/// again, was given up at once, since every witness abstained for good.
+/// One more upstream is listed shortly after the service has started, so that for some milliseconds
+/// no witness has its records. A datagram that arrives then must be delivered: if the witnesses
+/// abstained, it would be given up, and the caller never sends it again.
 #[rstest]
 #[case::added(&[], 5)]
 #[case::replaced(&[3], 5)]
