--- a/crates/decision/src/agent/tests/lookup.rs
+++ b/crates/decision/src/agent/tests/lookup.rs
@@ -5,8 +5,8 @@
 use super::*;
 use crate::message::Knowledge;
 
-/// A cutter's packet reaches an agent that does not know its flow. Each peer answers, or stays
-/// silent (`None`). Only if every one of them denies the flow may the cutter get a reset.
+/// A packet reaches an agent that does not know its flow. Each peer answers, or does not (`None`).
+/// The caller may be sent a reset only if every peer denies the flow.
 #[rstest]
 #[case::all_deny(&[Some(Knowledge::NotMine); 3], Verdict::Refuse(Reason::UnknownFlow))]
 #[case::one_holds(
@@ -75,8 +75,8 @@
     assert_eq!(look_up(&mut agent, fleet.now, answers, 0), Some(expected));
 }
 
-/// A late answer to an older question says that a flow does not exist which has been opened
-/// since. Were it counted, a living flow would be reset.
+/// A late answer to an older question denies a flow that has been opened since. If it were counted,
+/// an open flow would be reset.
 #[rstest]
 fn answer_received_late_denials() {
     let fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 4));
@@ -85,7 +85,7 @@
     assert_eq!(verdict, Some(Verdict::Drop(Reason::HolderSilent)));
 }
 
-/// Sends a middle packet and lets peers 1, 2, ... answer a question that is `age` older.
+/// Sends a middle packet and lets peers 1, 2, ... answer a question whose number is lower by `age`.
 fn look_up(
     agent: &mut Agent,
     now: Millis,
@@ -113,7 +113,7 @@
     })
 }
 
-/// An open feed's packets may be handed to any agent at any time: each finds the holder.
+/// Packets of an open flow may reach any agent at any time. Each agent must find the holder.
 #[rstest]
 fn look_up_from_any_agent() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 5));
@@ -125,8 +125,8 @@
     }
 }
 
-/// The settings that name the holder have not reached this agent yet. Its peers deny the flow,
-/// but one of them runs newer settings, in which there may be holders that were not asked.
+/// All peers deny the flow, but one of them has newer settings, which may list holders that were
+/// not asked. The agent must drop the packet and fetch these settings rather than reset the flow.
 #[rstest]
 fn look_up_newer_settings_at_peer() {
     let mut spec = Spec::new(WhenInDoubt::Admit, 3);
@@ -138,7 +138,7 @@
     assert_eq!(fleet.fetches.first(), Some(&(0, Version(2))));
 }
 
-/// A packet for another service of the same or another account is never delivered.
+/// A packet for another service, of the same or another client account, must never be delivered.
 #[rstest]
 #[case::middle(PacketKind::Middle)]
 #[case::opening(opening(1))]
@@ -148,10 +148,10 @@
     assert_eq!(fleet.send_packet(0, stray), Outcome::Dropped(Reason::WrongService));
 }
 
-/// A caller resets its connection and opens the next one on the same ports at once. The first holder is
-/// paused or cut off just then, and hears nothing of it. Back again, it gets a packet of the new connection: its
-/// upstream would reset it. After a reset nothing but packets of a next connection matters, so it asks;
-/// where the holder is silent, the caller must send again.
+/// A caller has reset its connection and reuses the ports while the first holder is cut off. That
+/// holder must not deliver a packet of the new connection, which its upstream would reset. After a
+/// reset only packets of a next connection matter, so it asks its peers, and drops the packet if
+/// the new holder does not answer.
 #[rstest]
 #[case::holder_answers(false)]
 #[case::holder_unresponsive(true)]
@@ -176,9 +176,9 @@
     assert_eq!(fleet.send_packet(first, next(PacketKind::Middle)), expected);
 }
 
-/// An agent has restarted, and a cutter's session begins at another one, which announces it. Asked about the
-/// session, the restarted agent says who has announced it. That it is unsure of what it held before has
-/// no part in that: the answer *unsure* left the word to agents that remembered an older connection.
+/// A restarted agent is asked about a flow that another agent has announced to it. It must name
+/// that agent, although it may hold unknown flows itself. The answer `Unsure` would leave the
+/// decision to agents that remember an older connection.
 #[test]
 fn knowledge_announced_flow_in_incomplete_state() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
@@ -187,7 +187,7 @@
     fleet.restart(ranking[1], &spec);
     fleet.advance(12_000);
     let Outcome::Delivered(holder) = fleet.send(ranking[0], flow(1), opening(1)) else {
-        panic!("the session must open");
+        panic!("the flow must open");
     };
     fleet.advance(1_000);
     assert_ne!(holder, ranking[1]);
@@ -206,9 +206,9 @@
     assert_eq!(asked(&mut fleet, 2), Some(Knowledge::Unsure));
 }
 
-/// A stray packet of a reset connection comes to the agent that held it, which asks around. Before the answers
-/// are there, the caller's next opening on the same ports is handed on by this agent. The answers name
-/// this agent for the old connection; taken for the new one, its packets would be reset here.
+/// A stray packet of a reset connection starts a lookup at the agent that held it. Before the
+/// answers arrive, this agent passes on the next opening on the same ports. The answers name this
+/// agent. If they were applied to the new connection, its packets would be reset here.
 #[test]
 fn look_up_overtaken_by_opening() {
     const NEXT_SEQUENCE: u32 = 1 << 31;
--- a/crates/decision/src/agent/tests/ports.rs
+++ b/crates/decision/src/agent/tests/ports.rs
@@ -1,14 +1,15 @@
-//! Ports that are used again while an agent has not heard of the older connection's end.
+//! Ports that are reused while an agent has not learned of the older connection's end.
 
 use rstest::rstest;
 
 use super::*;
 
-/// Far from the sequence number of the older connection.
+/// Sequence number of a later connection, far from that of the older one.
 const LATER_SEQUENCE: u32 = 1 << 30;
 
-/// A caller's second connection on its ports is cut: the agent that holds the first one, whose end was lost,
-/// delivers its packets, or says that it holds it when the restarted holder asks.
+/// A caller opens a second connection on its ports, and one agent still holds the first, whose end
+/// was lost. That agent would break the second connection if it delivered its packets, or claimed
+/// to hold it when the restarted holder asks.
 #[rstest]
 #[case::packet_reaches_the_older_holder(false, true)]
 #[case::packet_reaches_the_holder(false, false)]
@@ -35,8 +36,8 @@
     assert_eq!(fleet.send_packet(to, later_packet()), Outcome::Delivered(holder));
 }
 
-/// Nobody holds the connection that a packet belongs to. The upstream that has another one on its ports
-/// judges; no agent resets it.
+/// No agent holds the connection to which a packet belongs, but an upstream has another one on its
+/// ports. The upstream must decide about the packet, and no agent may reset it.
 #[rstest]
 fn look_up_packet_of_no_connection() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
@@ -47,7 +48,8 @@
     assert_eq!(fleet.send_packet(home, later_packet()), Outcome::Delivered(home));
 }
 
-/// Agents of the last release cannot read a question with a sequence number, and are asked as before.
+/// Agents of the previous release cannot read a question with a sequence number, and must be asked
+/// in the form that they know.
 #[rstest]
 fn ask_previous_release() {
     let spec = Spec::new(WhenInDoubt::Admit, 5);
@@ -64,8 +66,8 @@
     Packet { sequence: LATER_SEQUENCE, ..packet(flow(1), PacketKind::Middle) }
 }
 
-/// A draining upstream gets an opening seconds later: it came on the ports of an older connection before the
-/// drain, the upstream answered for that one, and the caller repeats it.
+/// An upstream answers an opening for an older connection on the same ports, then drains, and the
+/// caller repeats the opening seconds later. The draining upstream must not get it.
 #[rstest]
 #[case::before_the_drain(true)]
 #[case::without_a_drain(false)]
--- a/crates/decision/src/agent/tests/relearn.rs
+++ b/crates/decision/src/agent/tests/relearn.rs
@@ -1,11 +1,11 @@
-//! Restarts of holders, homes and several agents at different times.
+//! Recovery of flows after restarts of holders, homes and several agents at different times.
 
 use rstest::rstest;
 
 use super::*;
 
-/// Agents restart in the given order while tablets have feeds open. Every feed goes on at the
-/// upstream that holds it, whichever agent its packets reach.
+/// Agents restart in the given order while flows are open. Every flow must stay at the upstream
+/// that holds it, whichever agent its packets reach.
 #[rstest]
 #[case::one(&[0], 2_000)]
 #[case::one_at_once(&[0], 0)]
@@ -28,8 +28,8 @@
     }
 }
 
-/// The agent dies before it has announced a feed to anybody. Every other agent denies the feed,
-/// so only the restarted one can hold it, and its upstream goes on.
+/// An agent crashes before it has announced a flow. Every other agent denies the flow, so only the
+/// restarted one can hold it and must adopt it.
 #[rstest]
 fn adopt_unannounced_flow() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
@@ -44,8 +44,8 @@
     assert!(fleet.timeline.contains(&(home, TimelineEntry::Adopted(FlowId(flow(1))))));
 }
 
-/// A feed was closed by its tablet, but the last part of the answer is still on its way when the
-/// agent restarts: the tablet's acknowledgements still reach the upstream.
+/// The caller has closed a flow, but the last part of the answer is still in transit when the agent
+/// restarts. The caller's acknowledgements must still reach the upstream.
 #[rstest]
 fn relearn_finishing_flow() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
@@ -59,8 +59,8 @@
     assert_eq!(fleet.send((holder + 1) % 4, flow(1), PacketKind::Middle), opened);
 }
 
-/// An agent leaves gracefully: what it holds is announced before it ends, buckets move to the
-/// next rank, and its feeds are found as before.
+/// A leaving agent must announce its flows before it ends. Its buckets move to the next rank, and
+/// its flows are found as before.
 #[rstest]
 fn handover_leaving_agent() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
@@ -80,9 +80,9 @@
     }
 }
 
-/// The holder's agent dies, and while it is down both agents that were told of its feeds restart one
-/// after the other. The second one to restart has told the first, so the feeds are found again once
-/// the holder's agent is back.
+/// The holder's agent is down, and both agents to which it announced its flows restart one after
+/// the other. The one that restarts second must have reported the flows to the first, or the
+/// holder's agent could not recover them once it is back.
 #[rstest]
 fn relearn_entrusted_flows() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
@@ -102,8 +102,8 @@
     assert_eq!(fleet.send((holder + 1) % 4, flow(1), PacketKind::Middle), opened);
 }
 
-/// A host crashes and its upstream starts anew, without the feeds of its earlier life. Its agent then
-/// restarts beside it. Peers must not tell it of the dead feeds: they would fill it for a day.
+/// A host crashes, and its upstream starts anew without its previous flows. Its agent then restarts
+/// beside it. Peers must not report the lost flows, which would count as open for a day.
 #[rstest]
 fn relearn_flows_of_failed_upstream() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
@@ -119,9 +119,9 @@
     assert_eq!(fleet.agents[holder].open_flows(), 0);
 }
 
-/// A home assigns a feed to an upstream, and the packet is lost on the way; the tablet goes on elsewhere.
-/// The upstream takes other feeds and announces them. When its agent restarts, the home must not tell it
-/// of the feed that never ran: it would fill the upstream for a day.
+/// A home assigns a flow to an upstream, and the packet is lost. The upstream takes and announces
+/// other flows. When its agent restarts, the home must not report the lost one, which would count
+/// as open for a day.
 #[rstest]
 fn relearn_assigned_flow_never_delivered() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
@@ -149,8 +149,8 @@
     assert_eq!(fleet.agents[1].open_flows(), held);
 }
 
-/// An agent that is neither home nor second rank has looked a feed up, and is not told of its end. When
-/// the holder's agent restarts, the looked-up answer must not bring the feed back.
+/// An agent that is neither home nor second rank has found a flow by a lookup, and is not notified
+/// of its end. When the holder's agent restarts, this agent must not report the flow.
 #[rstest]
 fn relearn_looked_up_flow_ended() {
     let spec = Spec::new(WhenInDoubt::Admit, 6);
@@ -168,9 +168,9 @@
     assert_eq!(fleet.agents[holder].open_flows(), 0);
 }
 
-/// A holder restarts twice, and its feed ends in between. The second life knows neither whom the first had
-/// told of the feed, nor that one of them is no longer told. If that one is not told of the end, it names the
-/// feed to the third life, which counts it for a day.
+/// A holder restarts twice, and its flow ends in between. The second incarnation does not know to
+/// which peers the first one announced the flow, so it must announce the end to all. One that
+/// missed it would report the flow to the third incarnation, which would count it for a day.
 #[test]
 fn announce_end_relearned_flow() {
     let spec = Spec::new(WhenInDoubt::Admit, 5);
@@ -179,7 +179,7 @@
     assert_eq!(fleet.send(home, flow(1), opening(1)), Outcome::Delivered(home));
     fleet.advance(1_000);
     let second = fleet.ranking(flow(1))[1];
-    // While the second rank is away the third is told, and it stays on record there.
+    // While the second rank is cut off, the flow is announced to the third, which keeps its record.
     fleet.cut_off = vec![second];
     fleet.advance(3_000);
     fleet.restart(home, &spec);
@@ -193,8 +193,9 @@
     assert_eq!(fleet.agents[home].open_flows(), 0);
 }
 
-/// A feed ends in the last moment before a leaving agent's process does. Its peers are told at once: the
-/// next batch would be too late, and the new life would count the feed for a day.
+/// A flow ends just before the process of a leaving agent does. Its peers must be notified at once:
+/// the next batch would be too late, and the next incarnation would count the flow as open for a
+/// day.
 #[test]
 fn announce_end_while_leaving() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
@@ -212,9 +213,9 @@
     assert_eq!(fleet.agents[home].open_flows(), 0);
 }
 
-/// A home assigns a feed to an upstream, which refuses it or has seen its end, and announces nothing. It
-/// lives on for seconds, so whatever it had taken would be announced. When its agent restarts, the home
-/// must not tell it of the feed. If it died at once, nobody else may know, and the home must.
+/// A home has assigned a flow to an upstream that never announced it. An agent that ran on for
+/// seconds would have announced the flow, so after its restart the home must not report it. If the
+/// agent crashed at once, the home may be the only one that knows the flow, and must report it.
 #[rstest]
 #[case::survived_deadline(3_000, 0)]
 #[case::died_at_once(0, 1)]
@@ -241,8 +242,9 @@
     assert_eq!(fleet.agents[1].open_flows(), relearned);
 }
 
-/// An upstream has answered restock confirmations, each one datagram, and its agent restarts. The peers
-/// remember them. They are over: an upstream that counted them as open would refuse all others as full.
+/// An upstream has answered single-datagram requests, and its agent restarts. The peers still know
+/// these requests, but they are over. If they counted as open, the upstream would be full and
+/// refuse all others.
 #[test]
 fn relearn_answered_datagrams() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
@@ -262,9 +264,9 @@
     assert!(matches!(outcome, Outcome::Delivered(_)), "{outcome:?}");
 }
 
-/// Feeds end in the moment before their agent dies, unseen by its peers, and these name them to its next
-/// life. The upstream has room and says so. Two reports on, the agent takes new feeds again; it refused
-/// them for a day.
+/// Flows end just before their agent crashes, and its peers, which have not noticed, report them to
+/// the next incarnation. Once two reports show that the upstream has room, the agent must accept
+/// new flows again; otherwise it would refuse them for a day.
 #[rstest]
 #[case::ended_unseen(0, true)]
 #[case::still_open(3, false)]
@@ -290,9 +292,9 @@
     assert_eq!(matches!(outcome, Outcome::Delivered(_)), accepts, "{outcome:?}");
 }
 
-/// A service takes feeds by TCP and confirmations by datagram, and refuses when in doubt. Its agents restart one
-/// after the other. Its feeds go on: a first mend of full datagram services relearned nothing here, and the lab's
-/// feeds hung at every restarted agent.
+/// Agents of a service that takes TCP and datagrams and refuses when in doubt restart one after the
+/// other or two at once. Relearning must not be skipped, as it is for a service of datagrams only,
+/// or its TCP flows hang at every restarted agent.
 #[rstest]
 #[case::all_in_turn(&[0, 1, 2, 3, 4])]
 #[case::two_at_once(&[0, 1])]
@@ -313,9 +315,9 @@
     }
 }
 
-/// An upstream is retired and gone, and its entry stays listed. A feed that was relearned ends, which is told to
-/// every peer. The gone one never acknowledges it: without a bound the same batch goes to its address every
-/// two seconds until the operators take the entry out.
+/// A retired upstream is gone but still listed, and never acknowledges the end of a relearned flow,
+/// which is announced to every peer. Without a bound, the same batch would be sent to it every two
+/// seconds until the operators remove it from the settings.
 #[test]
 fn announce_to_retired_peer_stops() {
     let mut spec = Spec::new(WhenInDoubt::Admit, 4);
--- a/crates/decision/src/agent/tests/reports.rs
+++ b/crates/decision/src/agent/tests/reports.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Reports about agent `about`, as (reporter, up), repetitions by the same reporter left out.
+/// Reports about agent `about` as (reporter, up), without repetitions by the same reporter.
 fn reports_about(fleet: &Fleet, about: usize) -> Vec<(usize, bool)> {
     let mut seen: Vec<(usize, bool)> = Vec::new();
     for (reporter, member) in &fleet.reports {
@@ -15,16 +15,16 @@
     seen
 }
 
-/// Beat of the latest report about agent 2 by `reporter`.
+/// Highest beat in the reports about agent 2 by `reporter`.
 fn last_beat(fleet: &Fleet, reporter: usize, up: bool) -> Option<u64> {
     let reports = fleet.reports.iter().filter(|(at, _)| *at == reporter).map(|(_, member)| member);
     let about = reports.filter(|member| member.upstream == id(2) && member.up == up);
     about.map(|member| member.beat).max()
 }
 
-/// An agent dies. Callers of flows for which it was home would wait until the instance list catches
-/// up; instead each peer reports it after three missed heartbeats. When it is back its own later
-/// heartbeat refutes the reports, in whatever order they arrive.
+/// An agent crashes. Each peer must report it down after three missed heartbeats, or callers of
+/// flows whose home it was would wait until the instance list is updated. Once it is back, its
+/// later heartbeat must refute these reports, in whatever order they arrive.
 #[test]
 fn suspect_dead_agent_until_back() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
@@ -39,8 +39,9 @@
     assert!(last_beat(&fleet, 0, true) > down_at);
 }
 
-/// A partition cuts one agent off from its peers, but not from the balancers on its side. Its peers
-/// report it down; its own word, with a later beat, keeps its open feeds coming to it.
+/// A partition separates an agent from its peers, but not from the balancers on its side. Its peers
+/// report it down. It must report itself up with a later beat, so that packets of its open flows
+/// still reach it.
 #[test]
 fn report_self_when_cut_off() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
@@ -49,7 +50,7 @@
     assert!(reports_about(&fleet, 2).contains(&(2, true)));
 }
 
-/// Nobody reports anything while all is well, so membership costs no bytes then.
+/// While all agents respond, none may send reports, so that membership costs no bytes then.
 #[test]
 fn suspect_nobody_while_all_respond() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
--- a/crates/decision/src/agent/tests/unknown.rs
+++ b/crates/decision/src/agent/tests/unknown.rs
@@ -4,7 +4,8 @@
 
 use super::*;
 
-/// A feed that its agent does not know is reset a minute after a restart, though its upstream has it.
+/// A flow that its agent does not know must not be reset a minute after a restart while the
+/// upstream still has it.
 #[rstest]
 #[case::one_more_than_known(1, true)]
 #[case::none(0, false)]
@@ -19,7 +20,8 @@
     assert_eq!(fleet.agents[1].stats(fleet.now).may_hold_unknown_flows, incomplete);
 }
 
-/// Two agents may hold a feed without knowing, and its packets go nowhere. Their upstreams tell which has it.
+/// Two agents may hold a flow without knowing it, and its packets would be dropped. The reports of
+/// their upstreams must decide which of them has it.
 #[rstest]
 #[case::only_one_has_more(1, 0, Some(1))]
 #[case::only_the_other_has_more(0, 1, Some(2))]
@@ -43,8 +45,8 @@
     assert_eq!(fleet.send(3, flow(1), PacketKind::Middle), expected);
 }
 
-/// Stray packets of connections that are long over are tried at a restarted agent. It must not count them as
-/// flows for a day, and refuse all openings though its upstream has room.
+/// Stray packets of connections that ended long ago are tried at a restarted agent. It must not
+/// count them as flows for a day and refuse all openings although its upstream has room.
 #[rstest]
 #[case::upstream_has_none(0, true)]
 #[case::upstream_has_them(3, false)]
