--- a/crates/decision/src/agent/tests/handover.rs
+++ b/crates/decision/src/agent/tests/handover.rs
@@ -1,186 +1,194 @@
-//! Planned ends: what a leaving agent hands over, and what its next life is sure of.
+//! Planned shutdowns: what a leaving agent hands over, and whether its next incarnation knows all
+//! flows.
 
 use rstest::rstest;
 
 use super::*;
 
-/// A tablet's feed hangs for a minute: its holder's agent died before it told anybody, and another agent,
-/// restarted as planned, says that it may hold the feed without knowing.
+/// A planned restart must not leave an agent with possibly unknown flows. Otherwise, if another
+/// agent crashed before it announced a flow, either might hold it, and its packets would be dropped
+/// for a minute.
 #[rstest]
 #[case::planned(true, false)]
 #[case::crashed(false, true)]
-fn next_life_is_unsure_only_after_a_crash(#[case] leaves: bool, #[case] unsure: bool) {
+fn may_hold_unknown_flows_only_after_crash(#[case] leaves: bool, #[case] incomplete: bool) {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     (0..50).for_each(|number| {
         fleet.send(0, flow(number), opening(1));
     });
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     if leaves {
         fleet.leave(2);
     }
     fleet.restart(2, &spec);
-    fleet.pass(500);
-    assert_eq!(fleet.agents[2].stats(fleet.now).may_hold_unknown_flows, unsure);
+    fleet.advance(500);
+    assert_eq!(fleet.agents[2].stats(fleet.now).may_hold_unknown_flows, incomplete);
 }
 
-/// The same feed, found at the only agent that can hold it.
+/// A holder crashes before it has announced a flow, while another agent restarts as planned. Only
+/// the holder may have unknown flows, so it must adopt the flow.
 #[rstest]
-fn unannounced_feed_is_adopted_beside_a_planned_restart() {
+fn adopt_unannounced_flow_beside_planned_restart() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
     let other = (home + 1) % 4;
-    fleet.event(other, Event::Leave);
-    fleet.pump();
-    fleet.pass(300);
+    fleet.handle_event(other, Event::Leave);
+    fleet.deliver_messages();
+    fleet.advance(300);
     let opened = fleet.send(home, flow(1), opening(1));
     assert_eq!(opened, Outcome::Delivered(home));
     fleet.restart(home, &spec);
     fleet.restart(other, &spec);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     assert_eq!(fleet.send(home, flow(1), PacketKind::Middle), opened);
 }
 
-/// An agent that may hold flows without knowing is told to end: its next life is in doubt as well.
+/// An agent that may hold unknown flows is shut down. It must not hand over, and its next
+/// incarnation may hold unknown flows as well.
 #[rstest]
-fn unsure_agent_does_not_hand_over() {
+fn send_handover_incomplete_state() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(2, &spec);
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     fleet.leave(2);
     fleet.restart(2, &spec);
-    fleet.pass(500);
+    fleet.advance(500);
     assert!(fleet.agents[2].stats(fleet.now).may_hold_unknown_flows);
 }
 
-/// A feed's holder dies, the only agent that it had told of the feed ends as planned, and the feed would be
-/// known to nobody.
+/// A holder crashes, and the only agent to which it had announced a flow shuts down as planned.
+/// That agent must hand the flow over, or no agent would know it.
 #[rstest]
-fn flows_of_a_silent_agent_are_handed_on() {
+fn handover_flows_of_unresponsive_agent() {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let ranking = fleet.ranking(flow(1));
-    let (holder, told, untold) = (ranking[0], ranking[1], ranking[2]);
-    fleet.cut.push(untold);
+    let (holder, informed, uninformed) = (ranking[0], ranking[1], ranking[2]);
+    fleet.cut_off.push(uninformed);
     let opened = fleet.send(holder, flow(1), opening(1));
-    fleet.pass(300);
-    fleet.cut = vec![holder];
-    fleet.pass(3_000);
-    fleet.leave(told);
-    fleet.restart(told, &spec);
-    fleet.pass(1_000);
+    fleet.advance(300);
+    fleet.cut_off = vec![holder];
+    fleet.advance(3_000);
+    fleet.leave(informed);
+    fleet.restart(informed, &spec);
+    fleet.advance(1_000);
     fleet.restart(holder, &spec);
-    fleet.cut.clear();
-    fleet.pass(1_000);
+    fleet.cut_off.clear();
+    fleet.advance(1_000);
     assert_eq!(fleet.holder(flow(1)), Some(holder));
-    assert_eq!(fleet.send(untold, flow(1), PacketKind::Middle), opened);
+    assert_eq!(fleet.send(uninformed, flow(1), PacketKind::Middle), opened);
 }
 
-/// An opening is assigned to an agent and lost on its way, and the agent ends as planned. Its next life must
-/// not count it as a feed.
+/// An opening is assigned to an agent and lost on the way, and the agent shuts down as planned. Its
+/// next incarnation must not count the opening as a flow.
 #[rstest]
-fn opening_that_did_not_arrive_before_the_end_is_not_relearned() {
+fn relearn_assigned_opening_lost_before_shutdown() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
     let at_home = (0..200).map(flow).filter(|flow| fleet.ranking(*flow)[0] == home);
     let flows: Vec<u64> = at_home.collect();
-    fleet.cut = (0..3).filter(|index| *index != home).collect();
+    fleet.cut_off = (0..3).filter(|index| *index != home).collect();
     let lost = flows.iter().find(|flow| fleet.send(home, **flow, opening(1)) == Outcome::Lost);
-    assert!(lost.is_some(), "none was assigned to another agent");
-    let assigned = fleet.notes.iter().find_map(|(_, note)| match note {
+    assert!(lost.is_some(), "no opening was assigned to another agent");
+    let assigned = fleet.timeline.iter().find_map(|(_, entry)| match entry {
         TimelineEntry::Assigned { to, .. } => Some(*to),
         _ => None,
     });
     let holder = fleet.index(assigned.expect("an assigned opening"));
-    fleet.cut.clear();
-    fleet.event(holder, Event::Leave);
-    fleet.pump();
-    fleet.pass(300);
+    fleet.cut_off.clear();
+    fleet.handle_event(holder, Event::Leave);
+    fleet.deliver_messages();
+    fleet.advance(300);
     fleet.restart(holder, &spec);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     assert_eq!(fleet.agents[holder].open_flows(), 0);
 }
 
-/// A feed that its agent knows only from a packet of its middle ends. Peers that know its opening from an
-/// earlier life forget it as well.
+/// A flow ends that its agent has adopted without a record of its opening. Peers that know the
+/// opening from a previous incarnation must forget it, or they would report the flow at the next
+/// restart.
 #[rstest]
-fn end_of_an_adopted_feed_is_told() {
+fn announce_end_adopted_flow() {
     let spec = Spec::new(WhenInDoubt::Admit, 3);
     let mut fleet = Fleet::settled(&spec);
     let home = fleet.ranking(flow(1))[0];
     fleet.send(home, flow(1), opening(1));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     fleet.restart(home, &spec);
     fleet.send(home, flow(1), PacketKind::Middle);
     fleet.send(home, flow(1), PacketKind::Finish);
-    assert_eq!(open_flows_of_next_life(&mut fleet, home, &spec), 0);
+    assert_eq!(open_flows_after_restart(&mut fleet, home, &spec), 0);
 }
 
-/// A caller opens its next feed on the ports of one whose end was lost. Peers that were told of the old one
-/// by an earlier life must not name it at the next restart.
+/// A caller opens a flow on the ports of one whose end was lost. Peers to which a previous
+/// incarnation announced the old flow must learn of its end, or they would report it at the next
+/// restart.
 #[rstest]
-fn replaced_feed_is_told_to_have_ended() {
+fn announce_end_replaced_flow() {
     let spec = Spec::new(WhenInDoubt::Refuse, 4);
     let mut fleet = Fleet::settled(&spec);
-    fleet.pass(125_000);
+    fleet.advance(125_000);
     let ranking = fleet.ranking(flow(1));
     let (home, third) = (ranking[0], ranking[3]);
     fleet.send(home, flow(1), opening(1));
-    fleet.pass(1_000);
-    fleet.cut.push(home);
-    fleet.pass(3_000);
+    fleet.advance(1_000);
+    fleet.cut_off.push(home);
+    fleet.advance(3_000);
     fleet.restart(third, &spec);
-    fleet.pass(1_000);
-    fleet.cut.clear();
+    fleet.advance(1_000);
+    fleet.cut_off.clear();
     fleet.restart(home, &spec);
-    fleet.pass(125_000);
+    fleet.advance(125_000);
     fleet.send(home, flow(1), opening(2));
     fleet.send(home, flow(1), PacketKind::Finish);
-    assert_eq!(open_flows_of_next_life(&mut fleet, home, &spec), 0);
+    assert_eq!(open_flows_after_restart(&mut fleet, home, &spec), 0);
 }
 
-/// An agent that has handed over takes no opening: its next life would not know of it.
+/// An agent that has handed over must take no opening: its next incarnation would not know of it.
 #[rstest]
-fn nothing_is_taken_after_the_handover() {
+fn can_take_flow_after_handover() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
-    fleet.pass(125_000);
+    fleet.advance(125_000);
     let home = fleet.ranking(flow(1))[0];
     fleet.send(home, flow(1), opening(1));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     fleet.leave(home);
     let outcome = fleet.send(home, flow(1), opening(2));
     assert_ne!(outcome, Outcome::Delivered(home));
 }
 
-/// A copy of an opening that an agent had passed on comes to its next life, while the feed is open elsewhere.
+/// A late copy of an opening is assigned to an agent that has restarted, while the flow is open at
+/// another one. The copy must reach the flow's holder instead of opening a second flow.
 #[rstest]
 #[case::planned(true)]
 #[case::crashed(false)]
-fn late_copy_at_a_restarted_agent_finds_the_feed(#[case] leaves: bool) {
+fn accept_assigned_late_copy_after_restart(#[case] leaves: bool) {
     let spec = Spec::new(WhenInDoubt::Admit, 4);
     let mut fleet = Fleet::settled(&spec);
     let ranking = fleet.ranking(flow(1));
     let (home, other) = (ranking[0], ranking[3]);
     let opened = fleet.send(home, flow(1), opening(1));
     assert_eq!(opened, Outcome::Delivered(home));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     if leaves {
         fleet.leave(other);
     }
     fleet.restart(other, &spec);
-    fleet.pass(500);
+    fleet.advance(500);
     let copy = Packet { hops: 1, forwarding: Forwarding::Assigned, ..packet(flow(1), opening(1)) };
     assert_eq!(fleet.send_packet(other, copy), opened);
 }
 
-/// Flows that an agent counts after it has died and relearned what its peers know.
-fn open_flows_of_next_life(fleet: &mut Fleet, index: usize, spec: &Spec) -> usize {
-    fleet.pass(1_000);
+/// Number of flows that an agent counts as open after a crash, once its peers have reported what
+/// they know.
+fn open_flows_after_restart(fleet: &mut Fleet, index: usize, spec: &Spec) -> usize {
+    fleet.advance(1_000);
     fleet.restart(index, spec);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     fleet.agents[index].open_flows()
 }
--- a/crates/decision/src/agent/tests/once.rs
+++ b/crates/decision/src/agent/tests/once.rs
@@ -5,12 +5,13 @@
 use super::*;
 use crate::message::{Claim, ClaimAnswer, Opening};
 
-/// A restock confirmation is sent once and its copies arrive anywhere: it runs at one upstream,
-/// and every further copy is dropped there, since a second run would bill the inn twice.
+/// Copies of an opening may reach any agent, but it must run at one upstream only. A copy of a
+/// datagram is dropped there, since a second run could bill a customer twice; a copy of a SYN is
+/// left to the upstream's TCP.
 #[rstest]
 #[case::datagram(Transport::Udp, Outcome::Dropped(Reason::Duplicate))]
 #[case::tcp(Transport::Tcp, Outcome::Delivered(9))]
-fn copies(#[case] transport: Transport, #[case] copy: Outcome) {
+fn open_at_most_once_copies(#[case] transport: Transport, #[case] copy: Outcome) {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 5);
     spec.transport = transport;
     let mut fleet = Fleet::settled(&spec);
@@ -28,16 +29,16 @@
     }
 }
 
-/// The caller's confirmation arrives while some agents are unreachable. With a majority it runs;
-/// without, the caller gets no answer, because neither "run" nor "not run" could be kept.
+/// With a majority of the witnesses an opening must run. Without one the caller must get no reply,
+/// since neither "run" nor "not run" could be guaranteed.
 #[rstest]
-#[case::all_there(&[], true)]
-#[case::two_of_five_silent(&[3, 4], true)]
-#[case::three_of_five_silent(&[2, 3, 4], false)]
-fn silent_witnesses(#[case] silent: &[usize], #[case] runs: bool) {
+#[case::all_up(&[], true)]
+#[case::two_of_five_unresponsive(&[3, 4], true)]
+#[case::three_of_five_unresponsive(&[2, 3, 4], false)]
+fn claim_by_quorum_unresponsive_witnesses(#[case] unresponsive: &[usize], #[case] runs: bool) {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Refuse, 5));
-    fleet.cut = silent.to_vec();
-    fleet.pass(3_000);
+    fleet.cut_off = unresponsive.to_vec();
+    fleet.advance(3_000);
     let outcome = fleet.send(0, flow(1), opening(1));
     match runs {
         true => assert!(matches!(outcome, Outcome::Delivered(_)), "{outcome:?}"),
@@ -45,10 +46,11 @@
     }
 }
 
-/// The holder runs a confirmation, and its agent dies and comes back before a copy arrives. The
-/// new life knows nothing of the run, but the witnesses remember which life has claimed it.
+/// A holder's agent restarts after an opening has run and before a copy arrives. The new
+/// incarnation knows nothing of the run, but the witnesses know which incarnation has claimed the
+/// opening.
 #[rstest]
-fn restarted_holder_never_runs_again() {
+fn open_at_most_once_restarted_holder() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 5);
     spec.transport = Transport::Udp;
     let mut fleet = Fleet::settled(&spec);
@@ -56,7 +58,7 @@
         panic!("the first copy must run");
     };
     fleet.restart(holder, &spec);
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     for to in 0..5 {
         let outcome = fleet.send(to, flow(1), opening(1));
         assert!(matches!(outcome, Outcome::Dropped(_)), "copy at {to}: {outcome:?}");
@@ -66,13 +68,13 @@
     assert!(matches!(outcome, Outcome::Dropped(_)), "late assigned copy: {outcome:?}");
 }
 
-/// Upstream and agent of the holder are replaced together under the same name right after a
-/// confirmation has run, and the new agent is told that it has no past. Its peers know better. If
-/// it voted at once, a copy of the confirmation would win with its vote and run again.
+/// Right after an opening has run, the holder's upstream and agent are replaced under the same name
+/// and configured as new. The peers know the previous incarnation. If the new agent voted at once,
+/// a copy of the opening would win with its vote and run again.
 #[rstest]
 #[case::at_once(0)]
 #[case::soon(2_000)]
-fn replaced_holder_never_runs_again(#[case] pass_ms: u64) {
+fn open_at_most_once_replaced_holder(#[case] elapsed_ms: u64) {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
     spec.transport = Transport::Udp;
     let mut fleet = Fleet::settled(&spec);
@@ -80,16 +82,16 @@
         panic!("the first copy must run");
     };
     fleet.agents[holder] = agent(holder, 2 + fleet.now.0, false, spec.view(), fleet.now);
-    fleet.pass(pass_ms);
+    fleet.advance(elapsed_ms);
     let late = Packet { forwarding: Forwarding::Assigned, hops: 1, ..packet(flow(1), opening(1)) };
     let outcome = fleet.send_packet(holder, late);
     assert!(!matches!(outcome, Outcome::Delivered(_)), "late copy: {outcome:?}");
 }
 
-/// All upstreams are full, so the confirmation is refused as not run. An upstream gets room, and
-/// a late copy arrives by way of any other agent: it must not run any more.
+/// An opening is refused as not run because all upstreams are full. A late copy must not run,
+/// whichever agent it reaches, once an upstream has room.
 #[rstest]
-fn refused_stays_refused() {
+fn open_at_most_once_refused_opening() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
     spec.max_flows = 0;
     let mut fleet = Fleet::settled(&spec);
@@ -97,177 +99,202 @@
     spec.max_flows = 2_000;
     spec.version = 2;
     (0..3).for_each(|index| fleet.install(index, &spec));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     for to in 0..3 {
         let outcome = fleet.send(to, flow(1), opening(1));
         assert!(matches!(outcome, Outcome::Refused(_)), "copy at {to}: {outcome:?}");
     }
 }
 
-/// What a witness is asked, by which upstream and life.
-const fn ask(from: usize, life: u64, claim: Option<usize>) -> (usize, u64, Option<usize>) {
-    (from, life, claim)
+/// A claim request to a witness: the claimant, its incarnation, and the upstream that is to run the
+/// opening, or `None` to refuse it.
+const fn request(
+    from: usize,
+    incarnation: u64,
+    claim: Option<usize>,
+) -> (usize, u64, Option<usize>) {
+    (from, incarnation, claim)
 }
 
-/// Two holders may claim one confirmation at the same time. A witness answers each request by what
-/// it has promised before; if it promised both, the confirmation would run twice.
+/// Two holders may claim one opening at the same time. A witness must answer each request according
+/// to its earlier votes: if it granted both claims, the opening could run twice.
 #[rstest]
-#[case::first(&[ask(1, 1, Some(1))], ClaimAnswer::Granted)]
-#[case::repeated(&[ask(1, 1, Some(1)), ask(1, 1, Some(1))], ClaimAnswer::Granted)]
-#[case::rival(&[ask(1, 1, Some(1)), ask(2, 1, Some(2))], ClaimAnswer::Taken(Claim::Run(id(1))))]
-#[case::later_life(&[ask(1, 1, Some(1)), ask(1, 2, Some(1))], ClaimAnswer::Taken(Claim::Run(id(1))))]
-#[case::given_up(&[ask(1, 1, Some(1)), ask(1, 1, None)], ClaimAnswer::Granted)]
-#[case::given_up_by_later_life(&[ask(1, 1, Some(1)), ask(1, 2, None)], ClaimAnswer::Taken(Claim::Run(id(1))))]
-#[case::refused_by_rival(&[ask(1, 1, Some(1)), ask(2, 1, None)], ClaimAnswer::Taken(Claim::Run(id(1))))]
-#[case::run_after_refusal(&[ask(1, 1, None), ask(2, 1, Some(2))], ClaimAnswer::Taken(Claim::Refuse))]
-#[case::two_refusals(&[ask(1, 1, None), ask(2, 1, None)], ClaimAnswer::Granted)]
-#[case::for_another(&[ask(1, 1, Some(2))], ClaimAnswer::Abstained)]
-fn witness(#[case] requests: &[(usize, u64, Option<usize>)], #[case] expected: ClaimAnswer) {
+#[case::first(&[request(1, 1, Some(1))], ClaimAnswer::Granted)]
+#[case::repeated(&[request(1, 1, Some(1)), request(1, 1, Some(1))], ClaimAnswer::Granted)]
+#[case::rival(
+    &[request(1, 1, Some(1)), request(2, 1, Some(2))],
+    ClaimAnswer::Taken(Claim::Run(id(1))),
+)]
+#[case::later_incarnation(
+    &[request(1, 1, Some(1)), request(1, 2, Some(1))],
+    ClaimAnswer::Taken(Claim::Run(id(1))),
+)]
+#[case::withdrawn(&[request(1, 1, Some(1)), request(1, 1, None)], ClaimAnswer::Granted)]
+#[case::withdrawn_by_later_incarnation(
+    &[request(1, 1, Some(1)), request(1, 2, None)],
+    ClaimAnswer::Taken(Claim::Run(id(1))),
+)]
+#[case::refused_by_rival(
+    &[request(1, 1, Some(1)), request(2, 1, None)],
+    ClaimAnswer::Taken(Claim::Run(id(1))),
+)]
+#[case::run_after_refusal(
+    &[request(1, 1, None), request(2, 1, Some(2))],
+    ClaimAnswer::Taken(Claim::Refuse),
+)]
+#[case::two_refusals(&[request(1, 1, None), request(2, 1, None)], ClaimAnswer::Granted)]
+#[case::for_another(&[request(1, 1, Some(2))], ClaimAnswer::Abstained)]
+fn witness_at_most_once_answer(
+    #[case] requests: &[(usize, u64, Option<usize>)],
+    #[case] expected: ClaimAnswer,
+) {
     let fleet = Fleet::settled(&Spec::new(WhenInDoubt::Refuse, 3));
     let mut agent = fleet.agents.into_iter().next().expect("an agent");
     assert_eq!(last_answer(&mut agent, fleet.now, requests), expected);
 }
 
-/// A restarted witness may have promised something that it has forgotten: it abstains until no
-/// copy of that opening can exist any more. If it did not, an opening could run twice.
+/// A restarted witness may have granted a claim that it no longer knows. It must abstain until no
+/// copy of that opening can exist any more, or the opening could run twice.
 #[rstest]
 #[case::at_once(0, ClaimAnswer::Abstained)]
 #[case::just_before(119_999, ClaimAnswer::Abstained)]
 #[case::afterwards(120_000, ClaimAnswer::Granted)]
-fn restarted_witness(#[case] after_ms: u64, #[case] expected: ClaimAnswer) {
+fn must_abstain_after_restart(#[case] after_ms: u64, #[case] expected: ClaimAnswer) {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut witness = agent(0, 2, true, spec.view(), Millis(5_000));
     let now = Millis(5_000).after(after_ms);
-    assert_eq!(last_answer(&mut witness, now, &[ask(1, 1, Some(1))]), expected);
+    assert_eq!(last_answer(&mut witness, now, &[request(1, 1, Some(1))]), expected);
 }
 
-/// Agents are restarted one after the other, as in every rollout. The callers' confirmations run on:
-/// each restarted witness recalls its promises from the others and votes again. Before it could,
-/// a service of three stood still for two minutes after its second restart.
+/// Openings must still run while agents restart one after the other, as in every rollout. If
+/// restarted witnesses did not recall their votes from the others, a service of three would stop
+/// for two minutes after its second restart.
 #[rstest]
 #[case::three(3)]
 #[case::seven(7)]
-fn rolling_restart_keeps_running(#[case] upstreams: usize) {
+fn recall_rolling_restart(#[case] upstreams: usize) {
     let spec = Spec::new(WhenInDoubt::Refuse, upstreams);
     let mut fleet = Fleet::settled(&spec);
     for index in 0..upstreams {
         fleet.restart(index, &spec);
-        fleet.pass(3_000);
+        fleet.advance(3_000);
         let outcome = fleet.send(index, flow(index as u64), opening(1));
         assert!(matches!(outcome, Outcome::Delivered(_)), "after {index}: {outcome:?}");
     }
 }
 
-/// A confirmation ran; one of its witnesses restarts and recalls. A rival holder that claims the same
-/// confirmation gets no vote from it: with one it could run the confirmation a second time.
+/// One of the witnesses of an opening that has run restarts and recalls its votes. It must not vote
+/// for a rival holder that claims the same opening, or the opening could run a second time.
 #[test]
-fn recalled_promise_is_kept() {
+fn recall_keeps_vote() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
     let Outcome::Delivered(holder) = fleet.send(0, flow(1), opening(1)) else {
-        panic!("the confirmation must run");
+        panic!("the opening must run");
     };
     let (witness, rival) = ((holder + 1) % 3, (holder + 2) % 3);
     fleet.restart(witness, &spec);
-    fleet.pass(3_000);
+    fleet.advance(3_000);
     let now = fleet.now;
-    let requests = [ask(rival, 1, Some(rival))];
+    let requests = [request(rival, 1, Some(rival))];
     let answer = last_answer(&mut fleet.agents[witness], now, &requests);
     assert_eq!(answer, ClaimAnswer::Taken(Claim::Run(id(holder))));
 }
 
-/// A witness restarts while others are silent. Of three, both others must have told their records: the
-/// silent one may be the only one that knows of a claim which won with this agent's vote.
+/// A witness restarts while others are unresponsive. Of three, both others must have sent their
+/// records: an unresponsive one may be the only one that knows of a claim that won with this
+/// agent's vote.
 #[rstest]
-#[case::both_tell(3, &[], true)]
-#[case::one_of_two_silent(3, &[2], false)]
-#[case::three_of_four_tell(5, &[4], true)]
-#[case::two_of_four_silent(5, &[3, 4], false)]
-fn recall_needs_enough(#[case] upstreams: usize, #[case] silent: &[usize], #[case] votes: bool) {
+#[case::both_answer(3, &[], true)]
+#[case::one_of_two_unresponsive(3, &[2], false)]
+#[case::three_of_four_answer(5, &[4], true)]
+#[case::two_of_four_unresponsive(5, &[3, 4], false)]
+fn recall_quorum(#[case] upstreams: usize, #[case] unresponsive: &[usize], #[case] votes: bool) {
     let spec = Spec::new(WhenInDoubt::Refuse, upstreams);
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(0, &spec);
-    fleet.cut = silent.to_vec();
-    fleet.pass(10_000);
+    fleet.cut_off = unresponsive.to_vec();
+    fleet.advance(10_000);
     let now = fleet.now;
-    let answer = last_answer(&mut fleet.agents[0], now, &[ask(1, 1, Some(1))]);
+    let answer = last_answer(&mut fleet.agents[0], now, &[request(1, 1, Some(1))]);
     assert_eq!(answer == ClaimAnswer::Granted, votes, "{answer:?}");
 }
 
-/// Two witnesses restart together. Neither may take the other's empty table for knowledge.
+/// Two witnesses restart together. Neither may count the other's empty table as complete records.
 #[test]
-fn recall_from_forgetful_witness_does_not_count() {
+fn recall_from_forgetful_witness() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(0, &spec);
     fleet.restart(1, &spec);
-    fleet.pass(10_000);
+    fleet.advance(10_000);
     let now = fleet.now;
-    let answer = last_answer(&mut fleet.agents[0], now, &[ask(1, 1, Some(1))]);
+    let answer = last_answer(&mut fleet.agents[0], now, &[request(1, 1, Some(1))]);
     assert_eq!(answer, ClaimAnswer::Abstained);
 }
 
-/// Two claims for one confirmation are on record, and the restarted witness cannot tell which of them
-/// had its vote. It votes for neither: with the wrong one, both could win.
+/// Two claims for one opening are on record, and the restarted witness cannot tell which of them
+/// had its vote. It must vote for neither: with a vote for the wrong one, both could win.
 #[test]
-fn recall_of_two_claims_votes_for_neither() {
+fn recall_disputed_opening() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
     let now = fleet.now;
     for (witness, claimant) in [(1, 2), (2, 1)] {
-        last_answer(&mut fleet.agents[witness], now, &[ask(claimant, 1, Some(claimant))]);
+        last_answer(&mut fleet.agents[witness], now, &[request(claimant, 1, Some(claimant))]);
     }
     fleet.restart(0, &spec);
-    fleet.pass(3_000);
+    fleet.advance(3_000);
     let now = fleet.now;
     for claimant in [1, 2] {
-        let requests = [ask(claimant, 1, Some(claimant))];
+        let requests = [request(claimant, 1, Some(claimant))];
         let answer = last_answer(&mut fleet.agents[0], now, &requests);
         assert_eq!(answer, ClaimAnswer::Abstained);
     }
 }
 
-/// Two hosts of three are replaced within seconds: upstreams and agents are new, their names are not.
-/// A late copy of a confirmation that ran before must not find a majority among them. It did (fuzzing,
-/// seeds 518 and 553), since a witness with a new upstream took itself for one without a past.
+/// Two hosts of three are replaced within seconds under the same names. A late copy of an opening
+/// that ran before must not find a majority among them. It did (fuzzing, seeds 518 and 553) when a
+/// witness with a new upstream assumed that it had no previous incarnation.
 #[test]
-fn replaced_hosts_do_not_run_again() {
+fn recall_replaced_hosts() {
     let spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::settled(&spec);
     let Outcome::Delivered(holder) = fleet.send(0, flow(1), opening(1)) else {
-        panic!("the confirmation must run");
+        panic!("the opening must run");
     };
     for index in [holder, (holder + 1) % 3] {
-        let life = 2 + fleet.now.0;
-        fleet.agents[index] = agent(index, life, false, spec.view(), fleet.now);
+        let incarnation = 2 + fleet.now.0;
+        fleet.agents[index] = agent(index, incarnation, false, spec.view(), fleet.now);
     }
-    fleet.pass(30_000);
+    fleet.advance(30_000);
     for to in 0..3 {
         let outcome = fleet.send(to, flow(1), opening(1));
         assert!(!matches!(outcome, Outcome::Delivered(_)), "at {to}: {outcome:?}");
     }
 }
 
-/// A service begins: no witness has a past, and openings run after a second, not after two minutes.
-/// Where one of them has met an earlier life of another, that one is not believed to be new.
+/// In a new service no witness has a previous incarnation, and openings must run after a second,
+/// not after two minutes. A witness is not considered new if another one has seen a previous
+/// incarnation of it.
 #[rstest]
 #[case::two(2)]
 #[case::seven(7)]
-fn new_service_runs_soon(#[case] upstreams: usize) {
+fn recall_new_service(#[case] upstreams: usize) {
     let mut fleet = Fleet::started(&Spec::new(WhenInDoubt::Refuse, upstreams));
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     let outcome = fleet.send(0, flow(1), opening(1));
     assert!(matches!(outcome, Outcome::Delivered(_)), "{outcome:?}");
 }
 
-/// Settings are published while the agents are young, and reach the claimant first. A witness that
-/// abstained at once took away the majority, and datagrams of that moment were lost (lab --quick,
-/// seeds 21 to 23). It says nothing until it has caught up, and then grants.
+/// New settings reach the claimant before a witness that started a moment ago. If the witness
+/// abstained, the majority and thus a datagram would be lost (lab --quick, seeds 21 to 23). It must
+/// not reply until it has caught up, and then grant the claim.
 #[test]
-fn young_witness_catches_up_before_it_answers() {
+fn must_catch_up_newer_settings() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
     let mut fleet = Fleet::started(&spec);
-    fleet.pass(3_000);
+    fleet.advance(3_000);
     let message = Message::ClaimRequest {
         opening: Opening { flow: FlowId(flow(1)), nonce: 1 },
         claim: Claim::Run(id(1)),
@@ -290,8 +317,8 @@
     assert_eq!(answers(&mut fleet.agents[0], now), [ClaimAnswer::Granted]);
 }
 
-/// An operator rolls the agents of a service and waits for each to be ready. One that cannot vote yet is
-/// not: with the next one restarted as well, the service would have no majority.
+/// An operator restarts the agents of a service one by one and waits for each to be ready. An agent
+/// that cannot vote yet is not: with the next one restarted as well, there would be no majority.
 #[rstest]
 #[case::refuse_restarted(WhenInDoubt::Refuse, 500, false)]
 #[case::refuse_recalled(WhenInDoubt::Refuse, 3_000, true)]
@@ -304,20 +331,21 @@
     let spec = Spec::new(when_in_doubt, 3);
     let mut fleet = Fleet::settled(&spec);
     fleet.restart(1, &spec);
-    fleet.pass(after_ms);
+    fleet.advance(after_ms);
     assert_eq!(fleet.agents[1].is_ready(fleet.now), ready);
 }
 
-/// The whole service dies at once and starts anew, upstreams included, under settings that are no
-/// longer its first. Nobody remembers what ran, so nothing runs while copies of it may exist.
+/// The whole service crashes at once and starts anew, upstreams included, under settings that are
+/// not its first. No agent knows which openings ran, so none may run while copies of them can
+/// exist.
 #[rstest]
 #[case::soon(30_000, false)]
 #[case::after_all_copies(125_000, true)]
-fn whole_service_replaced(#[case] after_ms: u64, #[case] runs: bool) {
+fn recall_whole_service_replaced(#[case] after_ms: u64, #[case] runs: bool) {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 3);
     spec.version = 4;
     let mut fleet = Fleet::started(&spec);
-    fleet.pass(after_ms);
+    fleet.advance(after_ms);
     let outcome = fleet.send(0, flow(1), opening(1));
     assert_eq!(matches!(outcome, Outcome::Delivered(_)), runs, "{outcome:?}");
 }
@@ -329,12 +357,12 @@
 ) -> ClaimAnswer {
     let opening = Opening { flow: FlowId(flow(1)), nonce: 1 };
     let mut last = None;
-    for (from, life, claim) in requests {
+    for (from, incarnation, claim) in requests {
         let message = Message::ClaimRequest {
             opening,
             claim: claim.map_or(Claim::Refuse, |holder| Claim::Run(id(holder))),
             view: Version(1),
-            incarnation: Incarnation(*life),
+            incarnation: Incarnation(*incarnation),
         };
         let mut out = Vec::new();
         agent.handle(now, Event::Message { from: id(*from), message }, &mut out);
@@ -346,13 +374,13 @@
     last.expect("an answer")
 }
 
-/// Upstreams are replaced one after another, the old ones die, and their entries stay listed as
-/// retired. Confirmations go on: the old membership no longer needs a majority once most of its
-/// members had told that they run newer settings, and it was given time to forget.
+/// Upstreams are replaced, shut down, and stay listed as retired. Openings must still run: the old
+/// membership needs no majority once most of its members have reported that they run newer settings
+/// and its claims have had time to expire.
 #[rstest]
 #[case::at_once(1_000, false)]
 #[case::after_ttl(125_000, true)]
-fn replaced_upstreams(#[case] pass_ms: u64, #[case] runs: bool) {
+fn outdated_membership_replaced_upstreams(#[case] elapsed_ms: u64, #[case] runs: bool) {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 6);
     spec.listed[3..].fill((2, None));
     let mut fleet = Fleet::settled(&spec);
@@ -362,39 +390,39 @@
         spec.states[index] = UpstreamState::Retired;
     }
     (0..6).for_each(|index| fleet.install(index, &spec));
-    fleet.pass(500);
-    fleet.cut = vec![0, 1, 2];
-    fleet.pass(pass_ms);
+    fleet.advance(500);
+    fleet.cut_off = vec![0, 1, 2];
+    fleet.advance(elapsed_ms);
     let outcome = fleet.send(4, flow(1), opening(1));
     assert_eq!(matches!(outcome, Outcome::Delivered(_)), runs, "{outcome:?}");
 }
 
-/// A claimant is paused after its witnesses were asked, and wakes up when their grants have long
-/// been forgotten. The confirmation that it still holds must not run then.
+/// A claimant is paused after it has asked its witnesses, and resumes long after they have
+/// forgotten their grants. The opening that it still holds must not run then.
 #[rstest]
-fn paused_claimant_ignores_late_grants() {
+fn claim_by_quorum_paused_claimant() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Refuse, 3));
     let holder = (0..3).find(|at| fleet.ranking(flow(1))[0] == *at).expect("a home");
     fleet.arrive(holder, packet(flow(1), opening(1)));
     let grants: Vec<_> = std::mem::take(&mut fleet.messages).into_iter().collect();
     fleet.now = fleet.now.after(600_000);
     fleet.messages.extend(grants);
-    fleet.pump();
-    fleet.pass(1_000);
+    fleet.deliver_messages();
+    fleet.advance(1_000);
     assert_eq!(fleet.holder(flow(1)), None);
 }
 
-/// A service has begun a moment ago, and one more upstream is listed. For some milliseconds no witness has
-/// heard of the newcomer what it may know. A clerk's datagram that arrives just then, which is never sent
-/// again, was given up at once, since every witness abstained for good.
+/// One more upstream is listed shortly after the service has started, so that for some milliseconds
+/// no witness has its records. A datagram that arrives then must be delivered: if the witnesses
+/// abstained, it would be given up, and the caller never sends it again.
 #[rstest]
 #[case::added(&[], 5)]
 #[case::replaced(&[3], 5)]
-fn datagram_during_a_change_is_answered(#[case] retired: &[usize], #[case] upstreams: usize) {
+fn is_catching_up_datagram_during_change(#[case] retired: &[usize], #[case] upstreams: usize) {
     let mut spec =
         Spec { transport: Transport::Udp, ..Spec::new(WhenInDoubt::Refuse, upstreams - 1) };
     let mut fleet = Fleet::started(&spec);
-    fleet.pass(4_000);
+    fleet.advance(4_000);
     spec.version = 2;
     spec.states.push(UpstreamState::Active);
     spec.listed.push((2, None));
@@ -404,7 +432,7 @@
     }
     fleet.agents.push(agent(upstreams - 1, 1, false, spec.view(), fleet.now));
     for index in 0..upstreams - 1 {
-        fleet.event(index, Event::View(spec.view()));
+        fleet.handle_event(index, Event::View(spec.view()));
     }
     for number in 0..20 {
         let newer = Packet { view: Version(2), ..packet(flow(number), opening(1)) };
