--- a/crates/steering/tests/common/agent.rs
+++ b/crates/steering/tests/common/agent.rs
@@ -11,11 +11,11 @@
 pub(crate) const SLO_MS: u32 = 200;
 pub(crate) const BALANCER: Ipv4Addr = Ipv4Addr::new(10, 1, 0, 1);
 
-pub(crate) fn side() -> AgentCore {
+pub(crate) fn new_agent() -> AgentCore {
     AgentCore::new(SERVICE)
 }
 
-pub(crate) fn ask(slots: u8) -> ForwardMetadata {
+pub(crate) fn metadata(slots: u8) -> ForwardMetadata {
     ForwardMetadata {
         balancer: BALANCER,
         service: SERVICE,
@@ -34,22 +34,22 @@
     Answer { flow: flow(number), data_bytes: 500, last: false, sequence: 0, opening: false }
 }
 
-pub(crate) fn accepted(number: u16) -> Answer {
+pub(crate) fn opening_answer(number: u16) -> Answer {
     Answer { data_bytes: 0, opening: true, ..answer(number) }
 }
 
 pub(crate) fn deliver(
-    side: &mut AgentCore,
+    agent: &mut AgentCore,
     now_ms: Millis,
     segment: &Segment,
     slots: u8,
 ) -> Delivery {
     let bytes = [segment.flow.caller.port() as u8, segment.sequence as u8];
-    side.on_packet(now_ms, segment, &bytes, ask(slots)).delivery
+    agent.on_packet(now_ms, segment, &bytes, metadata(slots)).delivery
 }
 
 /// The upstream has taken this flow.
-pub(crate) fn hold(side: &mut AgentCore, now_ms: Millis, number: u16) {
-    deliver(side, now_ms, &opening(number, 0), 1);
-    side.on_answer(now_ms, accepted(number));
+pub(crate) fn open_flow(agent: &mut AgentCore, now_ms: Millis, number: u16) {
+    deliver(agent, now_ms, &opening(number, 0), 1);
+    agent.on_answer(now_ms, opening_answer(number));
 }
--- a/crates/steering/tests/side_words.rs
+++ b/crates/steering/tests/side_words.rs
@@ -2,19 +2,19 @@
 
 mod common;
 
-use common::agent::{BALANCER, accepted, answer, ask, deliver, hold};
+use common::agent::{BALANCER, answer, deliver, metadata, open_flow, opening_answer};
 use common::{SERVICE, data, ending, opening};
 use rstest::rstest;
 use steering::flow::Segment;
 use steering::side::{AgentCore, Answer, Delivery, ForwardMetadata};
 
 #[test]
-fn report_goes_once_to_the_balancer_that_asked() {
-    let mut side = AgentCore::new(SERVICE);
-    side.on_packet(0, &opening(1, 0), &[], ForwardMetadata { wants_report: true, ..ask(7) });
-    let report = side.on_answer(1, answer(1)).report.unwrap();
+fn on_answer_reports_once() {
+    let mut agent = AgentCore::new(SERVICE);
+    agent.on_packet(0, &opening(1, 0), &[], ForwardMetadata { wants_report: true, ..metadata(7) });
+    let report = agent.on_answer(1, answer(1)).report.unwrap();
     assert_eq!((report.balancer, report.busy), (BALANCER, 0));
-    assert!(side.on_answer(2, answer(1)).report.is_none());
+    assert!(agent.on_answer(2, answer(1)).report.is_none());
 }
 
 /// A balancer without memory asks for a flow, and the upstream works on it for as long as it takes. Told
@@ -22,26 +22,22 @@
 /// has found the flow within one round trip, also while the request waits here. An agent that does not
 /// know the flow leaves it to the upstream.
 #[rstest]
-#[case::at_work(0, true, Delivery::Deliver)]
-#[case::waiting(2, true, Delivery::Queued)]
-#[case::new_here(2, false, Delivery::Deliver)]
-fn held_flow_is_reported_at_once(
-    #[case] busy: u16,
-    #[case] held: bool,
-    #[case] expected: Delivery,
-) {
-    let mut side = AgentCore::new(SERVICE);
+#[case::in_progress(0, true, Delivery::Deliver)]
+#[case::queued(2, true, Delivery::Queued)]
+#[case::unknown_here(2, false, Delivery::Deliver)]
+fn on_packet_reports_held_flow(#[case] busy: u16, #[case] held: bool, #[case] expected: Delivery) {
+    let mut agent = AgentCore::new(SERVICE);
     for number in 1..=busy {
-        deliver(&mut side, 0, &data(number, 1), 1);
+        deliver(&mut agent, 0, &data(number, 1), 1);
     }
     if held {
-        hold(&mut side, 0, 3);
+        open_flow(&mut agent, 0, 3);
     }
-    let ask = ForwardMetadata { wants_report: true, ..ask(1) };
-    let received = side.on_packet(2, &data(3, 2), &[], ask);
+    let metadata = ForwardMetadata { wants_report: true, ..metadata(1) };
+    let received = agent.on_packet(2, &data(3, 2), &[], metadata);
     assert_eq!(received.delivery, expected);
     assert_eq!(received.report.map(|report| report.balancer), held.then_some(BALANCER));
-    assert!(!held || side.on_answer(60, answer(3)).report.is_none(), "told once");
+    assert!(!held || agent.on_answer(60, answer(3)).report.is_none(), "reported once");
 }
 
 /// Two upstreams have answered a caller's opening, one after the other was slow to. The caller has taken
@@ -52,13 +48,13 @@
 #[case::after_an_answer(1_501, true)]
 #[case::of_another(900_000, false)]
 #[case::of_another_before(900, false)]
-fn acknowledged_number_tells_the_holder(#[case] acknowledged: u32, #[case] held: bool) {
-    let mut side = AgentCore::new(SERVICE);
-    deliver(&mut side, 0, &opening(1, 0), 7);
-    side.on_answer(1, Answer { sequence: 1_000, ..accepted(1) });
-    side.on_answer(2, Answer { sequence: 1_001, ..answer(1) });
-    let ask = ForwardMetadata { wants_report: true, ..ask(7) };
-    let received = side.on_packet(3, &Segment { acknowledged, ..data(1, 1) }, &[], ask);
+fn on_packet_acknowledged_number_with_data(#[case] acknowledged: u32, #[case] held: bool) {
+    let mut agent = AgentCore::new(SERVICE);
+    deliver(&mut agent, 0, &opening(1, 0), 7);
+    agent.on_answer(1, Answer { sequence: 1_000, ..opening_answer(1) });
+    agent.on_answer(2, Answer { sequence: 1_001, ..answer(1) });
+    let metadata = ForwardMetadata { wants_report: true, ..metadata(7) };
+    let received = agent.on_packet(3, &Segment { acknowledged, ..data(1, 1) }, &[], metadata);
     let expected = if held { Delivery::Deliver } else { Delivery::NotHeld };
     assert_eq!((received.delivery, received.report.is_some()), (expected, held));
 }
@@ -68,32 +64,35 @@
 #[rstest]
 #[case::of_this_upstream(1_501, true)]
 #[case::of_another(900_000, false)]
-fn bare_acknowledgement_tells_the_holder(#[case] acknowledged: u32, #[case] held: bool) {
-    let mut side = AgentCore::new(SERVICE);
-    deliver(&mut side, 0, &opening(1, 0), 7);
-    side.on_answer(1, Answer { sequence: 1_000, ..accepted(1) });
-    side.on_answer(2, Answer { sequence: 1_001, ..answer(1) });
+fn on_packet_bare_acknowledgement(#[case] acknowledged: u32, #[case] held: bool) {
+    let mut agent = AgentCore::new(SERVICE);
+    deliver(&mut agent, 0, &opening(1, 0), 7);
+    agent.on_answer(1, Answer { sequence: 1_000, ..opening_answer(1) });
+    agent.on_answer(2, Answer { sequence: 1_001, ..answer(1) });
     let segment = Segment { acknowledged, data_bytes: 0, ..data(1, 1) };
     let received =
-        side.on_packet(3, &segment, &[], ForwardMetadata { wants_report: true, ..ask(7) });
+        agent.on_packet(3, &segment, &[], ForwardMetadata { wants_report: true, ..metadata(7) });
     let expected = if held { Delivery::Deliver } else { Delivery::NotHeld };
     assert_eq!((received.delivery, received.report.is_some()), (expected, held));
-    let repeated = side.on_answer(200, Answer { sequence: 1_000, ..accepted(1) });
-    assert_eq!(repeated.report, None, "an answer to the opening says nothing about this packet");
+    let repeated = agent.on_answer(200, Answer { sequence: 1_000, ..opening_answer(1) });
+    assert_eq!(
+        repeated.report, None,
+        "the answer to the opening must not count as a reply to this packet"
+    );
 }
 
 /// The same port opens another flow: numbers of the first one say nothing about it.
 #[test]
-fn reopened_flow_counts_anew() {
-    let mut side = AgentCore::new(SERVICE);
+fn on_packet_reopened_flow() {
+    let mut agent = AgentCore::new(SERVICE);
     for sequence in [1_000, 70_000] {
-        deliver(&mut side, 0, &opening(1, 0), 7);
-        side.on_answer(1, Answer { sequence, ..accepted(1) });
+        deliver(&mut agent, 0, &opening(1, 0), 7);
+        agent.on_answer(1, Answer { sequence, ..opening_answer(1) });
         let segment = Segment { acknowledged: sequence + 1, ..data(1, 1) };
-        assert_eq!(deliver(&mut side, 2, &segment, 7), Delivery::Deliver);
+        assert_eq!(deliver(&mut agent, 2, &segment, 7), Delivery::Deliver);
     }
     let segment = Segment { acknowledged: 1_001, ..data(1, 1) };
-    assert_eq!(deliver(&mut side, 3, &segment, 7), Delivery::NotHeld);
+    assert_eq!(deliver(&mut agent, 3, &segment, 7), Delivery::NotHeld);
 }
 
 /// An agent restarts while a flow is open and hears the upstream's next packets only. The caller still
@@ -103,74 +102,77 @@
 #[case::just_after(65_000, true)]
 #[case::of_another(1_000, false)]
 #[case::of_another_far_ahead(95_000, false)]
-fn restarted_agent_allows_for_what_it_has_not_seen(#[case] acknowledged: u32, #[case] held: bool) {
-    let mut side = AgentCore::new(SERVICE);
-    deliver(&mut side, 0, &data(1, 1), 7);
-    side.on_answer(1, Answer { sequence: 50_000, ..answer(1) });
+fn on_packet_after_agent_restart(#[case] acknowledged: u32, #[case] held: bool) {
+    let mut agent = AgentCore::new(SERVICE);
+    deliver(&mut agent, 0, &data(1, 1), 7);
+    agent.on_answer(1, Answer { sequence: 50_000, ..answer(1) });
     let segment = Segment { acknowledged, ..data(1, 101) };
-    assert_eq!(deliver(&mut side, 2, &segment, 7) == Delivery::Deliver, held);
+    assert_eq!(deliver(&mut agent, 2, &segment, 7) == Delivery::Deliver, held);
 }
 
 /// Two upstreams have answered an opening, and the caller ends the flow at the other one through a balancer
 /// that asks here first. This upstream takes the packet without a word, and so does its agent: the balancer goes on.
 #[test]
-fn ending_of_anothers_flow_gets_no_word() {
-    let mut side = AgentCore::new(SERVICE);
-    deliver(&mut side, 0, &opening(1, 0), 7);
-    side.on_answer(1, Answer { sequence: 1_000, ..accepted(1) });
+fn on_packet_closing_of_other_holder() {
+    let mut agent = AgentCore::new(SERVICE);
+    deliver(&mut agent, 0, &opening(1, 0), 7);
+    agent.on_answer(1, Answer { sequence: 1_000, ..opening_answer(1) });
     let segment = Segment { acknowledged: 900_000, ..ending(1, 1) };
     let received =
-        side.on_packet(3, &segment, &[], ForwardMetadata { wants_report: true, ..ask(7) });
+        agent.on_packet(3, &segment, &[], ForwardMetadata { wants_report: true, ..metadata(7) });
     assert_eq!((received.delivery, received.report), (Delivery::Deliver, None));
 }
 
 /// An upstream is at work for a second on flows that its agent does not know, since it has just started. Balancers
 /// that hear nothing would take both for dead: each is told once, after a while, that the agent lives.
 #[rstest]
-#[case::nothing_is_said(None, true)]
-#[case::the_upstream_answers(Some(true), false)]
-#[case::the_upstream_returns_it(Some(false), false)]
-fn balancer_that_waits_learns_that_the_agent_lives(#[case] word: Option<bool>, #[case] told: bool) {
-    let mut side = AgentCore::new(SERVICE);
-    let ask = ForwardMetadata { wants_report: true, ..ask(7) };
-    side.on_packet(0, &data(1, 1), &[], ask);
-    side.on_packet(10, &data(2, 1), &[], ask);
-    match word {
-        Some(true) => drop(side.on_answer(20, answer(1))),
-        Some(false) => side.note_reply_sent(BALANCER),
+#[case::no_reply(None, true)]
+#[case::upstream_answers(Some(true), false)]
+#[case::upstream_returns_packet(Some(false), false)]
+fn take_due_replies_waiting_balancer(#[case] reply: Option<bool>, #[case] notified: bool) {
+    let mut agent = AgentCore::new(SERVICE);
+    let metadata = ForwardMetadata { wants_report: true, ..metadata(7) };
+    agent.on_packet(0, &data(1, 1), &[], metadata);
+    agent.on_packet(10, &data(2, 1), &[], metadata);
+    match reply {
+        Some(true) => drop(agent.on_answer(20, answer(1))),
+        Some(false) => agent.note_reply_sent(BALANCER),
         None => {}
     }
-    assert!(side.take_due_replies(40).is_empty());
-    let expected: Vec<_> = told.then_some(BALANCER).into_iter().collect();
-    assert_eq!(side.take_due_replies(60), expected);
-    assert!(side.take_due_replies(200).is_empty(), "said once");
+    assert!(agent.take_due_replies(40).is_empty());
+    let expected: Vec<_> = notified.then_some(BALANCER).into_iter().collect();
+    assert_eq!(agent.take_due_replies(60), expected);
+    assert!(agent.take_due_replies(200).is_empty(), "notified once");
 }
 
 /// The balancer that asked about a flow is not told twice: it heard at once that the flow is here.
 #[test]
-fn balancer_that_was_told_waits_for_nothing() {
-    let mut side = AgentCore::new(SERVICE);
-    let ask = ForwardMetadata { wants_report: true, ..ask(7) };
-    deliver(&mut side, 0, &opening(1, 0), 7);
-    side.on_answer(1, accepted(1));
+fn take_due_replies_after_report() {
+    let mut agent = AgentCore::new(SERVICE);
+    let metadata = ForwardMetadata { wants_report: true, ..metadata(7) };
+    deliver(&mut agent, 0, &opening(1, 0), 7);
+    agent.on_answer(1, opening_answer(1));
     assert!(
-        side.on_packet(2, &Segment { acknowledged: 1, ..data(1, 1) }, &[], ask).report.is_some()
+        agent
+            .on_packet(2, &Segment { acknowledged: 1, ..data(1, 1) }, &[], metadata)
+            .report
+            .is_some()
     );
-    assert!(side.take_due_replies(200).is_empty());
+    assert!(agent.take_due_replies(200).is_empty());
 }
 
 /// An upstream sends the packets of an answer out of order, the one that ends the flow before others, and repeats one. Its caller
 /// ends the flow too, with the number after all of them. The agent denied it, and the packet wandered through the whole
 /// service for three seconds.
 #[test]
-fn ending_after_an_answer_out_of_order_is_delivered() {
-    let mut side = AgentCore::new(SERVICE);
-    deliver(&mut side, 0, &opening(1, 0), 7);
-    side.on_answer(1, Answer { sequence: 1_000, ..accepted(1) });
-    deliver(&mut side, 2, &data(1, 1), 7);
-    side.on_answer(3, Answer { sequence: 15_401, last: true, ..answer(1) });
-    deliver(&mut side, 4, &Segment { data_bytes: 0, acknowledged: 8_001, ..data(1, 101) }, 7);
-    side.on_answer(5, Answer { sequence: 8_001, ..answer(1) });
+fn on_packet_closing_after_reordered_answer() {
+    let mut agent = AgentCore::new(SERVICE);
+    deliver(&mut agent, 0, &opening(1, 0), 7);
+    agent.on_answer(1, Answer { sequence: 1_000, ..opening_answer(1) });
+    deliver(&mut agent, 2, &data(1, 1), 7);
+    agent.on_answer(3, Answer { sequence: 15_401, last: true, ..answer(1) });
+    deliver(&mut agent, 4, &Segment { data_bytes: 0, acknowledged: 8_001, ..data(1, 101) }, 7);
+    agent.on_answer(5, Answer { sequence: 8_001, ..answer(1) });
     let segment = Segment { acknowledged: 15_902, ..ending(1, 101) };
-    assert_eq!(deliver(&mut side, 6, &segment, 7), Delivery::Deliver);
+    assert_eq!(deliver(&mut agent, 6, &segment, 7), Delivery::Deliver);
 }
