--- a/crates/steering/tests/history.rs
+++ b/crates/steering/tests/history.rs
@@ -9,7 +9,7 @@
 
 const TTL_MS: Millis = 60_000;
 /// Time after which nothing is left that began before a change.
-const KEPT_MS: Millis = TTL_MS + STALE_OPENINGS_MS;
+const RETAINED_MS: Millis = TTL_MS + STALE_OPENINGS_MS;
 
 fn endpoint() -> SocketAddrV4 {
     "198.18.0.1:443".parse().unwrap()
@@ -60,78 +60,75 @@
 #[case::removed(&["a", "b", ""], "")]
 #[case::removed_and_added_again(&["a", "b", "", "c"], "")]
 #[case::added(&["", "a"], "")]
-fn services_left_are_remembered(#[case] tables: &[&str], #[case] expected: &str) {
+fn former_services_of_route_changes(#[case] tables: &[&str], #[case] expected: &str) {
     assert_eq!(former(&history_of(tables), 5_000), expected);
 }
 
 #[rstest]
-#[case::while_a_flow_may_be_open(KEPT_MS + 999, "a")]
-#[case::no_longer(KEPT_MS + 1_000, "")]
-fn services_left_are_forgotten_after_the_life_of_a_flow(
-    #[case] now_ms: Millis,
-    #[case] expected: &str,
-) {
+#[case::while_a_flow_may_be_open(RETAINED_MS + 999, "a")]
+#[case::no_longer(RETAINED_MS + 1_000, "")]
+fn former_services_of_expiry(#[case] now_ms: Millis, #[case] expected: &str) {
     assert_eq!(former(&history_of(&["a", "b"]), now_ms), expected);
 }
 
 /// A balancer was cut off while a route led to another service and back.
 #[test]
-fn change_that_left_no_trace_is_learnt() {
-    let told = history_of(&["a", "b", "a"]).contents(4_000, 3);
+fn merge_reverted_change() {
+    let received = history_of(&["a", "b", "a"]).contents(4_000, 3);
     let mut history = History::from_first_start(TTL_MS);
-    assert!(history.is_behind(4_000, told.summary));
-    history.merge(4_000, 1_000, &table(3, "a"), &told);
+    assert!(history.is_behind(4_000, received.summary));
+    history.merge(4_000, 1_000, &table(3, "a"), &received);
     assert!(former(&history, 4_000).contains('b'));
-    assert!(!history.is_behind(4_000, told.summary));
+    assert!(!history.is_behind(4_000, received.summary));
     assert!(history.is_complete(4_000));
 }
 
 #[test]
-fn history_told_and_told_again_ends_when_it_would_have() {
-    let mut told = history_of(&["a", "b"]).contents(31_000, 2);
+fn merge_repeated_keeps_expiry() {
+    let mut received = history_of(&["a", "b"]).contents(31_000, 2);
     for _ in 0..3 {
         let mut history = History::from_now(0, TTL_MS);
-        history.merge(0, 0, &table(2, "b"), &told);
-        told = history.contents(0, 2);
+        history.merge(0, 0, &table(2, "b"), &received);
+        received = history.contents(0, 2);
     }
-    assert_eq!(told.former[0].left_ms, KEPT_MS - 30_000);
+    assert_eq!(received.former[0].left_ms, RETAINED_MS - 30_000);
 }
 
 /// One that starts later knows nothing of what went before, until another one tells it.
 #[rstest]
-#[case::whole(0, true)]
-#[case::as_young(KEPT_MS, false)]
-fn start_is_filled_in_by_others(#[case] whole_in_ms: Millis, #[case] expected: bool) {
+#[case::complete_sender(0, true)]
+#[case::equally_recent_sender(RETAINED_MS, false)]
+fn merge_completes_start(#[case] whole_in_ms: Millis, #[case] expected: bool) {
     let summary = HistorySummary { version: 0, whole_in_ms };
-    let told = HistoryContents { summary, routes_version: 1, former: Vec::new() };
+    let received = HistoryContents { summary, routes_version: 1, former: Vec::new() };
     let mut history = History::from_now(0, TTL_MS);
     assert!(!history.is_complete(100));
     assert_eq!(history.is_behind(100, summary), expected);
-    history.merge(100, 0, &table(1, "a"), &told);
+    history.merge(100, 0, &table(1, "a"), &received);
     assert_eq!(history.is_complete(100), expected);
 }
 
 /// A whole list was read again, and another version with it: some may have gone by in between.
 #[rstest]
-#[case::others_saw_them(0, true)]
-#[case::others_began_after_them(KEPT_MS - 500, false)]
-fn gap_is_filled_in_by_others(#[case] whole_in_ms: Millis, #[case] expected: bool) {
+#[case::sender_complete(0, true)]
+#[case::sender_started_later(RETAINED_MS - 500, false)]
+fn merge_completes_gap(#[case] whole_in_ms: Millis, #[case] expected: bool) {
     let mut history = History::from_first_start(TTL_MS);
     history.on_gap(5_000);
     assert!(!history.is_complete(5_000));
     let summary = HistorySummary { version: 0, whole_in_ms };
-    let told = HistoryContents { summary, routes_version: 1, former: Vec::new() };
-    history.merge(5_100, 4_000, &table(1, "a"), &told);
+    let received = HistoryContents { summary, routes_version: 1, former: Vec::new() };
+    history.merge(5_100, 4_000, &table(1, "a"), &received);
     assert_eq!(history.is_complete(5_100), expected);
 }
 
 /// The one who tells has started after this one was last up to date.
 #[test]
-fn history_with_a_gap_is_not_whole() {
-    let summary = HistorySummary { version: 0, whole_in_ms: KEPT_MS - 2_000 };
-    let told = HistoryContents { summary, routes_version: 1, former: Vec::new() };
+fn merge_with_gap_incomplete() {
+    let summary = HistorySummary { version: 0, whole_in_ms: RETAINED_MS - 2_000 };
+    let received = HistoryContents { summary, routes_version: 1, former: Vec::new() };
     let mut history = History::from_first_start(TTL_MS);
-    history.merge(10_000, 5_000, &table(1, "a"), &told);
+    history.merge(10_000, 5_000, &table(1, "a"), &received);
     assert!(!history.is_complete(10_000));
 }
 
@@ -139,22 +136,19 @@
 #[rstest]
 #[case::older(1, false)]
 #[case::same(2, true)]
-fn history_up_to_an_older_version_is_not_whole(
-    #[case] routes_version: u64,
-    #[case] expected: bool,
-) {
+fn merge_routes_version(#[case] routes_version: u64, #[case] expected: bool) {
     let summary = HistorySummary { version: 0, whole_in_ms: 0 };
-    let told = HistoryContents { summary, routes_version, former: Vec::new() };
+    let received = HistoryContents { summary, routes_version, former: Vec::new() };
     let mut history = History::from_now(0, TTL_MS);
-    history.merge(100, 0, &table(2, "a"), &told);
+    history.merge(100, 0, &table(2, "a"), &received);
     assert_eq!(history.is_complete(100), expected);
     assert_eq!(history.is_behind(100, summary), !expected);
 }
 
 #[test]
-fn routes_that_are_gone_are_not_learnt() {
-    let told = history_of(&["a", "b"]).contents(2_000, 3);
+fn merge_removed_route() {
+    let received = history_of(&["a", "b"]).contents(2_000, 3);
     let mut history = History::from_first_start(TTL_MS);
-    history.merge(2_000, 0, &table(3, ""), &told);
+    history.merge(2_000, 0, &table(3, ""), &received);
     assert_eq!(history.contents(2_000, 3).former, []);
 }
--- a/crates/steering/tests/leave.rs
+++ b/crates/steering/tests/leave.rs
@@ -9,11 +9,11 @@
 /// whole zone into use, and packets go to instances that have ended.
 #[rstest]
 #[case::still_probed_once(900, 1, 500, false)]
-#[case::still_in_use(1_500, 3, 20, false)]
-#[case::out_and_quiet(1_100, 2, 100, true)]
-#[case::never_quiet(4_500, 9, 0, true)]
+#[case::still_receiving(1_500, 3, 20, false)]
+#[case::removed_and_idle(1_100, 2, 100, true)]
+#[case::never_idle(4_500, 9, 0, true)]
 #[case::never_probed(4_499, 0, 4_499, false)]
-fn may_end_after(
+fn may_exit_after_stop_request(
     #[case] since_stop_request_ms: Millis,
     #[case] refused_probes: u32,
     #[case] since_last_packet_ms: Millis,
--- a/crates/steering/tests/link.rs
+++ b/crates/steering/tests/link.rs
@@ -14,29 +14,36 @@
 #[rstest]
 #[case::full(14.0, 15, 2_000)]
 #[case::idle(200.0, 0, 0)]
-#[case::not_known(0.0, 0, 0)]
-fn bodies_yield(#[case] mbps: f64, #[case] yielded_percent: u64, #[case] at_least: u64) {
+#[case::unknown_speed(0.0, 0, 0)]
+fn admit_bodies_yield(
+    #[case] mbps: f64,
+    #[case] min_dropped_percent: u64,
+    #[case] min_dropped: u64,
+) {
     let mut link = Link::new(mbps);
     let (mut bodies, mut sent_bytes) = (0_u64, 0);
     for now_ms in 0..5_000 {
         for _ in 0..2 {
-            let goes = link.admit(now_ms, BODY_BYTES, true);
-            bodies += u64::from(goes);
-            sent_bytes += if goes { BODY_BYTES } else { 0 };
+            let admitted = link.admit(now_ms, BODY_BYTES, true);
+            bodies += u64::from(admitted);
+            sent_bytes += if admitted { BODY_BYTES } else { 0 };
         }
         assert!(link.admit(now_ms, SMALL_BYTES, false), "at {now_ms} ms");
         sent_bytes += SMALL_BYTES;
     }
-    let yielded = 10_000 - bodies;
-    assert!(yielded >= at_least && yielded * 100 >= yielded_percent * 10_000, "{yielded} yielded");
-    assert!(at_least > 0 || yielded == 0);
+    let dropped = 10_000 - bodies;
+    assert!(
+        dropped >= min_dropped && dropped * 100 >= min_dropped_percent * 10_000,
+        "{dropped} dropped"
+    );
+    assert!(min_dropped > 0 || dropped == 0);
     let link_bytes = (mbps * 1e6 / 8.0 * 5.0) as usize;
-    assert!(at_least == 0 || sent_bytes < link_bytes * 9 / 10, "{sent_bytes} of {link_bytes}");
+    assert!(min_dropped == 0 || sent_bytes < link_bytes * 9 / 10, "{sent_bytes} of {link_bytes}");
 }
 
 /// A few uploads begin at once: sixteen packets each go at once, and the link is idle again before their next.
 #[test]
-fn bursts_go_at_full_speed() {
+fn admit_burst() {
     let mut link = Link::new(14.0);
     for now_ms in [0, 100, 200, 300] {
         let sent = (0..40).filter(|_| link.admit(now_ms, BODY_BYTES, true)).count();
@@ -46,7 +53,7 @@
 
 /// Small packets alone may fill the link for long; that must not keep bodies out for longer than a moment.
 #[test]
-fn debt_is_bounded() {
+fn admit_bounded_debt() {
     const PAUSE_MS: Millis = 100;
     let mut link = Link::new(14.0);
     (0..100_000).for_each(|_| assert!(link.admit(0, SMALL_BYTES, false)));
--- a/crates/steering/tests/membership.rs
+++ b/crates/steering/tests/membership.rs
@@ -35,9 +35,9 @@
 /// service it comes back within two seconds, and one that drained may go on for some. Forgotten at
 /// once, its callers' packets would find nobody, and a reset would be sent on a living flow.
 #[rstest]
-#[case::silent(false, LAPSED_LINGER_MS)]
+#[case::lapsed(false, LAPSED_LINGER_MS)]
 #[case::drained(true, DRAINED_LINGER_MS)]
-fn removed_entry_lingers(#[case] draining: bool, #[case] linger_ms: Millis) {
+fn expire_removed_entry(#[case] draining: bool, #[case] linger_ms: Millis) {
     let mut membership = Membership::default();
     membership.insert(0, &record("a", draining));
     membership.remove(100, "a");
@@ -51,18 +51,18 @@
 /// life ends after that, and its entry goes until it writes the next one. It was forgotten in
 /// between, and balancers reset flows that it held.
 #[test]
-fn restarted_upstream_without_entry_still_counts() {
+fn expire_restarted_upstream() {
     let mut membership = Membership::default();
     membership.insert(0, &record("a", false));
     membership.insert(1_000, &UpstreamRecord { born_ms: 9, ..record("a", false) });
     membership.remove(1_500, "a");
-    assert!(!membership.expire(4_560), "three seconds until its next write, and the way");
+    assert!(!membership.expire(4_560), "three seconds until its next write, and the network delay");
     membership.insert(4_561, &UpstreamRecord { born_ms: 9, ..record("a", false) });
     assert_eq!(standings(&membership), [Standing::Ready]);
 }
 
 #[test]
-fn removed_entry_comes_back() {
+fn insert_removed_entry() {
     let mut membership = Membership::default();
     membership.insert(0, &record("a", false));
     membership.remove(100, "a");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn whole_list_removes_what_it_lacks() {
+fn replace_removes_missing() {
     let mut membership = Membership::default();
     membership.insert(0, &record("a", false));
     membership.replace(50, &[], []);
@@ -82,7 +82,7 @@
 /// An address is given to another upstream: the one before is gone for certain, and two entries of
 /// one address would lead its callers to the wrong service.
 #[test]
-fn address_used_again_replaces_the_one_before() {
+fn insert_reused_address() {
     let mut membership = Membership::default();
     membership.insert(0, &record("a", false));
     membership.remove(10, "a");
@@ -96,9 +96,9 @@
 /// News of its earlier life that come late, by another balancer or a page, change nothing.
 #[rstest]
 #[case::later(8, Standing::Ready, 2_100)]
-#[case::the_same(7, Standing::Ready, 2_100)]
+#[case::same(7, Standing::Ready, 2_100)]
 #[case::earlier(6, Standing::Draining, 500)]
-fn life_under_the_same_name(
+fn insert_incarnation(
     #[case] born_ms: u64,
     #[case] standing: Standing,
     #[case] warm_at_ms: Millis,
@@ -106,8 +106,8 @@
     let mut membership = Membership::default();
     let first = UpstreamRecord { born_ms: 7, warmup_left_ms: 500, ..record("a", true) };
     membership.insert(0, &first);
-    let again = UpstreamRecord { born_ms, warmup_left_ms: 2_000, ..record("a", false) };
-    membership.insert(100, &again);
+    let restarted = UpstreamRecord { born_ms, warmup_left_ms: 2_000, ..record("a", false) };
+    membership.insert(100, &restarted);
     let view = membership.view(Arc::new(RouteTable::default()));
     let upstream = view.upstreams()[0];
     assert_eq!((upstream.standing, upstream.warm_at_ms), (standing, warm_at_ms));
@@ -118,10 +118,7 @@
 #[rstest]
 #[case::unknown_service(ServiceStamp(9), ServiceStamp(1))]
 #[case::known_service(ServiceStamp(2), ServiceStamp(2))]
-fn entry_of_an_unknown_service_hides_nobody(
-    #[case] service: ServiceStamp,
-    #[case] seen: ServiceStamp,
-) {
+fn view_unknown_service(#[case] service: ServiceStamp, #[case] expected: ServiceStamp) {
     let mut membership = Membership::default();
     membership.insert(0, &record("a", false));
     membership.insert(10, &UpstreamRecord { service, ..record("b", false) });
@@ -129,14 +126,14 @@
         RouteTable::new(1, Vec::new(), [1, 2].map(|stamp| Service::unlimited(ServiceStamp(stamp))));
     let view = membership.view(Arc::new(routes));
     let services: Vec<ServiceStamp> = view.upstreams().iter().map(|u| u.service).collect();
-    assert_eq!(services, [seen]);
+    assert_eq!(services, [expected]);
 }
 
 /// A list names the address's users in the order of their names: the one that started last counts.
 #[rstest]
 #[case::first_name_is_newer("a", "b")]
 #[case::last_name_is_newer("b", "a")]
-fn newer_life_has_the_address(#[case] newer: &str, #[case] older: &str) {
+fn view_newest_at_address(#[case] newer: &str, #[case] older: &str) {
     let mut records = [
         UpstreamRecord { born_ms: 9, service: ServiceStamp(2), ..record(newer, false) },
         UpstreamRecord { born_ms: 5, ..record(older, false) },
@@ -153,7 +150,7 @@
 #[case::same("a", 900, false, true)]
 #[case::another("b", 0, false, false)]
 #[case::draining("a", 0, true, false)]
-fn digest_tells_lists_apart(
+fn digest_equality(
     #[case] id: &str,
     #[case] warmup_left_ms: Millis,
     #[case] draining: bool,
@@ -172,13 +169,13 @@
 #[case::after_an_outage(10_000, 11_500, false, 1_500)]
 #[case::in_an_outage(10_000, 0, true, OUTAGE_LINGER_MS)]
 #[case::in_the_next_outage(10_000, 10_200, true, OUTAGE_LINGER_MS)]
-fn whole_in(
+fn whole_in_ms_outage(
     #[case] now_ms: Millis,
-    #[case] whole_from_ms: Millis,
-    #[case] out_of_reach: bool,
+    #[case] complete_from_ms: Millis,
+    #[case] unreachable: bool,
     #[case] expected: Millis,
 ) {
-    assert_eq!(whole_in_ms(now_ms, whole_from_ms, out_of_reach), expected);
+    assert_eq!(whole_in_ms(now_ms, complete_from_ms, unreachable), expected);
 }
 
 /// A reader tells what has changed; another balancer's list follows it by the changes alone, also
@@ -187,12 +184,13 @@
 #[case::just_before(2, true)]
 #[case::some_known(3, true)]
 #[case::one_lost(0, false)]
-fn list_is_patched_by_changes(#[case] known: usize, #[case] patched: bool) {
-    let elsewhere = UpstreamRecord { address: Ipv4Addr::new(10, 0, 0, 2), ..record("b", false) };
+fn patch_delta(#[case] known: usize, #[case] patched: bool) {
+    let other_address =
+        UpstreamRecord { address: Ipv4Addr::new(10, 0, 0, 2), ..record("b", false) };
     let changes = [
         Change::Listed(record("a", false)),
         Change::Listed(record("c", false)),
-        Change::Listed(elsewhere),
+        Change::Listed(other_address),
         Change::Listed(record("a", true)),
         Change::Gone("b".into()),
         Change::Listed(UpstreamRecord { born_ms: 9, ..record("a", false) }),
@@ -211,7 +209,7 @@
 #[rstest]
 #[case::new_name_sorts_first("a", "z")]
 #[case::new_name_sorts_last("z", "a")]
-fn gone_entry_hides_no_listed_one_at_its_address(#[case] new: &str, #[case] old: &str) {
+fn view_removed_entry_at_address(#[case] new: &str, #[case] old: &str) {
     let mut membership = Membership::default();
     membership.insert(0, &record(old, false));
     let mut both = [record(new, false), record(old, false)];
--- a/crates/steering/tests/peers.rs
+++ b/crates/steering/tests/peers.rs
@@ -8,13 +8,13 @@
 
 const STEP_MS: Millis = 50;
 /// After this time a call that hangs has failed: the wait of a watch, and the time for its answer.
-const CALL_MS: Millis = 1_500;
+const CALL_TIMEOUT_MS: Millis = 1_500;
 /// The same for a second reader.
-const CALL_SECOND_MS: Millis = 5_500;
+const SECONDARY_CALL_TIMEOUT_MS: Millis = 5_500;
 /// A change must be in force three seconds after it was made; the rest is for the calls themselves.
 const TAKEOVER_MS: Millis = 2_300;
 /// Both places are taken again after this time: the old readers' last beacons count for a while.
-const RELIEVED_MS: Millis = 3_000;
+const BOTH_REPLACED_MS: Millis = 3_000;
 
 fn address(number: usize) -> Ipv4Addr {
     let [high, low] = (u16::try_from(number).unwrap() + 1).to_be_bytes();
@@ -24,26 +24,33 @@
 /// Balancers that exchange hellos, lists and beacons without loss, but for those that are away.
 struct Fleet {
     peers: Vec<Peers>,
-    away: Vec<usize>,
+    offline: Vec<usize>,
     /// Balancers whose calls to the configuration service hang, and when these have failed.
     hanging: Vec<(usize, Millis)>,
-    cut: Option<usize>,
+    partition_at: Option<usize>,
     /// Steps that balancers have spent as readers.
-    read: usize,
+    reader_steps: usize,
     now_ms: Millis,
 }
 
 impl Fleet {
     fn new(count: usize) -> Self {
         let peers = (0..count).map(|number| Peers::new(address(number))).collect();
-        Self { peers, away: Vec::new(), hanging: Vec::new(), cut: None, read: 0, now_ms: 0 }
+        Self {
+            peers,
+            offline: Vec::new(),
+            hanging: Vec::new(),
+            partition_at: None,
+            reader_steps: 0,
+            now_ms: 0,
+        }
     }
 
-    fn run(&mut self, for_ms: Millis) {
-        for _ in 0..for_ms / STEP_MS {
+    fn run(&mut self, duration_ms: Millis) {
+        for _ in 0..duration_ms / STEP_MS {
             self.now_ms += STEP_MS;
             for number in 0..self.peers.len() {
-                if !self.away.contains(&number) {
+                if !self.offline.contains(&number) {
                     self.step(number);
                 }
             }
@@ -53,16 +60,16 @@
     fn step(&mut self, number: usize) {
         let now_ms = self.now_ms;
         let hanging = self.hanging.iter().find(|(other, _)| *other == number);
-        match hanging.map(|(_, fails_ms)| *fails_ms) {
+        match hanging.map(|(_, fails_at_ms)| *fails_at_ms) {
             None if self.peers[number].must_read(now_ms) => {
-                self.read += 1;
+                self.reader_steps += 1;
                 self.peers[number].on_store_answer(now_ms);
             }
-            Some(fails_ms) if now_ms >= fails_ms => self.peers[number].on_store_failure(),
+            Some(fails_at_ms) if now_ms >= fails_at_ms => self.peers[number].on_store_failure(),
             _ => {}
         }
         for target in self.peers[number].hellos_due(now_ms, &[address(0), address(1)], false) {
-            if let Some(other) = self.reached(number, target) {
+            if let Some(other) = self.reachable(number, target) {
                 let list = self.peers[other].on_hello(now_ms, address(number));
                 self.peers[number].on_peers(now_ms, target, &list);
                 if self.peers[other].acts_as_reader(now_ms) {
@@ -72,28 +79,30 @@
             }
         }
         for target in self.peers[number].beacons_due(now_ms, false) {
-            if let Some(other) = self.reached(number, target) {
+            if let Some(other) = self.reachable(number, target) {
                 let summary = Summary::default();
                 self.peers[other].on_beacon(now_ms, address(number), summary, summary);
             }
         }
     }
 
-    fn reached(&self, from: usize, to: Ipv4Addr) -> Option<usize> {
+    fn reachable(&self, from: usize, to: Ipv4Addr) -> Option<usize> {
         let other = (0..self.peers.len()).find(|other| address(*other) == to)?;
-        let parted = self.cut.is_some_and(|cut| (from < cut) != (other < cut));
-        (!self.away.contains(&other) && !parted).then_some(other)
+        let partitioned = self
+            .partition_at
+            .is_some_and(|partition_at| (from < partition_at) != (other < partition_at));
+        (!self.offline.contains(&other) && !partitioned).then_some(other)
     }
 
     /// From now on, the calls of a reader hang.
     fn hang(&mut self, number: usize) {
-        let second = self.peers[number].reader_role(self.now_ms) == ReaderRole::Secondary;
-        let call_ms = if second { CALL_SECOND_MS } else { CALL_MS };
+        let secondary = self.peers[number].reader_role(self.now_ms) == ReaderRole::Secondary;
+        let call_ms = if secondary { SECONDARY_CALL_TIMEOUT_MS } else { CALL_TIMEOUT_MS };
         self.hanging.push((number, self.now_ms + call_ms));
     }
 
     fn readers(&self) -> Vec<usize> {
-        let here = (0..self.peers.len()).filter(|number| !self.away.contains(number));
+        let here = (0..self.peers.len()).filter(|number| !self.offline.contains(number));
         here.filter(|number| self.peers[*number].must_read(self.now_ms)).collect()
     }
 }
@@ -104,7 +113,7 @@
 #[case::two(2, 2)]
 #[case::ten(10, READERS)]
 #[case::sixty(60, READERS)]
-fn readers_settle(#[case] count: usize, #[case] readers: usize) {
+fn must_read_settles(#[case] count: usize, #[case] readers: usize) {
     let mut fleet = Fleet::new(count);
     fleet.run(4_000);
     assert_eq!(fleet.readers().len(), readers);
@@ -113,10 +122,10 @@
 /// Both readers lose power. The others hear nothing more, and must read again before the bound for
 /// configuration (three seconds) is over.
 #[test]
-fn readers_die_and_others_step_in() {
+fn must_read_readers_lost() {
     let mut fleet = Fleet::new(10);
     fleet.run(4_000);
-    fleet.away = fleet.readers();
+    fleet.offline = fleet.readers();
     fleet.run(1_500);
     assert!(fleet.readers().len() >= READERS);
     fleet.run(3_000);
@@ -129,50 +138,51 @@
 #[case::part(60)]
 #[case::fleet(304)]
 #[case::twice_the_fleet(608)]
-fn few_step_in_however_large_the_fleet(#[case] count: usize) {
+fn must_read_bounded_takeover(#[case] count: usize) {
     let mut fleet = Fleet::new(count);
     fleet.run(5_000);
     assert_eq!(fleet.readers().len(), READERS);
-    fleet.away = fleet.readers();
-    let mut most = 0;
+    fleet.offline = fleet.readers();
+    let mut max_readers = 0;
     for _ in 0..40 {
         fleet.run(STEP_MS);
-        most = most.max(fleet.readers().len());
+        max_readers = max_readers.max(fleet.readers().len());
     }
-    assert!(most >= READERS, "{most} read");
-    assert!(most <= 8, "{most} of {count} read at the same moment");
+    assert!(max_readers >= READERS, "{max_readers} readers");
+    assert!(max_readers <= 8, "{max_readers} of {count} balancers are readers at the same moment");
 }
 
 /// All start at once. The best ranks go on reading, the others wait for their beacons.
 #[rstest]
 #[case::fleet(304)]
 #[case::twice_the_fleet(608)]
-fn few_read_on_at_once_after_a_start(#[case] count: usize) {
-    let held_back_ms: Vec<Millis> =
+fn initial_read_delay_ms_after_start(#[case] count: usize) {
+    let delays_ms: Vec<Millis> =
         (0..count).map(|number| Peers::new(address(number)).initial_read_delay_ms()).collect();
-    assert!(held_back_ms.iter().any(|for_ms| *for_ms < 50), "somebody reads on");
-    let soon = held_back_ms.iter().filter(|for_ms| **for_ms < 250).count();
-    assert!(soon <= count * 3 / 5, "{soon} of {count} read on within a quarter of a second");
+    assert!(delays_ms.iter().any(|delay_ms| *delay_ms < 50), "no balancer continues reading");
+    let early = delays_ms.iter().filter(|delay_ms| **delay_ms < 250).count();
+    assert!(
+        early <= count * 3 / 5,
+        "{early} of {count} continue reading within a quarter of a second"
+    );
 }
 
 /// The configuration service turns both readers away, or hangs for them, and serves all others. The
 /// readers live and talk: believed for too long, they kept a dropped route in force on all balancers
 /// for more than three seconds.
 #[rstest]
-fn readers_turned_away_are_relieved_in_time(
-    #[values(0, 100, 200, 300, 400, 450)] phase_ms: Millis,
-) {
+fn must_read_hanging_readers_replaced(#[values(0, 100, 200, 300, 400, 450)] phase_ms: Millis) {
     let mut fleet = Fleet::new(5);
     fleet.run(4_000 + phase_ms);
     let readers = fleet.readers();
     readers.iter().for_each(|number| fleet.hang(*number));
-    let began_ms = fleet.now_ms;
+    let hang_start_ms = fleet.now_ms;
     fleet.run(TAKEOVER_MS);
-    while fleet.now_ms < began_ms + 10_000 {
-        let relief = fleet.readers().into_iter().filter(|number| !readers.contains(number));
+    while fleet.now_ms < hang_start_ms + 10_000 {
+        let replacements = fleet.readers().into_iter().filter(|number| !readers.contains(number));
         // One that reads tells all others; a second one joins once the old ones have fallen silent.
-        let expected = if fleet.now_ms < began_ms + RELIEVED_MS { 1 } else { READERS };
-        assert!(relief.count() >= expected, "after {} ms", fleet.now_ms - began_ms);
+        let expected = if fleet.now_ms < hang_start_ms + BOTH_REPLACED_MS { 1 } else { READERS };
+        assert!(replacements.count() >= expected, "after {} ms", fleet.now_ms - hang_start_ms);
         fleet.run(STEP_MS);
     }
 }
@@ -180,27 +190,27 @@
 /// One of the readers alone is turned away, and stays so. The other one hears of changes at once; a
 /// third steps in, so that again two read.
 #[rstest]
-fn reader_turned_away_leaves_no_gap(#[values(0, 1)] which: usize) {
+fn must_read_one_hanging_reader(#[values(0, 1)] which: usize) {
     let mut fleet = Fleet::new(5);
     fleet.run(4_000);
     let readers = fleet.readers();
     fleet.hang(readers[which]);
     for _ in 0..200 {
         fleet.run(STEP_MS);
-        let well = fleet.readers().into_iter().filter(|number| *number != readers[which]);
-        assert!(well.count() >= 1);
+        let working = fleet.readers().into_iter().filter(|number| *number != readers[which]);
+        assert!(working.count() >= 1);
     }
-    let relief = fleet.readers().into_iter().filter(|number| !readers.contains(number));
-    assert_eq!(relief.count(), 1);
+    let replacements = fleet.readers().into_iter().filter(|number| !readers.contains(number));
+    assert_eq!(replacements.count(), 1);
 }
 
 /// Of the readers, only one makes a call each second.
 #[test]
-fn one_reader_watches_closely() {
+fn reader_role_counts() {
     let mut fleet = Fleet::new(10);
     fleet.run(4_000);
-    let duties = fleet.peers.iter().map(|peers| peers.reader_role(fleet.now_ms));
-    let count = |wanted| duties.clone().filter(|duty| *duty == wanted).count();
+    let roles = fleet.peers.iter().map(|peers| peers.reader_role(fleet.now_ms));
+    let count = |wanted| roles.clone().filter(|role| *role == wanted).count();
     assert_eq!(
         (count(ReaderRole::Primary), count(ReaderRole::Secondary), count(ReaderRole::Follower)),
         (1, 1, 8)
@@ -209,15 +219,15 @@
 
 /// The fleet is split: each part needs readers of its own, and only two remain after it has healed.
 #[test]
-fn partition_has_readers_on_both_sides() {
+fn must_read_partition() {
     let mut fleet = Fleet::new(10);
     fleet.run(4_000);
-    fleet.cut = Some(4);
+    fleet.partition_at = Some(4);
     fleet.run(2_000);
     let readers = fleet.readers();
     assert!(readers.iter().any(|number| *number < 4), "{readers:?}");
     assert!(readers.iter().any(|number| *number >= 4), "{readers:?}");
-    fleet.cut = None;
+    fleet.partition_at = None;
     fleet.run(4_000);
     assert_eq!(fleet.readers().len(), READERS);
 }
@@ -225,14 +235,14 @@
 /// A reader is cut off from the configuration service only. Its beacons would keep the others from
 /// reading, while a change never comes: so it must fall silent.
 #[test]
-fn reader_without_store_sends_no_beacons() {
+fn beacons_due_unreachable_store() {
     let mut peers = Peers::new(address(0));
     peers.on_hello(0, address(1));
-    assert!(peers.beacons_due(600, true).is_empty(), "never reached it");
+    assert!(peers.beacons_due(600, true).is_empty(), "the configuration service never answered");
     peers.on_store_answer(1_000);
     assert_eq!(peers.beacons_due(1_600, false), [address(1)]);
     peers.on_hello(5_000, address(1));
-    assert!(peers.beacons_due(5_100, true).is_empty(), "not for seconds");
+    assert!(peers.beacons_due(5_100, true).is_empty(), "no answer for seconds");
     peers.on_store_answer(6_000);
     peers.on_store_failure();
     assert!(peers.beacons_due(6_100, true).is_empty(), "the last call failed");
@@ -247,7 +257,7 @@
 #[case::new_upstreams((6, 2, 1, 9), Comparison::Fetch)]
 #[case::new_routes((6, 3, 9, 1), Comparison::Fetch)]
 #[case::new_version_same_routes((6, 3, 1, 1), Comparison::Same)]
-fn on_beacon(#[case] theirs: (u64, u64, u64, u64), #[case] comparison: Comparison) {
+fn on_beacon_comparison(#[case] theirs: (u64, u64, u64, u64), #[case] comparison: Comparison) {
     let summary = |(revision, routes_version, routes_digest, upstreams_digest)| Summary {
         revision,
         routes_version,
@@ -264,12 +274,12 @@
 /// started and has heard no reader reads itself, and asks as often; one that has heard a reader, or
 /// nobody for long, asks seldom.
 #[rstest]
-#[case::blind(true, false, 1, 10)]
-#[case::informed(false, true, 1, 1)]
-#[case::young_without_reader(false, false, 1, 10)]
-#[case::long_without_reader(false, false, 5_001, 1)]
-fn hellos_within_a_second(
-    #[case] blind: bool,
+#[case::without_view(true, false, 1, 10)]
+#[case::with_reader(false, true, 1, 1)]
+#[case::started_without_reader(false, false, 1, 10)]
+#[case::running_without_reader(false, false, 5_001, 1)]
+fn hellos_due_per_second(
+    #[case] without_view: bool,
     #[case] reader: bool,
     #[case] from_ms: Millis,
     #[case] hellos: usize,
@@ -279,14 +289,14 @@
     if reader {
         peers.on_beacon(0, address(1), Summary::default(), Summary::default());
     }
-    (1..from_ms).for_each(|now_ms| drop(peers.hellos_due(now_ms, &seeds, blind)));
+    (1..from_ms).for_each(|now_ms| drop(peers.hellos_due(now_ms, &seeds, without_view)));
     let second = from_ms..from_ms + 1_000;
-    let sent = second.map(|now_ms| peers.hellos_due(now_ms, &seeds, blind).len());
+    let sent = second.map(|now_ms| peers.hellos_due(now_ms, &seeds, without_view).len());
     assert_eq!(sent.sum::<usize>(), hellos);
     let theirs = Summary { revision: 1, routes_version: 1, routes_digest: 1, upstreams_digest: 1 };
     let comparison = peers.compare(1_000, address(1), theirs, Summary::default());
     assert_eq!(comparison, Comparison::Fetch);
-    assert!(peers.must_read(1_000), "who knows something is no reader");
+    assert!(peers.must_read(1_000), "a balancer with a newer view is not necessarily a reader");
 }
 
 /// All balancers read at their start, and each was greeted by each from then on: 3,400 hellos a
@@ -294,7 +304,7 @@
 #[rstest]
 #[case::twenty(20)]
 #[case::sixty(60)]
-fn hellos_go_to_readers_and_given_instances_only(#[case] count: usize) {
+fn hellos_due_settled_fleet(#[case] count: usize) {
     let mut fleet = Fleet::new(count);
     fleet.run(10_000);
     let now_ms = fleet.now_ms + 1_000;
@@ -309,28 +319,33 @@
 /// heard of better readers, and each change of the list then costs a call of every reader: 1,300
 /// calls in two seconds among fifty-nine.
 #[test]
-fn readers_settle_soon_after_all_have_started() {
+fn must_read_after_common_start() {
     let mut fleet = Fleet::new(60);
-    fleet.away = (0..60).collect();
+    fleet.offline = (0..60).collect();
     for step in 0..40 {
-        fleet.away.retain(|number| number % 10 + step != 9);
+        fleet.offline.retain(|number| number % 10 + step != 9);
         fleet.run(STEP_MS);
     }
     assert_eq!(fleet.readers().len(), READERS);
-    let in_all = 60 * 40;
-    assert!(fleet.read * 5 < in_all, "{} of {in_all} steps were spent reading", fleet.read);
+    let total_steps = 60 * 40;
+    assert!(
+        fleet.reader_steps * 5 < total_steps,
+        "{} of {total_steps} steps were spent reading",
+        fleet.reader_steps
+    );
 }
 
 /// At sixteen hundred balancers not all fit into one answer. Cut after the first 240, the same were
 /// named each time, and a balancer that begins to read would have told only these. Answers in turn
 /// name all within the time for which a balancer is remembered.
 #[test]
-fn answers_to_hellos_name_all_in_turn() {
+fn on_hello_lists_all_in_turn() {
     let (mut peers, all) = (Peers::new(address(0)), 1_600_u32);
-    let numbered = |number: u32| Ipv4Addr::from_bits(0x0a02_0000 + number);
-    (0..all).for_each(|number| drop(peers.on_hello(0, numbered(number))));
-    let mut named: Vec<Ipv4Addr> = (0..7).flat_map(|_| peers.on_hello(0, numbered(0))).collect();
-    named.sort_unstable();
-    named.dedup();
-    assert_eq!(named.len() as u32, all - 1);
+    let peer_address = |number: u32| Ipv4Addr::from_bits(0x0a02_0000 + number);
+    (0..all).for_each(|number| drop(peers.on_hello(0, peer_address(number))));
+    let mut listed: Vec<Ipv4Addr> =
+        (0..7).flat_map(|_| peers.on_hello(0, peer_address(0))).collect();
+    listed.sort_unstable();
+    listed.dedup();
+    assert_eq!(listed.len() as u32, all - 1);
 }
--- a/crates/steering/tests/rotation.rs
+++ b/crates/steering/tests/rotation.rs
@@ -9,7 +9,7 @@
 const FULL_BYTES_PER_S: u64 = 1_750_000;
 
 /// Plays seconds with these shares of the link in percent, and returns when the balancer was outside.
-fn play(rotation: &mut Rotation, start_s: u64, shares: &[u64], lag_ms: Millis) -> Vec<u64> {
+fn simulate(rotation: &mut Rotation, start_s: u64, shares: &[u64], lag_ms: Millis) -> Vec<u64> {
     let mut received_bytes = start_s * FULL_BYTES_PER_S;
     let mut outside = Vec::new();
     for (second, share) in (start_s..).zip(shares) {
@@ -26,30 +26,26 @@
 /// agents' words are lost with the rest, and the neighbours with wide links are idle. The balancer
 /// leaves after three full seconds, but not for a burst, nor for its usual traffic.
 #[rstest]
-#[case::full(&[90, 90, 90, 90, 90], 1, &[3, 4])]
-#[case::a_burst(&[100, 100, 40, 100, 100, 40, 40], 1, &[])]
-#[case::usual(&[60, 65, 60, 65, 60, 65], 1, &[])]
-#[case::behind_without_a_full_link(&[20, 20, 20, 20, 20], 400, &[3, 4])]
-fn overloaded_balancer_leaves(
-    #[case] shares: &[u64],
-    #[case] lag_ms: Millis,
-    #[case] outside: &[u64],
-) {
-    assert_eq!(play(&mut Rotation::new(LINK_MBPS), 0, shares, lag_ms), outside);
+#[case::full_link(&[90, 90, 90, 90, 90], 1, &[3, 4])]
+#[case::burst(&[100, 100, 40, 100, 100, 40, 40], 1, &[])]
+#[case::usual_load(&[60, 65, 60, 65, 60, 65], 1, &[])]
+#[case::lag_without_full_link(&[20, 20, 20, 20, 20], 400, &[3, 4])]
+fn update_overload(#[case] shares: &[u64], #[case] lag_ms: Millis, #[case] outside: &[u64]) {
+    assert_eq!(simulate(&mut Rotation::new(LINK_MBPS), 0, shares, lag_ms), outside);
 }
 
 /// The settings say nothing of the link: it cannot be full.
 #[test]
-fn unknown_link_is_never_full() {
-    assert_eq!(play(&mut Rotation::new(0.0), 0, &[300; 10], 1), []);
+fn update_unknown_link() {
+    assert_eq!(simulate(&mut Rotation::new(0.0), 0, &[300; 10], 1), []);
 }
 
 /// Each change moves nearly every flow of the zone: one that is too weak must not come and go. Its second
 /// stay outside is twice as long as the first.
 #[test]
-fn stays_get_longer() {
+fn update_longer_stays() {
     let mut rotation = Rotation::new(LINK_MBPS);
-    let outside = play(&mut rotation, 0, &[90; 200], 1);
+    let outside = simulate(&mut rotation, 0, &[90; 200], 1);
     let first: Vec<u64> = (3..33).collect();
     let second: Vec<u64> = (36..96).collect();
     assert_eq!(outside[..90], [first, second].concat());
@@ -61,15 +57,15 @@
 #[rstest]
 #[case::sent_to_all(2_000, 10, true)]
 #[case::just_left(1_000, 10, false)]
-#[case::nothing_comes(2_000, 900, false)]
-fn needed_balancer_comes_back(
+#[case::no_packets(2_000, 900, false)]
+fn update_needed_again(
     #[case] after_ms: Millis,
     #[case] since_last_packet_ms: Millis,
-    #[case] comes_back: bool,
+    #[case] in_rotation: bool,
 ) {
     let mut rotation = Rotation::new(LINK_MBPS);
-    assert_eq!(play(&mut rotation, 0, &[90; 4], 1), [3]);
+    assert_eq!(simulate(&mut rotation, 0, &[90; 4], 1), [3]);
     let received_bytes = 4 * FULL_BYTES_PER_S;
     let load = Load { lag_ms: 1, received_bytes, since_last_packet_ms };
-    assert_eq!(rotation.update(3_000 + after_ms, load), comes_back);
+    assert_eq!(rotation.update(3_000 + after_ms, load), in_rotation);
 }
--- a/crates/steering/tests/routes.rs
+++ b/crates/steering/tests/routes.rs
@@ -24,7 +24,7 @@
 #[case::removed(&[(80, 1), (81, 2)], &[(81, 2)], 0, 1)]
 #[case::other_service(&[(80, 1), (81, 2)], &[(80, 2), (81, 2)], 1, 0)]
 #[case::all_at_once(&[(80, 1), (81, 2)], &[(80, 2), (82, 1)], 2, 1)]
-fn changes_lead_from_one_table_to_the_next(
+fn patched_applies_delta(
     #[case] old: &[(u16, u32)],
     #[case] new: &[(u16, u32)],
     #[case] changed: usize,
@@ -40,7 +40,7 @@
 #[rstest]
 #[case::other_version(table(3, &[(80, 1)]))]
 #[case::other_routes(table(4, &[(80, 2)]))]
-fn changes_fit_the_table_that_they_were_made_for(#[case] ours: RouteTable) {
+fn patched_other_table(#[case] ours: RouteTable) {
     let delta = table(7, &[(80, 1), (81, 2)]).delta_from(&table(4, &[(80, 1)]));
     assert_eq!(ours.patched(7, &delta), None);
 }
@@ -49,7 +49,7 @@
 #[rstest]
 #[case::few(10)]
 #[case::many(1_900)]
-fn changes_do_not_grow_with_the_table(#[case] count: u16) {
+fn delta_from_size(#[case] count: u16) {
     let routes: Vec<(u16, u32)> = (1..=count).map(|port| (port, 1)).collect();
     let mut moved = routes.clone();
     moved[3].1 = 2;
