--- a/crates/steering/tests/common/agent.rs
+++ b/crates/steering/tests/common/agent.rs
@@ -1,4 +1,4 @@
-//! What the tests of agents share: asks, answers, and an agent that takes packets.
+//! Helpers for the tests of agents: metadata, answers, and functions that pass packets to an agent.
 
 use std::net::Ipv4Addr;
 
@@ -7,7 +7,7 @@
 
 use super::{SERVICE, flow, opening};
 
-/// Time within which callers want their answers.
+/// Time within which callers expect an answer.
 pub(crate) const SLO_MS: u32 = 200;
 pub(crate) const BALANCER: Ipv4Addr = Ipv4Addr::new(10, 1, 0, 1);
 
@@ -48,7 +48,7 @@
     agent.on_packet(now_ms, segment, &bytes, metadata(slots)).delivery
 }
 
-/// The upstream has taken this flow.
+/// Opens a flow that the upstream accepts.
 pub(crate) fn open_flow(agent: &mut AgentCore, now_ms: Millis, number: u16) {
     deliver(agent, now_ms, &opening(number, 0), 1);
     agent.on_answer(now_ms, opening_answer(number));
--- a/crates/steering/tests/side.rs
+++ b/crates/steering/tests/side.rs
@@ -1,4 +1,4 @@
-//! An agent beside a busy, silent or restarted upstream.
+//! Tests of an agent whose upstream is busy, unresponsive or has restarted.
 
 mod common;
 
@@ -10,12 +10,13 @@
 use steering::view::ServiceStamp;
 
 const OTHER_SERVICE: ServiceStamp = ServiceStamp(8);
-/// A packet of a body that goes on.
+/// A full packet of a request body, which is followed by more data.
 fn full_packet(number: u16, sequence: u32) -> Segment {
     Segment { data_bytes: 1_200, ..data(number, sequence) }
 }
 
-/// One slot and one request ahead of it are taken by flows 1 and 2.
+/// An agent with one slot that has passed on as many requests as it may: flow 1 occupies the slot,
+/// and flow 2 is one request beyond it.
 fn busy_agent(now_ms: Millis) -> AgentCore {
     let mut agent = AgentCore::new(SERVICE);
     for number in [1, 2] {
@@ -24,7 +25,8 @@
     agent
 }
 
-/// The first bytes of the requests that are released one after the other as answers come.
+/// Answers the requests in progress one after the other, and returns the first byte of each request
+/// that is released.
 fn release_order(agent: &mut AgentCore, now_ms: Millis) -> Vec<u8> {
     let mut order = Vec::new();
     let mut answered = 1;
@@ -38,10 +40,10 @@
     }
 }
 
-/// After an outage, callers' requests come faster than the upstream works. Worked off in the order
-/// of arrival, every new request is late behind those that are late already. So the newest that can
-/// still be on time goes first, and what is late follows, oldest first. A caller that sends its opening
-/// again has waited for 200 or 600 ms already.
+/// After an outage, requests arrive faster than the upstream processes them. In order of arrival,
+/// every new request would be late, because it is processed after requests that are late already.
+/// Therefore the newest request that can still be on time goes first, followed by late requests,
+/// oldest first. A caller that retransmits its opening has already waited for 200 or 600 ms.
 #[rstest]
 #[case::newest_first(&[(3, 0, 0), (4, 0, 10), (5, 0, 20)], 30, &[5, 4, 3])]
 #[case::late_last(&[(3, 2, 0), (4, 0, 10), (5, 2, 20)], 30, &[4, 3, 5])]
@@ -61,8 +63,9 @@
     assert_eq!(release_order(&mut agent, at), order);
 }
 
-/// Callers of another route want their answers within a second: what is late for some is hopeful for
-/// them. Works of 100 ms leave that much less time to start in.
+/// Callers of some routes accept answers within a second, so a request that is late for one route
+/// may be on time for another. Service times of 100 ms leave that much less time before a request
+/// must start.
 #[rstest]
 #[case::short_slo_missed(200, 0, 250, &[3, 4])]
 #[case::long_slo(1_000, 0, 250, &[5, 4])]
@@ -95,8 +98,8 @@
     assert_eq!(&release_order(&mut agent, at_ms)[1..3], order);
 }
 
-/// A caller repeats a request whose answer is on its way. Counted as a new request, it would stay at
-/// work for seconds, and the agent would hold back requests beside an idle upstream.
+/// A caller retransmits a request whose answer is already in transit. Counted as a new request, it
+/// would stay in progress for seconds, and the agent would queue requests beside an idle upstream.
 #[test]
 fn busy_retransmission_after_answer() {
     let mut agent = AgentCore::new(SERVICE);
@@ -109,11 +112,11 @@
     assert_eq!(agent.busy(), 1);
 }
 
-/// A balancer without memory looks for a flow and asks a busy upstream that does not hold it. If
-/// the packet waited here for a slot, each busy upstream would cost the search some hundred
-/// milliseconds, the caller's packets would go astray for seconds, and the strays would fill the
-/// queue of those that wait. That holds for an agent that has just started too: after a loss of all
-/// power, every open flow is looked for at once, and none is found.
+/// A balancer without flow state searches for a flow and tries a busy upstream that does not hold
+/// it. If the packet were queued here for a slot, each busy upstream would delay the search by some
+/// hundred milliseconds, the caller's packets would go astray for seconds, and they would fill the
+/// queue. The same applies to an agent that has just started: after a complete power failure,
+/// balancers search for every open flow at once, and no agent knows any of them.
 #[rstest]
 #[case::just_started(1_000, false, false)]
 #[case::running_for_long(25_000, false, false)]
@@ -138,10 +141,11 @@
     assert_eq!(deliver(&mut agent, at_ms, &data(3, 1), 1), expected);
 }
 
-/// Two uploads of 67 packets travel to an upstream with two slots, 16 packets a round trip. The
-/// upstream is idle until the last packet of each, so a third caller's request must not wait behind
-/// them. Counted as at work from their first packets on, they made it wait for up to 700 ms beside
-/// an idle upstream, its caller repeated, and balancers took the wait for silence and searched.
+/// Two uploads of 67 packets are sent to an upstream with two slots, 16 packets per round trip. The
+/// upstream is idle until the last packet of each, so a third caller's request must not be queued
+/// behind them. When uploads counted as in progress from their first packets on, that request was
+/// queued for up to 700 ms beside an idle upstream, its caller retransmitted, and balancers took
+/// the delay for an unresponsive upstream and searched elsewhere.
 #[test]
 fn busy_upload_in_transit() {
     const SLOTS: u8 = 2;
@@ -162,15 +166,16 @@
         let last = data(number, 1 + (PACKETS - 1) * 1_200);
         assert_eq!(deliver(&mut agent, 3, &last, SLOTS), Delivery::Deliver);
     }
-    assert_eq!(agent.busy(), 3, "two slots and one ahead");
+    assert_eq!(agent.busy(), 3, "two slots and one request beyond them");
     let last = data(3, 1 + (PACKETS - 1) * 1_200);
     assert_eq!(deliver(&mut agent, 4, &last, SLOTS), Delivery::Queued);
 }
 
-/// After an outage, openings come several at a time. Three that have no answer yet in the same
-/// millisecond are no silence: taken for one, they let go of everything that waited, sixteen
-/// requests at once, and the upstream's own queue delayed all that came after. What is silent for
-/// long lets go, so that balancers learn of it.
+/// After an outage, several openings arrive at once. Three openings that are still unanswered in
+/// the millisecond of their arrival do not make the upstream unresponsive. When they did, the agent
+/// released all queued requests, sixteen at once, and the upstream's own queue delayed everything
+/// after them. An upstream that does not respond for long has the queue released, so that balancers
+/// learn of it.
 #[rstest]
 #[case::several_at_once(10, 10, false)]
 #[case::unresponsive(10, 120, true)]
@@ -189,7 +194,7 @@
     assert_eq!(agent.next_released(at_ms).is_some(), released);
 }
 
-/// The caller repeats a request while it waits here: the upstream must get it once.
+/// The caller retransmits a request while it is queued here. The upstream must receive it once.
 #[test]
 fn next_released_retransmission_stored_once() {
     let mut agent = busy_agent(0);
@@ -204,11 +209,11 @@
     assert_eq!(released.packets.iter().map(|packet| packet[1]).collect::<Vec<u8>>(), [1, 101]);
 }
 
-/// A request waits beside an upstream that frees no slot. Handed on for having waited long, it
-/// would sit in the upstream's own queue and delay all that comes after it. After six times the
-/// time in which its caller wanted an answer, that one has given up, mostly without a word: worked
-/// on, a burst of such requests kept the upstream from those that were awaited, and a third failed
-/// for eight seconds after the burst.
+/// A request is queued beside an upstream that frees no slot. If it were passed on because it has
+/// waited long, it would sit in the upstream's own queue and delay everything after it. After six
+/// times the time in which its caller expects an answer, the caller has given up, mostly without
+/// notice. When a burst of such requests was still processed, it took the slots from requests whose
+/// callers were waiting, and a third of these failed for eight seconds after the burst.
 #[rstest]
 #[case::long(700, true)]
 #[case::caller_gave_up(1_250, false)]
@@ -245,8 +250,9 @@
     assert!(agent.next_released(20).is_none());
 }
 
-/// The upstream is dead and its agent alive: openings vanish. The balancers must learn it soon, to
-/// ask others, but a pause of the agent itself must not look like silence of the upstream.
+/// The upstream has failed while its agent is running, so openings get no answer. Balancers must
+/// learn this soon, to try others, but a pause of the agent itself must not make the upstream count
+/// as unresponsive.
 #[rstest]
 #[case::unresponsive(&[0, 20, 60], 120, true)]
 #[case::one_opening_may_get_lost(&[0], 120, false)]
@@ -288,8 +294,8 @@
     assert_eq!(deliver(&mut agent, 115, &opening(9, 0), 7), Delivery::Deliver);
 }
 
-/// An upstream's address went to another service while a balancer still had the old list: a packet
-/// of the old service must not reach the new one.
+/// An upstream's address was reassigned to another service while a balancer still had the old list.
+/// A packet for the old service must not reach the new one.
 #[test]
 fn on_packet_other_service() {
     let mut agent = AgentCore::new(SERVICE);
@@ -302,10 +308,11 @@
     assert_eq!(agent.flow_count(), 0);
 }
 
-/// The upstream crashes with two requests at work and starts again within a second, under its name.
-/// Its agent ran on: what was at work before must not keep the next request waiting beside an idle
-/// upstream. A flow that the upstream closed since it was idle says nothing of the kind, nor does
-/// one whose opening it answered beside another upstream, which holds it.
+/// The upstream crashes with two requests in progress and restarts within a second under its name,
+/// while its agent keeps running. The requests to the previous incarnation must not keep the next
+/// one queued beside an idle upstream. A returned packet proves no restart if the upstream may have
+/// closed the flow because it was idle, or if it has answered only the opening and another upstream
+/// holds the flow.
 #[rstest]
 #[case::restarted(500, true, 0)]
 #[case::closed_an_idle_flow(2_500, true, 2)]
@@ -326,8 +333,8 @@
     assert_eq!(agent.busy(), busy);
 }
 
-/// Two answers are lost with the link of the instance. Packets of other flows come all the time, so
-/// the process never sleeps; the two requests must not count as at work forever.
+/// Two answers are lost because the link of the instance fails. Packets of other flows keep
+/// arriving, so the process never sleeps. The two requests must not count as in progress forever.
 #[test]
 fn busy_lost_answers() {
     let mut agent = busy_agent(0);
@@ -346,8 +353,8 @@
     assert_eq!(agent.on_answer(76, answer(1)).service_time_ms, None);
 }
 
-/// The on-call engineer finds late answers and nothing else in the logs: the upstream worked four
-/// times as long as before, which no single answer shows.
+/// The upstream's service time rises to four times its usual value, which no single answer shows.
+/// Without a report, an on-call engineer finds only late answers in the logs.
 #[rstest]
 #[case::steady(&[(200, 40)], &[])]
 #[case::uneven(&[(100, 40), (1, 330), (100, 40)], &[])]
@@ -366,7 +373,8 @@
     assert_eq!(changes, expected);
 }
 
-/// The agent is told to stop while requests wait: they go to the upstream, which lives on.
+/// The agent is told to stop while requests are queued. They go to the upstream, which keeps
+/// running.
 #[test]
 fn take_any_queued_on_exit() {
     let mut agent = busy_agent(0);
@@ -379,10 +387,11 @@
     assert_eq!(released, [3, 4]);
 }
 
-/// An upstream has more requests than it can work on. A caller gives up, and repeats its request
-/// with the end of the flow. The agent kept that and forgot it again and again: the upstream held
-/// the flow on, and for three seconds only other upstreams got its packets, from balancers that
-/// looked for it. Once its time is over, what ends the flow is handed on.
+/// An overloaded upstream has a request queued whose caller gives up and retransmits it together
+/// with the end of the flow. The agent queued that packet and dropped it again and again. The
+/// upstream therefore kept the flow, and for three seconds only other upstreams got its packets,
+/// from balancers that searched for it. A packet that ends the flow is now passed on once its time
+/// in the queue is over.
 #[rstest]
 #[case::ends_the_flow(true)]
 #[case::flow_goes_on(false)]
@@ -405,8 +414,9 @@
     }
 }
 
-/// Requests wait for as long as their callers do, less the time that work takes: after an outage, those
-/// that can still be answered are, and none is worked on for nobody.
+/// Requests stay queued for as long as their callers wait, less the time for processing them. After
+/// an outage, every request that can still be answered is answered, and no request is processed
+/// whose caller has given up.
 #[rstest]
 #[case::unknown(0, 0, 6 * 200)]
 #[case::short(4, 0, 4 * 200)]
@@ -433,8 +443,8 @@
     assert_eq!(released_at(expected_ms), None);
 }
 
-/// After an outage, feeds and confirmations wait together. Urgent requests go first among those that can be on
-/// time, and first among those that are late.
+/// After an outage, requests of urgent and other routes are queued together. Urgent requests go
+/// first among those that can be on time, and first among those that are late.
 #[rstest]
 #[case::all_on_time(1, &[5, 4, 6, 3])]
 #[case::all_late(SLO_MS as Millis + 50, &[4, 5, 3, 6])]
--- a/crates/steering/tests/side_admission.rs
+++ b/crates/steering/tests/side_admission.rs
@@ -1,5 +1,5 @@
-//! Openings that an agent gives back untried: its upstream takes no new flows, or is cold and has taken
-//! what it bears.
+//! Tests of openings that an agent returns without passing them to the upstream, because the
+//! upstream accepts no new flows, or because it is cold and has reached its limit.
 
 mod common;
 
@@ -11,7 +11,8 @@
 use steering::flow::{Millis, Segment};
 use steering::side::{AgentCore, Delivery, ForwardMetadata};
 
-/// Time after which a fresh agent has seen what counts, and suspects nothing any more.
+/// Time after which a new agent no longer suspects that its upstream has just started, and has seen
+/// every opening that counts.
 const SETTLED_MS: Millis = 10_000;
 
 fn settled() -> AgentCore {
@@ -34,7 +35,7 @@
     agent.on_packet(SETTLED_MS + now_ms, segment, &[0; 36], metadata).delivery
 }
 
-/// The same beside an upstream that answers what it gets.
+/// Like `forward`, beside an upstream that answers every opening it receives.
 fn forward_and_answer(
     agent: &mut AgentCore,
     now_ms: Millis,
@@ -48,8 +49,8 @@
     delivery
 }
 
-/// What the balancers with these numbers say with packets of open flows, and what becomes of an opening of
-/// the first one.
+/// Votes that balancers send with packets of open flows, and whether an opening from the first
+/// balancer is then refused.
 #[rstest]
 #[case::no_balancer_knows(&[(1, false), (2, false)], false)]
 #[case::two_others_know(&[(1, false), (2, true), (3, true)], true)]
@@ -69,7 +70,7 @@
     assert_eq!(forward(&mut agent, 5, &opening(1, 0), metadata_from(1)), expected);
 }
 
-/// What balancers said long ago keeps nothing out.
+/// Outdated votes do not keep openings out.
 #[test]
 fn on_packet_opening_votes_expire() {
     let mut agent = settled();
@@ -88,7 +89,8 @@
     assert_eq!(forward(&mut agent, 2_000, &opening(1, 0), metadata_from(1)), Delivery::Deliver);
 }
 
-/// A copy of an opening that the upstream has answered opens nothing, and packets of open flows pass.
+/// A copy of an opening that the upstream has answered opens no flow, so it passes, and so do
+/// packets of open flows.
 #[test]
 fn on_packet_not_accepting_open_flows_pass() {
     let mut agent = settled();
@@ -111,8 +113,9 @@
     ForwardMetadata { limit_per_ks, cold: true, ..metadata_from(balancer) }
 }
 
-/// All balancers see a cold zone come back at the same moment, and each sends an upstream there a flow every
-/// 20 ms. No second, wherever it begins, has more openings than it bears.
+/// All balancers see a cold zone come back at the same moment, and each sends an upstream there a
+/// flow every 20 ms. No window, wherever it begins, may contain more openings than the limit
+/// allows.
 #[rstest]
 #[case::five_a_second(5_000, 5, 1_000)]
 #[case::two_and_a_half_a_second(2_500, 2, 1_000)]
@@ -140,7 +143,8 @@
     assert!(admitted_ms.len() >= min_admitted, "too few openings admitted: {admitted_ms:?}");
 }
 
-/// Told apart from each other when to come again, sixteen balancers do not all come for the next place.
+/// Sixteen balancers are refused with different retry delays, so that they do not all contend for
+/// the next free admission.
 #[test]
 fn on_packet_cold_limit_staggered_retries() {
     let mut agent = settled();
@@ -167,7 +171,8 @@
     assert!(refused < 4 * admitted, "{refused} refusals for {admitted} admissions");
 }
 
-/// A balancer that is cut off takes the upstream for a warm one.
+/// A balancer that is cut off has an outdated view and takes the upstream for a warm one. The limit
+/// holds for its openings too while enough others report the upstream as cold.
 #[rstest]
 #[case::two_informed(2, true)]
 #[case::none_informed(0, false)]
@@ -185,9 +190,10 @@
     assert_eq!(admitted, if limited { 5 } else { 20 });
 }
 
-/// Lists name the earlier life of an upstream that has just started again, and the agent may have started
-/// with it: what nobody knows to be cold is taken for cold for a while. Where it is known to be cold, what the
-/// agent's predecessor took in the last second counts as well.
+/// Lists show the previous incarnation of an upstream that has just restarted, and the agent may
+/// have started with it. Therefore an upstream that no balancer reports as cold counts as cold for
+/// a while. If a balancer does report it as cold, admissions by the agent's previous incarnation
+/// during the last second count as well.
 #[rstest]
 #[case::not_reported_cold(0, false, 5)]
 #[case::reported_cold(0, true, 0)]
@@ -207,8 +213,9 @@
     assert_eq!(admitted, expected);
 }
 
-/// All lost power: the agent is back a second before its upstream, and most balancers that are heard are
-/// cut off with an old view.
+/// After a complete power failure, the agent is back a second before its upstream, and most
+/// balancers that reach it are cut off with an outdated view. The upstream counts as cold from its
+/// first packet on.
 #[rstest]
 #[case::still_suspected(1_300 + 1_900, 5)]
 #[case::no_longer_suspected(1_300 + 2_000, 20)]
@@ -224,7 +231,8 @@
     assert_eq!(admitted, expected);
 }
 
-/// An upstream that was silent and answers again may have started anew, beside an agent that ran on.
+/// An upstream that responds again after a period without replies may have restarted, while its
+/// agent kept running.
 #[test]
 fn on_packet_cold_limit_after_unresponsiveness() {
     let mut agent = settled();
@@ -239,7 +247,7 @@
     assert_eq!(admitted, 5);
 }
 
-/// Services whose cold upstreams are not limited take what comes.
+/// A cold upstream of a service without a limit accepts every opening.
 #[test]
 fn on_packet_cold_without_limit() {
     let mut agent = settled();
--- a/crates/steering/tests/side_words.rs
+++ b/crates/steering/tests/side_words.rs
@@ -1,4 +1,5 @@
-//! What an agent tells balancers: which flows its upstream holds, and that it lives.
+//! Tests of an agent's replies to balancers: reports on the flows that its upstream holds, and
+//! notices that the agent is running.
 
 mod common;
 
@@ -17,10 +18,11 @@
     assert!(agent.on_answer(2, answer(1)).report.is_none());
 }
 
-/// A balancer without memory asks for a flow, and the upstream works on it for as long as it takes. Told
-/// only by its answer, the balancer went on asking others meanwhile; told from what this agent knows, it
-/// has found the flow within one round trip, also while the request waits here. An agent that does not
-/// know the flow leaves it to the upstream.
+/// A balancer without flow state searches for a flow whose request the upstream is still
+/// processing. If only the upstream's answer were reported, the balancer would go on trying other
+/// upstreams in the meantime. The agent reports a flow that it knows at once, so that the balancer
+/// finds it within one round trip, also while the request is queued here. If the agent does not
+/// know the flow, it leaves the reply to the upstream.
 #[rstest]
 #[case::in_progress(0, true, Delivery::Deliver)]
 #[case::queued(2, true, Delivery::Queued)]
@@ -40,9 +42,10 @@
     assert!(!held || agent.on_answer(60, answer(3)).report.is_none(), "reported once");
 }
 
-/// Two upstreams have answered a caller's opening, one after the other was slow to. The caller has taken
-/// the other's number. A balancer without memory asks here first: this upstream, with a flow that is half
-/// open, would take the packet without a word, and the agent must not say that it holds the flow.
+/// Two upstreams have answered a caller's opening, because the first one was slow, and the caller
+/// has acknowledged the sequence number of the other. A balancer without flow state tries this
+/// upstream first, which holds the flow half open and would accept the packet without a reply. The
+/// agent must not report that its upstream holds the flow.
 #[rstest]
 #[case::of_this_upstream(1_001, true)]
 #[case::after_an_answer(1_501, true)]
@@ -59,8 +62,9 @@
     assert_eq!((received.delivery, received.report.is_some()), (expected, held));
 }
 
-/// Bare acknowledgements at an upstream that holds the flow half open got no word: a balancer took the
-/// upstream for the holder when that repeated its answer to the opening.
+/// A bare acknowledgement to an upstream that holds the flow half open got no reply. When the
+/// upstream then repeated its answer to the opening, the balancer took it for the holder of the
+/// flow.
 #[rstest]
 #[case::of_this_upstream(1_501, true)]
 #[case::of_another(900_000, false)]
@@ -81,7 +85,8 @@
     );
 }
 
-/// The same port opens another flow: numbers of the first one say nothing about it.
+/// Another flow is opened from the same port. Sequence numbers of the first flow must not count for
+/// it.
 #[test]
 fn on_packet_reopened_flow() {
     let mut agent = AgentCore::new(SERVICE);
@@ -95,8 +100,8 @@
     assert_eq!(deliver(&mut agent, 3, &segment, 7), Delivery::NotHeld);
 }
 
-/// An agent restarts while a flow is open and hears the upstream's next packets only. The caller still
-/// acknowledges what was under way before.
+/// An agent restarts while a flow is open, and sees only the upstream's packets from then on. The
+/// caller may still acknowledge data that was in transit before.
 #[rstest]
 #[case::just_before(49_000, true)]
 #[case::just_after(65_000, true)]
@@ -110,8 +115,9 @@
     assert_eq!(deliver(&mut agent, 2, &segment, 7) == Delivery::Deliver, held);
 }
 
-/// Two upstreams have answered an opening, and the caller ends the flow at the other one through a balancer
-/// that asks here first. This upstream takes the packet without a word, and so does its agent: the balancer goes on.
+/// Two upstreams have answered an opening, and the caller ends the flow at the other one through a
+/// balancer that tries this one first. The upstream accepts the packet without a reply and the
+/// agent sends no report, so the balancer continues with the next upstream.
 #[test]
 fn on_packet_closing_of_other_holder() {
     let mut agent = AgentCore::new(SERVICE);
@@ -123,8 +129,9 @@
     assert_eq!((received.delivery, received.report), (Delivery::Deliver, None));
 }
 
-/// An upstream is at work for a second on flows that its agent does not know, since it has just started. Balancers
-/// that hear nothing would take both for dead: each is told once, after a while, that the agent lives.
+/// The upstream takes a second to process requests of flows that its agent does not know, because
+/// the agent has just started. Balancers that receive no reply would consider both unresponsive, so
+/// each balancer is notified once, after a while, that the agent is running.
 #[rstest]
 #[case::no_reply(None, true)]
 #[case::upstream_answers(Some(true), false)]
@@ -145,7 +152,7 @@
     assert!(agent.take_due_replies(200).is_empty(), "notified once");
 }
 
-/// The balancer that asked about a flow is not told twice: it heard at once that the flow is here.
+/// A balancer that got a report at once is not notified again.
 #[test]
 fn take_due_replies_after_report() {
     let mut agent = AgentCore::new(SERVICE);
@@ -161,9 +168,10 @@
     assert!(agent.take_due_replies(200).is_empty());
 }
 
-/// An upstream sends the packets of an answer out of order, the one that ends the flow before others, and repeats one. Its caller
-/// ends the flow too, with the number after all of them. The agent denied it, and the packet wandered through the whole
-/// service for three seconds.
+/// An upstream sends the packets of an answer out of order, with the one that ends the flow before
+/// others, and repeats one. The caller then ends the flow too, with the sequence number after all
+/// of them. The agent replied that the flow was not held here, and the packet was forwarded through
+/// the whole service for three seconds.
 #[test]
 fn on_packet_closing_after_reordered_answer() {
     let mut agent = AgentCore::new(SERVICE);
