--- a/crates/steering/tests/history.rs
+++ b/crates/steering/tests/history.rs
@@ -1,4 +1,4 @@
-//! What balancers remember and tell each other of services that routes have left.
+//! Tests of the services that routes have left, as stored by balancers and exchanged among them.
 
 use std::net::SocketAddrV4;
 
@@ -8,7 +8,7 @@
 use steering::view::{Route, RouteTable, ServiceStamp, Share};
 
 const TTL_MS: Millis = 60_000;
-/// Time after which nothing is left that began before a change.
+/// Time after which no flow is left that was opened at a former service.
 const RETAINED_MS: Millis = TTL_MS + STALE_OPENINGS_MS;
 
 fn endpoint() -> SocketAddrV4 {
@@ -19,7 +19,8 @@
     ServiceStamp(u32::from(letter))
 }
 
-/// A table whose only route leads to these services, a letter each; to none, there is no route.
+/// A table whose only route points to these services, one letter each. Without letters, the table
+/// has no route.
 fn table(version: u64, services: &str) -> RouteTable {
     let share = |letter: char| Share { service: stamp(letter), weight: 1 };
     let route = Route {
@@ -35,7 +36,8 @@
     RouteTable::new(version, routes, [])
 }
 
-/// The history of one that has had these tables in force, one a second, from the first start on.
+/// The history of a balancer that has had these tables in force since the first start, one per
+/// second.
 fn history_of(tables: &[&str]) -> History {
     let mut history = History::from_first_start(TTL_MS);
     for (pair, number) in tables.windows(2).zip(1..) {
@@ -71,7 +73,7 @@
     assert_eq!(former(&history_of(&["a", "b"]), now_ms), expected);
 }
 
-/// A balancer was cut off while a route led to another service and back.
+/// A balancer was cut off while a route pointed to another service and back again.
 #[test]
 fn merge_reverted_change() {
     let received = history_of(&["a", "b", "a"]).contents(4_000, 3);
@@ -94,7 +96,8 @@
     assert_eq!(received.former[0].left_ms, RETAINED_MS - 30_000);
 }
 
-/// One that starts later knows nothing of what went before, until another one tells it.
+/// A balancer that starts later does not know earlier changes until it receives the history of
+/// another balancer.
 #[rstest]
 #[case::complete_sender(0, true)]
 #[case::equally_recent_sender(RETAINED_MS, false)]
@@ -108,7 +111,8 @@
     assert_eq!(history.is_complete(100), expected);
 }
 
-/// A whole list was read again, and another version with it: some may have gone by in between.
+/// The whole list was read again with a newer routes version. The versions in between may have been
+/// missed.
 #[rstest]
 #[case::sender_complete(0, true)]
 #[case::sender_started_later(RETAINED_MS - 500, false)]
@@ -122,7 +126,7 @@
     assert_eq!(history.is_complete(5_100), expected);
 }
 
-/// The one who tells has started after this one was last up to date.
+/// The sender started after the receiver was last up to date.
 #[test]
 fn merge_with_gap_incomplete() {
     let summary = HistorySummary { version: 0, whole_in_ms: RETAINED_MS - 2_000 };
@@ -132,7 +136,7 @@
     assert!(!history.is_complete(10_000));
 }
 
-/// The one who tells has an older version in force, and another one may have been in between.
+/// The sender has an older routes version in force, and may have missed a version in between.
 #[rstest]
 #[case::older(1, false)]
 #[case::same(2, true)]
--- a/crates/steering/tests/leave.rs
+++ b/crates/steering/tests/leave.rs
@@ -1,12 +1,13 @@
-//! A balancer that was told to stop.
+//! Tests of when a balancer that was told to stop may exit.
 
 use rstest::rstest;
 use steering::flow::Millis;
 use steering::leave::{ShutdownProgress, may_exit};
 
-/// During a rolling restart a balancer must go on until the fabric has stopped sending, or callers'
-/// packets are lost; and no longer, or it is away together with the next one, the fabric takes the
-/// whole zone into use, and packets go to instances that have ended.
+/// During a rolling restart, a balancer must run until the fabric has stopped sending to it,
+/// otherwise callers' packets are lost. It must not run longer either: if it is out of rotation
+/// together with the next balancer, the fabric uses the whole zone and sends packets to instances
+/// that have exited.
 #[rstest]
 #[case::still_probed_once(900, 1, 500, false)]
 #[case::still_receiving(1_500, 3, 20, false)]
--- a/crates/steering/tests/link.rs
+++ b/crates/steering/tests/link.rs
@@ -1,16 +1,18 @@
-//! A thin link that gets more than it takes: bodies yield, the rest goes.
+//! Tests of a slow link that is offered more than its capacity: body packets are dropped, all
+//! others pass.
 
 use rstest::rstest;
 use steering::flow::Millis;
 use steering::link::Link;
 
-/// A packet of a body, and an opening, as they are on the link.
+/// Sizes on the link of a full body packet and of an opening.
 const BODY_BYTES: usize = 1_264;
 const SMALL_BYTES: usize = 64;
 
-/// Half of a zone's balancers stand still. The one with a thin link gets bodies for one and a half times
-/// what the link takes, and between them openings and questions. These all go, since without them flows
-/// are neither opened nor found, and bodies fill what is left, well under the whole link.
+/// Half of a zone's balancers are paused. The one with a slow link is offered body packets for one
+/// and a half times its capacity, and openings and queries between them. The latter must all pass,
+/// since without them no flow is opened or found. Bodies get the rest, and the total stays well
+/// below the whole capacity.
 #[rstest]
 #[case::full(14.0, 15, 2_000)]
 #[case::idle(200.0, 0, 0)]
@@ -41,7 +43,8 @@
     assert!(min_dropped == 0 || sent_bytes < link_bytes * 9 / 10, "{sent_bytes} of {link_bytes}");
 }
 
-/// A few uploads begin at once: sixteen packets each go at once, and the link is idle again before their next.
+/// A few uploads begin at once with sixteen packets each. All of these pass, because the link is
+/// idle again before the next ones.
 #[test]
 fn admit_burst() {
     let mut link = Link::new(14.0);
@@ -51,7 +54,8 @@
     }
 }
 
-/// Small packets alone may fill the link for long; that must not keep bodies out for longer than a moment.
+/// Small packets alone may exceed the capacity for long. This must not block bodies for more than a
+/// moment afterwards.
 #[test]
 fn admit_bounded_debt() {
     const PAUSE_MS: Millis = 100;
--- a/crates/steering/tests/membership.rs
+++ b/crates/steering/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams: changes, gaps, and addresses that are used again.
+//! Tests of the list of upstreams: changes, gaps, and addresses that are reused.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -31,9 +31,10 @@
     view.upstreams().iter().map(|upstream| upstream.standing).collect()
 }
 
-/// An entry goes while its upstream may still hold flows: after an outage of the configuration
-/// service it comes back within two seconds, and one that drained may go on for some. Forgotten at
-/// once, its callers' packets would find nobody, and a reset would be sent on a living flow.
+/// An entry disappears while its upstream may still hold flows: after an outage of the
+/// configuration service, the entry comes back within two seconds, and an upstream that has drained
+/// may run for a little longer. If the entry were dropped at once, balancers would find no holder
+/// for its callers' packets and would reset open flows.
 #[rstest]
 #[case::lapsed(false, LAPSED_LINGER_MS)]
 #[case::drained(true, DRAINED_LINGER_MS)]
@@ -47,9 +48,9 @@
     assert!(membership.is_empty());
 }
 
-/// An upstream crashes and starts again within a second, under its name. The lease of its earlier
-/// life ends after that, and its entry goes until it writes the next one. It was forgotten in
-/// between, and balancers reset flows that it held.
+/// An upstream crashes and restarts within a second under its name. The lease of its previous
+/// incarnation expires later, and the entry is missing until the upstream writes its next one. When
+/// the upstream was dropped in between, balancers reset flows that it held.
 #[test]
 fn expire_restarted_upstream() {
     let mut membership = Membership::default();
@@ -79,8 +80,8 @@
     assert_eq!(standings(&membership), [Standing::Missing { since_ms: 50, drained: false }]);
 }
 
-/// An address is given to another upstream: the one before is gone for certain, and two entries of
-/// one address would lead its callers to the wrong service.
+/// An address is assigned to another upstream, so the previous one no longer runs. Two entries with
+/// one address would send packets of the new upstream's callers to the wrong service.
 #[test]
 fn insert_reused_address() {
     let mut membership = Membership::default();
@@ -92,8 +93,9 @@
     assert_eq!(view.upstreams()[0].service, ServiceStamp(2));
 }
 
-/// An upstream starts again under its name: it is another one, warms up anew and takes flows at once.
-/// News of its earlier life that come late, by another balancer or a page, change nothing.
+/// An upstream that restarts under its name is a new incarnation, which warms up and accepts flows
+/// at once. Late updates about an earlier incarnation, from another balancer or from a page of the
+/// list, change nothing.
 #[rstest]
 #[case::later(8, Standing::Ready, 2_100)]
 #[case::same(7, Standing::Ready, 2_100)]
@@ -113,8 +115,9 @@
     assert_eq!((upstream.standing, upstream.warm_at_ms), (standing, warm_at_ms));
 }
 
-/// Another writer names a service that there is not, with the address of an upstream. Taken for the
-/// address's new user, it would hide the upstream, and its callers would find nobody.
+/// Another writer has published an entry for a service that does not exist, with the address of an
+/// upstream. Taken for the new owner of the address, it would hide the upstream, and its callers'
+/// packets would find no holder.
 #[rstest]
 #[case::unknown_service(ServiceStamp(9), ServiceStamp(1))]
 #[case::known_service(ServiceStamp(2), ServiceStamp(2))]
@@ -129,7 +132,8 @@
     assert_eq!(services, [expected]);
 }
 
-/// A list names the address's users in the order of their names: the one that started last counts.
+/// A list contains the upstreams with one address in the order of their names. The one that started
+/// last owns the address.
 #[rstest]
 #[case::first_name_is_newer("a", "b")]
 #[case::last_name_is_newer("b", "a")]
@@ -162,8 +166,8 @@
     assert_eq!(ours.digest() == theirs.digest(), same);
 }
 
-/// A balancer asks the others how far the list can be trusted: after an outage that they saw the
-/// end of, during one, or in calm.
+/// How long the list may still be incomplete, as reported to other balancers: without an outage,
+/// after an outage that this balancer saw end, or during one.
 #[rstest]
 #[case::calm(10_000, 9_000, false, 0)]
 #[case::after_an_outage(10_000, 11_500, false, 1_500)]
@@ -178,8 +182,8 @@
     assert_eq!(whole_in_ms(now_ms, complete_from_ms, unreachable), expected);
 }
 
-/// A reader tells what has changed; another balancer's list follows it by the changes alone, also
-/// when it has some of them already. Where it lacks an earlier one, the digest says so.
+/// A reader sends deltas, and another balancer's list is brought up to date by them alone, also if
+/// it contains some of the changes already. If it lacks an earlier change, the digests differ.
 #[rstest]
 #[case::just_before(2, true)]
 #[case::some_known(3, true)]
@@ -202,10 +206,10 @@
     assert_eq!(ours.patch(0, &delta, theirs.digest()), patched);
 }
 
-/// An upstream has crashed, and another one with a new name runs at its address; neither tells when it
-/// started. A balancer takes the whole list while both are in it, in the order of their names. Once the
-/// old entry is gone, it must not hide the new one: its flows were reset as those of an upstream that is
-/// gone.
+/// An upstream has crashed, and another one with a new name runs at its address. Neither entry
+/// states when its upstream started. A balancer reads the whole list, sorted by name, while it
+/// contains both. Once the old entry is removed, it must not hide the new one. When it did, flows
+/// of the new upstream were reset because it counted as gone.
 #[rstest]
 #[case::new_name_sorts_first("a", "z")]
 #[case::new_name_sorts_last("z", "a")]
--- a/crates/steering/tests/peers.rs
+++ b/crates/steering/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Balancers that find each other and share the reading of the configuration service.
+//! Tests of balancers that discover each other and share the reading of the configuration service.
 
 use std::net::Ipv4Addr;
 
@@ -7,13 +7,16 @@
 use steering::peers::{Comparison, Peers, READERS, ReaderRole, Summary};
 
 const STEP_MS: Millis = 50;
-/// After this time a call that hangs has failed: the wait of a watch, and the time for its answer.
+/// Time after which a call that hangs has failed: the wait of a watch plus the timeout of its
+/// answer.
 const CALL_TIMEOUT_MS: Millis = 1_500;
-/// The same for a second reader.
+/// The same for a secondary reader.
 const SECONDARY_CALL_TIMEOUT_MS: Millis = 5_500;
-/// A change must be in force three seconds after it was made; the rest is for the calls themselves.
+/// Time for a takeover: a change must be in force three seconds after it was made, and the rest is
+/// needed for the calls themselves.
 const TAKEOVER_MS: Millis = 2_300;
-/// Both places are taken again after this time: the old readers' last beacons count for a while.
+/// Time after which both readers are replaced. The last beacons of the old readers count for a
+/// while.
 const BOTH_REPLACED_MS: Millis = 3_000;
 
 fn address(number: usize) -> Ipv4Addr {
@@ -21,11 +24,12 @@
     Ipv4Addr::new(10, 1, high, low)
 }
 
-/// Balancers that exchange hellos, lists and beacons without loss, but for those that are away.
+/// Balancers that exchange hellos, lists and beacons without loss, except for those that are
+/// offline.
 struct Fleet {
     peers: Vec<Peers>,
     offline: Vec<usize>,
-    /// Balancers whose calls to the configuration service hang, and when these have failed.
+    /// Balancers whose calls to the configuration service hang, and when these calls fail.
     hanging: Vec<(usize, Millis)>,
     partition_at: Option<usize>,
     /// Steps that balancers have spent as readers.
@@ -94,20 +98,21 @@
         (!self.offline.contains(&other) && !partitioned).then_some(other)
     }
 
-    /// From now on, the calls of a reader hang.
+    /// Makes the calls of a reader hang from now on.
     fn hang(&mut self, number: usize) {
         let secondary = self.peers[number].reader_role(self.now_ms) == ReaderRole::Secondary;
-        let call_ms = if secondary { SECONDARY_CALL_TIMEOUT_MS } else { CALL_TIMEOUT_MS };
-        self.hanging.push((number, self.now_ms + call_ms));
+        let timeout_ms = if secondary { SECONDARY_CALL_TIMEOUT_MS } else { CALL_TIMEOUT_MS };
+        self.hanging.push((number, self.now_ms + timeout_ms));
     }
 
     fn readers(&self) -> Vec<usize> {
-        let here = (0..self.peers.len()).filter(|number| !self.offline.contains(number));
-        here.filter(|number| self.peers[*number].must_read(self.now_ms)).collect()
+        let running = (0..self.peers.len()).filter(|number| !self.offline.contains(number));
+        running.filter(|number| self.peers[*number].must_read(self.now_ms)).collect()
     }
 }
 
-/// Each balancer that reads costs calls, which are rationed for all: two are enough for any number.
+/// Each reader costs calls to the configuration service, which are limited for the whole fleet. Two
+/// readers suffice for any number of balancers.
 #[rstest]
 #[case::one(1, 1)]
 #[case::two(2, 2)]
@@ -119,8 +124,8 @@
     assert_eq!(fleet.readers().len(), readers);
 }
 
-/// Both readers lose power. The others hear nothing more, and must read again before the bound for
-/// configuration (three seconds) is over.
+/// Both readers lose power. The others receive no beacons and must start to read before a change
+/// would take longer than the three seconds allowed for configuration.
 #[test]
 fn must_read_readers_lost() {
     let mut fleet = Fleet::new(10);
@@ -132,8 +137,8 @@
     assert_eq!(fleet.readers().len(), READERS);
 }
 
-/// Both readers die. All others read at once, and each told all others: calls grew with the fleet, and
-/// beacons with its square.
+/// Both readers fail. When all others started to read at once and each sent beacons to all others,
+/// calls grew with the size of the fleet, and beacons with its square.
 #[rstest]
 #[case::part(60)]
 #[case::fleet(304)]
@@ -152,7 +157,8 @@
     assert!(max_readers <= 8, "{max_readers} of {count} balancers are readers at the same moment");
 }
 
-/// All start at once. The best ranks go on reading, the others wait for their beacons.
+/// All balancers start at once. Those of the highest ranks continue reading, and the others wait
+/// for their beacons.
 #[rstest]
 #[case::fleet(304)]
 #[case::twice_the_fleet(608)]
@@ -167,9 +173,9 @@
     );
 }
 
-/// The configuration service turns both readers away, or hangs for them, and serves all others. The
-/// readers live and talk: believed for too long, they kept a dropped route in force on all balancers
-/// for more than three seconds.
+/// The configuration service rejects the calls of both readers, or hangs for them, and serves all
+/// others. Both readers still send messages. When they counted as readers for too long, a removed
+/// route stayed in force on all balancers for more than three seconds.
 #[rstest]
 fn must_read_hanging_readers_replaced(#[values(0, 100, 200, 300, 400, 450)] phase_ms: Millis) {
     let mut fleet = Fleet::new(5);
@@ -180,15 +186,16 @@
     fleet.run(TAKEOVER_MS);
     while fleet.now_ms < hang_start_ms + 10_000 {
         let replacements = fleet.readers().into_iter().filter(|number| !readers.contains(number));
-        // One that reads tells all others; a second one joins once the old ones have fallen silent.
+        // One new reader sends beacons to all others; a second one joins once the old readers'
+        // beacons no longer count.
         let expected = if fleet.now_ms < hang_start_ms + BOTH_REPLACED_MS { 1 } else { READERS };
         assert!(replacements.count() >= expected, "after {} ms", fleet.now_ms - hang_start_ms);
         fleet.run(STEP_MS);
     }
 }
 
-/// One of the readers alone is turned away, and stays so. The other one hears of changes at once; a
-/// third steps in, so that again two read.
+/// The calls of one reader fail, and keep failing. The other one still learns of changes at once,
+/// and a third balancer takes over, so that there are two readers again.
 #[rstest]
 fn must_read_one_hanging_reader(#[values(0, 1)] which: usize) {
     let mut fleet = Fleet::new(5);
@@ -204,7 +211,7 @@
     assert_eq!(replacements.count(), 1);
 }
 
-/// Of the readers, only one makes a call each second.
+/// Of the readers, only the primary makes a call each second.
 #[test]
 fn reader_role_counts() {
     let mut fleet = Fleet::new(10);
@@ -217,7 +224,8 @@
     );
 }
 
-/// The fleet is split: each part needs readers of its own, and only two remain after it has healed.
+/// The fleet is partitioned. Each part needs readers of its own, and only two remain after the
+/// partition has healed.
 #[test]
 fn must_read_partition() {
     let mut fleet = Fleet::new(10);
@@ -233,7 +241,7 @@
 }
 
 /// A reader is cut off from the configuration service only. Its beacons would keep the others from
-/// reading, while a change never comes: so it must fall silent.
+/// reading while no change arrives, so it must stop sending them.
 #[test]
 fn beacons_due_unreachable_store() {
     let mut peers = Peers::new(address(0));
@@ -248,8 +256,8 @@
     assert!(peers.beacons_due(6_100, true).is_empty(), "the last call failed");
 }
 
-/// What a beacon leads to. A view may be old after a pause or a cut, so neither a lower revision nor
-/// an older version of the routes is ever taken, and equal contents are not fetched again.
+/// The result of a beacon. A view may be outdated after a pause or a partition, so neither a lower
+/// revision nor an older routes version is ever accepted, and equal contents are not fetched again.
 #[rstest]
 #[case::same_revision((5, 2, 1, 1), Comparison::NotNewer)]
 #[case::behind((4, 2, 9, 9), Comparison::NotNewer)]
@@ -270,9 +278,9 @@
 }
 
 /// A balancer that starts during an outage of the configuration service learns everything from
-/// another one, which need not be a reader. Its callers wait, so it asks often. One that has just
-/// started and has heard no reader reads itself, and asks as often; one that has heard a reader, or
-/// nobody for long, asks seldom.
+/// another one, which need not be a reader. Its callers are waiting, so it sends hellos often. One
+/// that has just started and has received no beacon reads by itself, and sends hellos as often. One
+/// that has received a beacon, or has run for long without any, sends them rarely.
 #[rstest]
 #[case::without_view(true, false, 1, 10)]
 #[case::with_reader(false, true, 1, 1)]
@@ -299,8 +307,9 @@
     assert!(peers.must_read(1_000), "a balancer with a newer view is not necessarily a reader");
 }
 
-/// All balancers read at their start, and each was greeted by each from then on: 3,400 hellos a
-/// second among fifty-nine. In calm, the readers and the given instances get them.
+/// All balancers read at their start, and each of them got hellos from all others from then on:
+/// 3,400 hellos a second among fifty-nine balancers. Once readers have settled, only these and the
+/// configured instances get hellos.
 #[rstest]
 #[case::twenty(20)]
 #[case::sixty(60)]
@@ -316,8 +325,8 @@
 }
 
 /// All instances lose power and start again within half a second. Each balancer reads until it has
-/// heard of better readers, and each change of the list then costs a call of every reader: 1,300
-/// calls in two seconds among fifty-nine.
+/// received beacons from readers of higher rank, and until then each change of the list costs a
+/// call of every reader: 1,300 calls in two seconds among fifty-nine balancers.
 #[test]
 fn must_read_after_common_start() {
     let mut fleet = Fleet::new(60);
@@ -335,9 +344,10 @@
     );
 }
 
-/// At sixteen hundred balancers not all fit into one answer. Cut after the first 240, the same were
-/// named each time, and a balancer that begins to read would have told only these. Answers in turn
-/// name all within the time for which a balancer is remembered.
+/// At sixteen hundred balancers, not all fit into one reply. Truncated after the first 240, every
+/// reply named the same ones, and a balancer that began to read would have sent beacons to these
+/// only. Replies name the balancers in rotation, and all of them within the time for which a
+/// balancer is remembered.
 #[test]
 fn on_hello_lists_all_in_turn() {
     let (mut peers, all) = (Peers::new(address(0)), 1_600_u32);
--- a/crates/steering/tests/rotation.rs
+++ b/crates/steering/tests/rotation.rs
@@ -1,14 +1,15 @@
-//! A balancer that cannot keep up leaves the rotation, and comes back when it is needed.
+//! Tests of an overloaded balancer that leaves the rotation, and returns when it is needed.
 
 use rstest::rstest;
 use steering::flow::Millis;
 use steering::rotation::{Load, Rotation};
 
-/// A link of 14 megabits a second takes 1.75 MB.
+/// A link of 14 megabits a second carries 1.75 MB a second.
 const LINK_MBPS: f64 = 14.0;
 const FULL_BYTES_PER_S: u64 = 1_750_000;
 
-/// Plays seconds with these shares of the link in percent, and returns when the balancer was outside.
+/// Simulates one second for each of these shares of the link's capacity in percent, and returns the
+/// seconds in which the balancer was out of rotation.
 fn simulate(rotation: &mut Rotation, start_s: u64, shares: &[u64], lag_ms: Millis) -> Vec<u64> {
     let mut received_bytes = start_s * FULL_BYTES_PER_S;
     let mut outside = Vec::new();
@@ -22,9 +23,10 @@
     outside
 }
 
-/// Uploads for a third of a zone go through a thin link, which drops what it cannot take; openings and
-/// agents' words are lost with the rest, and the neighbours with wide links are idle. The balancer
-/// leaves after three full seconds, but not for a burst, nor for its usual traffic.
+/// Uploads for a third of a zone go through a slow link, which drops what exceeds its capacity.
+/// Openings and agents' replies are lost with the rest, while neighbours with fast links are idle.
+/// The balancer leaves the rotation after three seconds at full load, but not for a burst, nor for
+/// its usual traffic.
 #[rstest]
 #[case::full_link(&[90, 90, 90, 90, 90], 1, &[3, 4])]
 #[case::burst(&[100, 100, 40, 100, 100, 40, 40], 1, &[])]
@@ -34,14 +36,14 @@
     assert_eq!(simulate(&mut Rotation::new(LINK_MBPS), 0, shares, lag_ms), outside);
 }
 
-/// The settings say nothing of the link: it cannot be full.
+/// The settings do not state the speed of the link, so it never counts as full.
 #[test]
 fn update_unknown_link() {
     assert_eq!(simulate(&mut Rotation::new(0.0), 0, &[300; 10], 1), []);
 }
 
-/// Each change moves nearly every flow of the zone: one that is too weak must not come and go. Its second
-/// stay outside is twice as long as the first.
+/// Each change moves nearly every flow of the zone, so an undersized balancer must not leave and
+/// return repeatedly. Its second stay out of rotation is twice as long as the first.
 #[test]
 fn update_longer_stays() {
     let mut rotation = Rotation::new(LINK_MBPS);
@@ -51,9 +53,10 @@
     assert_eq!(outside[..90], [first, second].concat());
 }
 
-/// A neighbour is restarted, so that fewer than half of the zone's balancers take part, and the fabric
-/// sends to all of them, also to the one that is down. Once the balancer outside takes part again, the
-/// fabric leaves the dead one out. Packets that come right after it left prove nothing.
+/// A neighbour restarts, so that fewer than half of the zone's balancers are in rotation, and the
+/// fabric sends to all of them, including the one that is down. Once the balancer that is out of
+/// rotation returns, the fabric excludes the one that is down. Packets that arrive right after the
+/// balancer has left prove nothing.
 #[rstest]
 #[case::sent_to_all(2_000, 10, true)]
 #[case::just_left(1_000, 10, false)]
--- a/crates/steering/tests/routes.rs
+++ b/crates/steering/tests/routes.rs
@@ -1,9 +1,9 @@
-//! Changes of the table of routes, as balancers tell them to each other.
+//! Tests of changes to the routes table, as balancers send them to each other.
 
 use rstest::rstest;
 use steering::view::{Route, RouteTable, Service, ServiceStamp, Share};
 
-/// A table of routes, each a port and the service that it leads to.
+/// A table of routes, each given as a port and the service that it points to.
 fn table(version: u64, routes: &[(u16, u32)]) -> RouteTable {
     let route = |(port, service): &(u16, u32)| Route {
         endpoint: format!("198.18.0.1:{port}").parse().unwrap(),
@@ -36,7 +36,7 @@
     assert_eq!(old.patched(7, &delta), Some(new));
 }
 
-/// A balancer that missed a version, or has other routes, must not be patched.
+/// A delta must not be applied by a balancer that missed a version or has other routes.
 #[rstest]
 #[case::other_version(table(3, &[(80, 1)]))]
 #[case::other_routes(table(4, &[(80, 2)]))]
@@ -45,7 +45,7 @@
     assert_eq!(ours.patched(7, &delta), None);
 }
 
-/// A change of one route is told in as little, however many routes there are.
+/// A change to one route takes a delta of one entry, regardless of the number of routes.
 #[rstest]
 #[case::few(10)]
 #[case::many(1_900)]
