--- a/crates/steering/tests/history.rs
+++ b/crates/steering/tests/history.rs
@@ -114,7 +114,7 @@
 /// The whole list was read again with a newer routes version. The versions in between may have been
 /// missed.
 #[rstest]
-#[case::sender_complete(0, true)]
+#[case::complete_sender(0, true)]
 #[case::sender_started_later(RETAINED_MS - 500, false)]
 fn merge_completes_gap(#[case] whole_in_ms: Millis, #[case] expected: bool) {
     let mut history = History::from_first_start(TTL_MS);
