--- a/crates/steering/tests/membership.rs
+++ b/crates/steering/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams: changes, gaps, and addresses that are used again.
+//! Tests of the list of upstreams: changes, gaps, and addresses that are reused.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -31,13 +31,14 @@
     view.upstreams().iter().map(|upstream| upstream.standing).collect()
 }
 
-/// An entry goes while its upstream may still hold flows: after an outage of the configuration
-/// service it comes back within two seconds, and one that drained may go on for some. Forgotten at
-/// once, its callers' packets would find nobody, and a reset would be sent on a living flow.
+/// An entry disappears while its upstream may still hold flows: after an outage of the
+/// configuration service, the entry comes back within two seconds, and an upstream that has drained
+/// may run for a little longer. If the entry were dropped at once, balancers would find no holder
+/// for its callers' packets and would reset open flows.
 #[rstest]
-#[case::silent(false, LAPSED_LINGER_MS)]
+#[case::lapsed(false, LAPSED_LINGER_MS)]
 #[case::drained(true, DRAINED_LINGER_MS)]
-fn removed_entry_lingers(#[case] draining: bool, #[case] linger_ms: Millis) {
+fn expire_removed_entry(#[case] draining: bool, #[case] linger_ms: Millis) {
     let mut membership = Membership::default();
     membership.insert(0, &record("a", draining));
     membership.remove(100, "a");
@@ -47,22 +48,22 @@
     assert!(membership.is_empty());
 }
 
-/// An upstream crashes and starts again within a second, under its name. The lease of its earlier
-/// life ends after that, and its entry goes until it writes the next one. It was forgotten in
-/// between, and balancers reset flows that it held.
+/// An upstream crashes and restarts within a second under its name. The lease of its previous
+/// incarnation expires later, and the entry is missing until the upstream writes its next one. When
+/// the upstream was dropped in between, balancers reset flows that it held.
 #[test]
-fn restarted_upstream_without_entry_still_counts() {
+fn expire_restarted_upstream() {
     let mut membership = Membership::default();
     membership.insert(0, &record("a", false));
     membership.insert(1_000, &UpstreamRecord { born_ms: 9, ..record("a", false) });
     membership.remove(1_500, "a");
-    assert!(!membership.expire(4_560), "three seconds until its next write, and the way");
+    assert!(!membership.expire(4_560), "three seconds until its next write, and the network delay");
     membership.insert(4_561, &UpstreamRecord { born_ms: 9, ..record("a", false) });
     assert_eq!(standings(&membership), [Standing::Ready]);
 }
 
 #[test]
-fn removed_entry_comes_back() {
+fn insert_removed_entry() {
     let mut membership = Membership::default();
     membership.insert(0, &record("a", false));
     membership.remove(100, "a");
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn whole_list_removes_what_it_lacks() {
+fn replace_removes_missing() {
     let mut membership = Membership::default();
     membership.insert(0, &record("a", false));
     membership.replace(50, &[], []);
@@ -79,10 +80,10 @@
     assert_eq!(standings(&membership), [Standing::Missing { since_ms: 50, drained: false }]);
 }
 
-/// An address is given to another upstream: the one before is gone for certain, and two entries of
-/// one address would lead its callers to the wrong service.
+/// An address is assigned to another upstream, so the previous one no longer runs. Two entries with
+/// one address would send packets of the new upstream's callers to the wrong service.
 #[test]
-fn address_used_again_replaces_the_one_before() {
+fn insert_reused_address() {
     let mut membership = Membership::default();
     membership.insert(0, &record("a", false));
     membership.remove(10, "a");
@@ -92,13 +93,14 @@
     assert_eq!(view.upstreams()[0].service, ServiceStamp(2));
 }
 
-/// An upstream starts again under its name: it is another one, warms up anew and takes flows at once.
-/// News of its earlier life that come late, by another balancer or a page, change nothing.
+/// An upstream that restarts under its name is a new incarnation, which warms up and accepts flows
+/// at once. Late updates about an earlier incarnation, from another balancer or from a page of the
+/// list, change nothing.
 #[rstest]
 #[case::later(8, Standing::Ready, 2_100)]
-#[case::the_same(7, Standing::Ready, 2_100)]
+#[case::same(7, Standing::Ready, 2_100)]
 #[case::earlier(6, Standing::Draining, 500)]
-fn life_under_the_same_name(
+fn insert_incarnation(
     #[case] born_ms: u64,
     #[case] standing: Standing,
     #[case] warm_at_ms: Millis,
@@ -106,22 +108,20 @@
     let mut membership = Membership::default();
     let first = UpstreamRecord { born_ms: 7, warmup_left_ms: 500, ..record("a", true) };
     membership.insert(0, &first);
-    let again = UpstreamRecord { born_ms, warmup_left_ms: 2_000, ..record("a", false) };
-    membership.insert(100, &again);
+    let restarted = UpstreamRecord { born_ms, warmup_left_ms: 2_000, ..record("a", false) };
+    membership.insert(100, &restarted);
     let view = membership.view(Arc::new(RouteTable::default()));
     let upstream = view.upstreams()[0];
     assert_eq!((upstream.standing, upstream.warm_at_ms), (standing, warm_at_ms));
 }
 
-/// Another writer names a service that there is not, with the address of an upstream. Taken for the
-/// address's new user, it would hide the upstream, and its callers would find nobody.
+/// Another writer has published an entry for a service that does not exist, with the address of an
+/// upstream. Taken for the new owner of the address, it would hide the upstream, and its callers'
+/// packets would find no holder.
 #[rstest]
 #[case::unknown_service(ServiceStamp(9), ServiceStamp(1))]
 #[case::known_service(ServiceStamp(2), ServiceStamp(2))]
-fn entry_of_an_unknown_service_hides_nobody(
-    #[case] service: ServiceStamp,
-    #[case] seen: ServiceStamp,
-) {
+fn view_unknown_service(#[case] service: ServiceStamp, #[case] expected: ServiceStamp) {
     let mut membership = Membership::default();
     membership.insert(0, &record("a", false));
     membership.insert(10, &UpstreamRecord { service, ..record("b", false) });
@@ -129,14 +129,15 @@
         RouteTable::new(1, Vec::new(), [1, 2].map(|stamp| Service::unlimited(ServiceStamp(stamp))));
     let view = membership.view(Arc::new(routes));
     let services: Vec<ServiceStamp> = view.upstreams().iter().map(|u| u.service).collect();
-    assert_eq!(services, [seen]);
+    assert_eq!(services, [expected]);
 }
 
-/// A list names the address's users in the order of their names: the one that started last counts.
+/// A list contains the upstreams with one address in the order of their names. The one that started
+/// last owns the address.
 #[rstest]
 #[case::first_name_is_newer("a", "b")]
 #[case::last_name_is_newer("b", "a")]
-fn newer_life_has_the_address(#[case] newer: &str, #[case] older: &str) {
+fn view_newest_at_address(#[case] newer: &str, #[case] older: &str) {
     let mut records = [
         UpstreamRecord { born_ms: 9, service: ServiceStamp(2), ..record(newer, false) },
         UpstreamRecord { born_ms: 5, ..record(older, false) },
@@ -153,7 +154,7 @@
 #[case::same("a", 900, false, true)]
 #[case::another("b", 0, false, false)]
 #[case::draining("a", 0, true, false)]
-fn digest_tells_lists_apart(
+fn digest_equality(
     #[case] id: &str,
     #[case] warmup_left_ms: Millis,
     #[case] draining: bool,
@@ -165,34 +166,35 @@
     assert_eq!(ours.digest() == theirs.digest(), same);
 }
 
-/// A balancer asks the others how far the list can be trusted: after an outage that they saw the
-/// end of, during one, or in calm.
+/// How long the list may still be incomplete, as reported to other balancers: without an outage,
+/// after an outage that this balancer saw end, or during one.
 #[rstest]
 #[case::calm(10_000, 9_000, false, 0)]
 #[case::after_an_outage(10_000, 11_500, false, 1_500)]
 #[case::in_an_outage(10_000, 0, true, OUTAGE_LINGER_MS)]
 #[case::in_the_next_outage(10_000, 10_200, true, OUTAGE_LINGER_MS)]
-fn whole_in(
+fn whole_in_ms_outage(
     #[case] now_ms: Millis,
-    #[case] whole_from_ms: Millis,
-    #[case] out_of_reach: bool,
+    #[case] complete_from_ms: Millis,
+    #[case] unreachable: bool,
     #[case] expected: Millis,
 ) {
-    assert_eq!(whole_in_ms(now_ms, whole_from_ms, out_of_reach), expected);
+    assert_eq!(whole_in_ms(now_ms, complete_from_ms, unreachable), expected);
 }
 
-/// A reader tells what has changed; another balancer's list follows it by the changes alone, also
-/// when it has some of them already. Where it lacks an earlier one, the digest says so.
+/// A reader sends deltas, and another balancer's list is brought up to date by them alone, also if
+/// it contains some of the changes already. If it lacks an earlier change, the digests differ.
 #[rstest]
 #[case::just_before(2, true)]
 #[case::some_known(3, true)]
 #[case::one_lost(0, false)]
-fn list_is_patched_by_changes(#[case] known: usize, #[case] patched: bool) {
-    let elsewhere = UpstreamRecord { address: Ipv4Addr::new(10, 0, 0, 2), ..record("b", false) };
+fn patch_delta(#[case] known: usize, #[case] patched: bool) {
+    let other_address =
+        UpstreamRecord { address: Ipv4Addr::new(10, 0, 0, 2), ..record("b", false) };
     let changes = [
         Change::Listed(record("a", false)),
         Change::Listed(record("c", false)),
-        Change::Listed(elsewhere),
+        Change::Listed(other_address),
         Change::Listed(record("a", true)),
         Change::Gone("b".into()),
         Change::Listed(UpstreamRecord { born_ms: 9, ..record("a", false) }),
@@ -204,14 +206,14 @@
     assert_eq!(ours.patch(0, &delta, theirs.digest()), patched);
 }
 
-/// An upstream has crashed, and another one with a new name runs at its address; neither tells when it
-/// started. A balancer takes the whole list while both are in it, in the order of their names. Once the
-/// old entry is gone, it must not hide the new one: its flows were reset as those of an upstream that is
-/// gone.
+/// An upstream has crashed, and another one with a new name runs at its address. Neither entry
+/// states when its upstream started. A balancer reads the whole list, sorted by name, while it
+/// contains both. Once the old entry is removed, it must not hide the new one. When it did, flows
+/// of the new upstream were reset because it counted as gone.
 #[rstest]
 #[case::new_name_sorts_first("a", "z")]
 #[case::new_name_sorts_last("z", "a")]
-fn gone_entry_hides_no_listed_one_at_its_address(#[case] new: &str, #[case] old: &str) {
+fn view_removed_entry_at_address(#[case] new: &str, #[case] old: &str) {
     let mut membership = Membership::default();
     membership.insert(0, &record(old, false));
     let mut both = [record(new, false), record(old, false)];
--- a/crates/steering/tests/routes.rs
+++ b/crates/steering/tests/routes.rs
@@ -1,9 +1,9 @@
-//! Changes of the table of routes, as balancers tell them to each other.
+//! Tests of changes to the routes table, as balancers send them to each other.
 
 use rstest::rstest;
 use steering::view::{Route, RouteTable, Service, ServiceStamp, Share};
 
-/// A table of routes, each a port and the service that it leads to.
+/// A table of routes, each given as a port and the service that it points to.
 fn table(version: u64, routes: &[(u16, u32)]) -> RouteTable {
     let route = |(port, service): &(u16, u32)| Route {
         endpoint: format!("198.18.0.1:{port}").parse().unwrap(),
@@ -24,7 +24,7 @@
 #[case::removed(&[(80, 1), (81, 2)], &[(81, 2)], 0, 1)]
 #[case::other_service(&[(80, 1), (81, 2)], &[(80, 2), (81, 2)], 1, 0)]
 #[case::all_at_once(&[(80, 1), (81, 2)], &[(80, 2), (82, 1)], 2, 1)]
-fn changes_lead_from_one_table_to_the_next(
+fn patched_applies_delta(
     #[case] old: &[(u16, u32)],
     #[case] new: &[(u16, u32)],
     #[case] changed: usize,
@@ -36,20 +36,20 @@
     assert_eq!(old.patched(7, &delta), Some(new));
 }
 
-/// A balancer that missed a version, or has other routes, must not be patched.
+/// A delta must not be applied by a balancer that missed a version or has other routes.
 #[rstest]
 #[case::other_version(table(3, &[(80, 1)]))]
 #[case::other_routes(table(4, &[(80, 2)]))]
-fn changes_fit_the_table_that_they_were_made_for(#[case] ours: RouteTable) {
+fn patched_other_table(#[case] ours: RouteTable) {
     let delta = table(7, &[(80, 1), (81, 2)]).delta_from(&table(4, &[(80, 1)]));
     assert_eq!(ours.patched(7, &delta), None);
 }
 
-/// A change of one route is told in as little, however many routes there are.
+/// A change to one route takes a delta of one entry, regardless of the number of routes.
 #[rstest]
 #[case::few(10)]
 #[case::many(1_900)]
-fn changes_do_not_grow_with_the_table(#[case] count: u16) {
+fn delta_from_size(#[case] count: u16) {
     let routes: Vec<(u16, u32)> = (1..=count).map(|port| (port, 1)).collect();
     let mut moved = routes.clone();
     moved[3].1 = 2;
