--- a/crates/steering/tests/common/mod.rs
+++ b/crates/steering/tests/common/mod.rs
@@ -52,7 +52,7 @@
     View::new(routes, numbered.map(|(standing, number)| upstream(number, *standing)).collect())
 }
 
-pub(crate) fn calm_view() -> View {
+pub(crate) fn all_ready_view() -> View {
     view_of(&[READY; UPSTREAMS as usize])
 }
 
@@ -104,7 +104,11 @@
 }
 
 /// As [`tick`] for flows whose packets tell their numbers: with the data at which each action is.
-pub(crate) fn tick_kept(edge: &mut Edge, now_ms: Millis, view: &View) -> Vec<(Segment, Action)> {
+pub(crate) fn tick_with_segments(
+    edge: &mut Edge,
+    now_ms: Millis,
+    view: &View,
+) -> Vec<(Segment, Action)> {
     let mut actions = Vec::new();
     edge.on_tick(now_ms, view, &mut actions);
     let number = |kept: &[u8]| u16::from_le_bytes([kept[0], kept[1]]);
--- a/crates/steering/tests/edge_bounds.rs
+++ b/crates/steering/tests/edge_bounds.rs
@@ -4,7 +4,7 @@
 
 use std::net::Ipv4Addr;
 
-use common::{READY, calm_view, data, opening, packet, target, tick, verdict, view_of};
+use common::{READY, all_ready_view, data, opening, packet, target, tick, verdict, view_of};
 use rstest::rstest;
 use steering::edge::{Edge, Verdict};
 use steering::flow::{Millis, Segment};
@@ -79,7 +79,7 @@
 #[case::behind(300, false)]
 #[case::upstream_is_silent(2, true)]
 fn backlog_is_no_silence(#[case] round_trip_ms: Millis, #[case] repeats: bool) {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let mut asked: Vec<(Millis, u16, Ipv4Addr)> = Vec::new();
     for now_ms in (0..1_000).step_by(10) {
         let number = now_ms as u16 + 1;
--- a/crates/steering/tests/edge_openings.rs
+++ b/crates/steering/tests/edge_openings.rs
@@ -5,7 +5,7 @@
 use std::net::Ipv4Addr;
 
 use common::{
-    READY, calm_view, data, flow, hops_to, opening, packet, target, tick, verdict, view_of,
+    READY, all_ready_view, data, flow, hops_to, opening, packet, target, tick, verdict, view_of,
 };
 use rstest::rstest;
 use steering::edge::{Action, Edge, RETRANSMIT_AFTER_MS, Reason, Verdict};
@@ -15,7 +15,7 @@
 /// A balancer that knows an opening, and one that does not, ask the same upstreams first.
 #[test]
 fn placement_stays_within_the_first_ranks() {
-    let view = calm_view();
+    let view = all_ready_view();
     for number in 1..200 {
         let placed = target(&packet(&mut Edge::default(), 0, &view, &opening(number, 0))[0]);
         let hops = hops_to(&mut Edge::default(), &view, &data(number, 5), placed);
@@ -29,7 +29,7 @@
 #[case::answered(true, 0)]
 #[case::unanswered(false, 1)]
 fn unanswered_opening_goes_to_the_next(#[case] answered: bool, #[case] replays: usize) {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let first = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
     if answered {
         verdict(
@@ -72,7 +72,7 @@
 #[test]
 fn near_upstream_is_chosen_among_equals() {
     let here = ZoneStamp(7);
-    let view = calm_view();
+    let view = all_ready_view();
     let near = view.upstreams()[2].address;
     let zoned = view.upstreams().iter().map(|upstream| match upstream.address == near {
         true => Upstream { zone: here, ..*upstream },
@@ -126,7 +126,7 @@
 }
 
 #[rstest]
-#[case::known_version(calm_view(), Action::Reset { reason: Reason::NoRoute })]
+#[case::known_version(all_ready_view(), Action::Reset { reason: Reason::NoRoute })]
 #[case::nothing_known(View::default(), Action::Drop { reason: Reason::Unknown })]
 fn opening_without_route(#[case] view: View, #[case] expected: Action) {
     let endpoint = "198.18.0.9:443".parse().unwrap();
@@ -160,7 +160,7 @@
 #[case::the_second(77_301, 1)]
 #[case::the_second_across_zero(2, 2)]
 fn flow_opened_twice_is_where_the_caller_says(#[case] acknowledged: u32, #[case] expected: usize) {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let first = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
     let second = target(&packet(&mut edge, 200, &view, &opening(1, 1))[0]).unwrap();
     assert_ne!(first, second);
@@ -179,7 +179,7 @@
 /// further packets went there for seconds.
 #[test]
 fn denied_copy_of_an_opening_leaves_the_open_flow() {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let holder = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
     let held = Verdict::Held { busy: 0, opening_sequence: Some(1_000) };
     verdict(&mut edge, 2, &view, holder, held, &opening(1, 0));
@@ -204,7 +204,7 @@
     #[case] denied_after_ms: Millis,
     #[case] refused: bool,
 ) {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let run = |edge: &mut Edge, from_ms: Millis, to_ms: Millis| {
         (from_ms..=to_ms).step_by(50).for_each(|now_ms| drop(tick(edge, now_ms, &view)));
     };
@@ -232,7 +232,7 @@
 #[case::in_time(2, true)]
 #[case::behind(60, false)]
 fn opening_is_not_refused_while_behind(#[case] round_trip_ms: Millis, #[case] refused: bool) {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let held = Verdict::Held { busy: 0, opening_sequence: None };
     for number in 10..20 {
         let now_ms = Millis::from(number) * 5;
@@ -258,7 +258,7 @@
 #[case::at_once(10, true)]
 #[case::after_a_pause(3_000, false)]
 fn old_opening_is_not_refused(#[case] denied_ms: Millis, #[case] refused: bool) {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     packet(&mut edge, 0, &view, &opening(1, 0));
     let mut actions = packet(&mut edge, denied_ms, &view, &opening(1, 1));
     while let Some(from) = actions.first().and_then(target) {
--- a/crates/steering/tests/edge_proof.rs
+++ b/crates/steering/tests/edge_proof.rs
@@ -4,7 +4,9 @@
 
 use std::net::Ipv4Addr;
 
-use common::{READY, calm_view, data, hops_to, opening, packet, target, tick, verdict, view_of};
+use common::{
+    READY, all_ready_view, data, hops_to, opening, packet, target, tick, verdict, view_of,
+};
 use rstest::rstest;
 use steering::edge::{Action, Edge, RETRANSMIT_AFTER_MS, Reason, Trust, Verdict};
 use steering::flow::Millis;
@@ -14,7 +16,7 @@
 /// its request until its time is up; a reset lets it ask anew at once.
 #[test]
 fn flow_that_all_deny_is_reset() {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     assert_eq!(hops_to(&mut edge, &view, &data(1, 5), None), None);
 }
 
@@ -22,7 +24,7 @@
 /// belong to an upstream that lives, silence is no denial, and right after an outage of the
 /// configuration service the list may lack upstreams.
 #[rstest]
-#[case::all_deny(calm_view(), 0, true)]
+#[case::all_deny(all_ready_view(), 0, true)]
 #[case::one_went_lately(view_of(&[READY, READY, Standing::Missing { since_ms: 0, drained: false }]), 1, false)]
 #[case::one_drains(view_of(&[READY, Standing::Draining, READY]), 1, false)]
 #[case::nothing_known(View::default(), 0, false)]
@@ -69,7 +71,7 @@
 /// the caller learns it by a reset, without having to repeat its request first.
 #[test]
 fn flow_is_proven_lost_when_the_last_upstream_is_back() {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let segment = data(1, 5);
     let down = Ipv4Addr::new(10, 0, 0, 3);
     let mut actions = packet(&mut edge, 0, &view, &segment);
--- a/crates/steering/tests/edge_search.rs
+++ b/crates/steering/tests/edge_search.rs
@@ -5,7 +5,8 @@
 use std::net::Ipv4Addr;
 
 use common::{
-    READY, calm_view, data, ending, flow, hops_to, opening, packet, target, tick, verdict, view_of,
+    READY, all_ready_view, data, ending, flow, hops_to, opening, packet, target, tick, verdict,
+    view_of,
 };
 use rstest::rstest;
 use steering::edge::{Counters, Edge, RETRANSMIT_AFTER_MS, Verdict};
@@ -17,7 +18,7 @@
 /// found by asking, each upstream once, and the next packet goes there directly.
 #[rstest]
 fn flow_without_memory_is_found(#[values(1, 2, 3, 4, 5)] holder: u8) {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let holder = Ipv4Addr::new(10, 0, 0, holder);
     assert!(hops_to(&mut edge, &view, &data(1, 5), Some(holder)).is_some());
     verdict(
@@ -36,7 +37,7 @@
 /// others as well, so that the flow is found without the one that is silent.
 #[test]
 fn repeated_data_asks_others_too() {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     packet(&mut edge, 0, &view, &data(1, 5));
     assert_eq!(packet(&mut edge, 20, &view, &data(1, 5)).len(), 1, "a copy of the network's");
     assert_eq!(packet(&mut edge, 200, &view, &data(1, 5)).len(), 4);
@@ -45,7 +46,7 @@
 /// Packets of flows that nobody knows cost no more memory than the bound allows.
 #[test]
 fn flood_of_unknown_flows_is_bounded() {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     for number in 0..200_000_u32 {
         let caller = std::net::SocketAddrV4::new(
             Ipv4Addr::from_bits(number / 50_000),
@@ -60,7 +61,7 @@
 /// A flood of packets of unknown flows is not kept for repetition beyond the bound.
 #[test]
 fn repetition_of_a_flood_is_bounded() {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     for number in 1..20_000 {
         packet(&mut edge, 0, &view, &data(number, 5));
     }
@@ -89,7 +90,7 @@
 /// The flow was found; denials of upstreams that were asked before arrive late.
 #[test]
 fn late_denials_change_nothing_once_the_flow_is_found() {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let segment = data(1, 5);
     let first = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
     let asked = tick(&mut edge, 150, &view);
@@ -193,7 +194,7 @@
 /// packet for two seconds.
 #[test]
 fn known_flow_is_not_copied_to_others() {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let segment = data(1, 5);
     let holder = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
     let held = Verdict::Held { busy: 0, opening_sequence: None };
@@ -225,7 +226,7 @@
 #[case::at_the_first(1, Counters { flows_found: 1, upstreams_asked: 1, copies: 0, suppressed: 0, denials: 0 })]
 #[case::at_the_third(3, Counters { flows_found: 1, upstreams_asked: 3, copies: 0, suppressed: 0, denials: 2 })]
 fn counters_of_a_search(#[case] rank: u64, #[case] expected: Counters) {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let segment = data(1, 5);
     let mut asked = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
     for _ in 1..rank {
@@ -244,7 +245,7 @@
 /// the upstream that holds the flow.
 #[test]
 fn ended_flow_is_looked_for_beyond_a_dead_upstream() {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let segment = ending(1, 105);
     let dead = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
     let arrivals = search(&mut edge, &view, &segment, &[dead], 1_000);
@@ -257,7 +258,7 @@
 /// The same with bare acknowledgements, which no upstream answers.
 #[test]
 fn acknowledgements_do_not_stick_to_a_dead_upstream() {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let bare = Segment { data_bytes: 0, ..data(1, 105) };
     let dead = target(&packet(&mut edge, 0, &view, &bare)[0]).unwrap();
     let later: Vec<Ipv4Addr> = [200, 600, 1_400, 3_000]
@@ -272,7 +273,7 @@
 /// packet of the caller went to the address that is no longer listed.
 #[test]
 fn unlisted_upstream_is_asked_no_more() {
-    let (mut edge, view) = (Edge::default(), calm_view());
+    let (mut edge, view) = (Edge::default(), all_ready_view());
     let dead = target(&packet(&mut edge, 0, &view, &data(1, 5))[0]).unwrap();
     let rest = view.upstreams().iter().filter(|upstream| upstream.address != dead).copied();
     let shorter = View::new(std::sync::Arc::clone(&view.routes), rest.collect());
--- a/crates/steering/tests/edge_size.rs
+++ b/crates/steering/tests/edge_size.rs
@@ -89,7 +89,7 @@
             }
             if now_ms % 20 == 0 {
                 // The core gives the kept packet; here it tells by its number whose it is.
-                for (kept, action) in common::tick_kept(&mut edge, now_ms, view) {
+                for (kept, action) in common::tick_with_segments(&mut edge, now_ms, view) {
                     actions.push((kept, action));
                 }
             }
@@ -266,7 +266,7 @@
             actions.extend(said.into_iter().map(|action| (segment, action)));
         }
         if now_ms % 20 == 0 {
-            actions.extend(common::tick_kept(&mut edge, now_ms, &view));
+            actions.extend(common::tick_with_segments(&mut edge, now_ms, &view));
         }
         if REPEATS_MS.contains(&(now_ms - 2)) {
             for segment in there.iter().map(|number| data(*number, 105)) {
@@ -329,7 +329,7 @@
             verdict(&mut edge, now_ms, &view, holder, Verdict::Alive, &data(0, 0));
         }
         if now_ms % 20 == 0 {
-            actions.extend(common::tick_kept(&mut edge, now_ms, &view));
+            actions.extend(common::tick_with_segments(&mut edge, now_ms, &view));
         }
         if REPEATS_MS.contains(&now_ms) {
             for segment in (1..=10).map(|number| data(number, 5)) {
