--- a/crates/steering/tests/edge_fleet.rs
+++ b/crates/steering/tests/edge_fleet.rs
@@ -12,57 +12,61 @@
 
 /// Time from a balancer with a small share of a processor to an agent and back.
 const ROUND_TRIP_MS: Millis = 4;
-const LENGTH_MS: Millis = 4_000;
+const DURATION_MS: Millis = 4_000;
 /// When a caller sends its request, and repeats it.
-const SENT_MS: [Millis; 3] = [0, 200, 600];
+const CALLER_SENDS_MS: [Millis; 3] = [0, 200, 600];
 
 /// Packets more that the caller's repetitions bring: each goes to one upstream, and copies to three.
-const REPEATED_MAX: usize = 12;
+const EXTRA_PACKETS_MAX: usize = 12;
 
 /// Who was asked, and when, until the flow was found or reset.
-struct Searched {
+struct SearchOutcome {
     asked: Vec<(Millis, Ipv4Addr)>,
     ended_ms: Option<Millis>,
 }
 
-/// A flow that `holder` holds, if anybody does. The first packets for `lossy` get lost.
-fn search(view: &View, holder: Option<Ipv4Addr>, lossy: Option<Ipv4Addr>) -> Searched {
+/// A flow that `holder` holds, if anybody does. The first packets for `first_packet_lost` get lost.
+fn search(
+    view: &View,
+    holder: Option<Ipv4Addr>,
+    first_packet_lost: Option<Ipv4Addr>,
+) -> SearchOutcome {
     let (mut edge, segment) = (Edge::default(), data(1, 5));
-    let mut searched = Searched { asked: Vec::new(), ended_ms: None };
-    let mut answers: Vec<(Millis, Ipv4Addr)> = Vec::new();
-    for now_ms in 0..LENGTH_MS {
+    let mut outcome = SearchOutcome { asked: Vec::new(), ended_ms: None };
+    let mut replies: Vec<(Millis, Ipv4Addr)> = Vec::new();
+    for now_ms in 0..DURATION_MS {
         edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut actions: Vec<Action> = Vec::new();
-        for (_, from) in answers.extract_if(.., |(at_ms, _)| *at_ms == now_ms) {
+        for (_, from) in replies.extract_if(.., |(at_ms, _)| *at_ms == now_ms) {
             if Some(from) == holder {
-                searched.ended_ms = Some(now_ms);
-                return searched;
+                outcome.ended_ms = Some(now_ms);
+                return outcome;
             }
             actions.extend(verdict(&mut edge, now_ms, view, from, Verdict::Denied, &segment));
         }
-        if SENT_MS.contains(&now_ms) {
+        if CALLER_SENDS_MS.contains(&now_ms) {
             actions.extend(packet(&mut edge, now_ms, view, &segment));
         }
         if now_ms % 20 == 0 {
             actions.extend(tick(&mut edge, now_ms, view));
         }
         if actions.iter().any(|action| matches!(action, Action::Reset { .. })) {
-            searched.ended_ms = Some(now_ms);
-            return searched;
+            outcome.ended_ms = Some(now_ms);
+            return outcome;
         }
         for to in actions.iter().filter_map(target) {
-            let is_first = !searched.asked.iter().any(|(_, asked)| *asked == to);
-            searched.asked.push((now_ms, to));
-            if Some(to) != lossy || !is_first {
-                answers.push((now_ms + ROUND_TRIP_MS, to));
+            let is_first = !outcome.asked.iter().any(|(_, asked)| *asked == to);
+            outcome.asked.push((now_ms, to));
+            if Some(to) != first_packet_lost || !is_first {
+                replies.push((now_ms + ROUND_TRIP_MS, to));
             }
         }
     }
-    searched
+    outcome
 }
 
 /// The upstreams in the order in which they are asked.
-fn ranks(view: &View) -> Vec<Ipv4Addr> {
+fn search_order(view: &View) -> Vec<Ipv4Addr> {
     search(view, None, None).asked.into_iter().map(|(_, to)| to).collect()
 }
 
@@ -73,58 +77,61 @@
 /// Five hundred and forty-three upstreams were asked one after the other: a lost flow took over two
 /// seconds to prove.
 #[rstest]
-#[case::part(109)]
+#[case::largest_service(109)]
 #[case::fleet(543)]
 #[case::twice_the_fleet(1_086)]
-fn lost_flow_is_proven_in_few_round_trips(#[case] upstreams: usize) {
-    let searched = search(&fleet(upstreams), None, None);
-    let ended_ms = searched.ended_ms.unwrap();
-    let rounds = ended_ms / ROUND_TRIP_MS;
-    assert!(rounds <= 16 + upstreams as u64 / 16, "{rounds} round trips");
-    let packets = searched.asked.len();
-    assert!(packets <= upstreams + REPEATED_MAX, "{packets} packets for {upstreams} upstreams");
+fn lost_flow_is_reset_within_few_round_trips(#[case] upstreams: usize) {
+    let outcome = search(&fleet(upstreams), None, None);
+    let ended_ms = outcome.ended_ms.unwrap();
+    let round_trips = ended_ms / ROUND_TRIP_MS;
+    assert!(round_trips <= 16 + upstreams as u64 / 16, "{round_trips} round trips");
+    let packets = outcome.asked.len();
+    assert!(
+        packets <= upstreams + EXTRA_PACKETS_MAX,
+        "{packets} packets for {upstreams} upstreams"
+    );
 }
 
 #[rstest]
 #[case::first_rank(0, 1)]
 #[case::third_rank(2, 3)]
 #[case::tenth_rank(9, 14)]
-fn found_flow_costs_little_more_than_its_rank(#[case] rank: usize, #[case] expected: usize) {
+fn search_sends_few_packets_beyond_the_holders_rank(#[case] rank: usize, #[case] expected: usize) {
     let view = fleet(543);
-    let holder = ranks(&view)[rank];
-    let searched = search(&view, Some(holder), None);
-    assert!(searched.ended_ms.is_some());
-    assert!(searched.asked.len() <= expected, "{} packets", searched.asked.len());
+    let holder = search_order(&view)[rank];
+    let outcome = search(&view, Some(holder), None);
+    assert!(outcome.ended_ms.is_some());
+    assert!(outcome.asked.len() <= expected, "{} packets", outcome.asked.len());
 }
 
 /// The packet for the upstream that holds the flow gets lost: it came again after all others had been
 /// asked, two seconds later, and a living flow counted as broken.
 #[rstest]
-#[case::part(109)]
+#[case::largest_service(109)]
 #[case::fleet(543)]
 #[case::twice_the_fleet(1_086)]
-fn upstream_whose_packet_got_lost_is_asked_again_soon(#[case] upstreams: usize) {
+fn holder_is_asked_again_soon_after_packet_loss(#[case] upstreams: usize) {
     let view = fleet(upstreams);
     for rank in [0, 1, 2, 20] {
-        let holder = ranks(&view)[rank];
-        let searched = search(&view, Some(holder), Some(holder));
-        let ended_ms = searched.ended_ms.unwrap();
+        let holder = search_order(&view)[rank];
+        let outcome = search(&view, Some(holder), Some(holder));
+        let ended_ms = outcome.ended_ms.unwrap();
         assert!(ended_ms < 400, "rank {rank}: found after {ended_ms} ms");
     }
 }
 
 /// No upstream is asked again while it has time to answer.
 #[test]
-fn upstream_that_is_at_work_gets_no_second_packet() {
+fn upstream_within_its_reply_time_gets_no_second_packet() {
     let view = fleet(543);
-    let holder = ranks(&view)[0];
+    let holder = search_order(&view)[0];
     let (mut edge, segment) = (Edge::default(), data(1, 5));
-    let mut answers: Vec<(Millis, Ipv4Addr, Segment)> = Vec::new();
+    let mut replies: Vec<(Millis, Ipv4Addr, Segment)> = Vec::new();
     let mut sent_to_holder = 0;
     for now_ms in 0..100 {
         edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut actions: Vec<Action> = Vec::new();
-        for (_, from, segment) in answers.extract_if(.., |(at_ms, ..)| *at_ms == now_ms) {
+        for (_, from, segment) in replies.extract_if(.., |(at_ms, ..)| *at_ms == now_ms) {
             actions.extend(verdict(&mut edge, now_ms, &view, from, Verdict::Denied, &segment));
         }
         if now_ms == 0 {
@@ -136,7 +143,7 @@
         for to in actions.iter().filter_map(target) {
             match to == holder {
                 true => sent_to_holder += 1,
-                false => answers.push((now_ms + ROUND_TRIP_MS, to, segment)),
+                false => replies.push((now_ms + ROUND_TRIP_MS, to, segment)),
             }
         }
     }
--- a/crates/steering/tests/edge_long_answers.rs
+++ b/crates/steering/tests/edge_long_answers.rs
@@ -16,11 +16,11 @@
 /// Time from a balancer to an agent and back.
 const ROUND_TRIP_MS: Millis = 2;
 /// Until when the holder must have got a packet, so that callers see no broken flow.
-const FOUND_WITHIN_MS: Millis = 2_000;
+const SEARCH_DEADLINE_MS: Millis = 2_000;
 /// When an upstream that gets no acknowledgements repeats its answer, and its caller acknowledges it.
-const REPEATED_MS: [Millis; 4] = [200, 600, 1_400, 3_000];
+const UPSTREAM_RETRANSMITS_MS: [Millis; 4] = [200, 600, 1_400, 3_000];
 /// Acknowledgements of the first packets of an answer, one for every two.
-const ACKNOWLEDGED_AT_ONCE: usize = 8;
+const INITIAL_ACKNOWLEDGEMENTS: usize = 8;
 const GONE: Standing = Standing::Missing { since_ms: 0, drained: true };
 
 fn acknowledgement(flow: FlowKey) -> Segment {
@@ -37,8 +37,8 @@
 /// How many acknowledgements a caller sends at this moment whose upstream gets none.
 fn acknowledgements_at(now_ms: Millis) -> usize {
     match now_ms {
-        0 => ACKNOWLEDGED_AT_ONCE,
-        _ => usize::from(REPEATED_MS.contains(&now_ms)),
+        0 => INITIAL_ACKNOWLEDGEMENTS,
+        _ => usize::from(UPSTREAM_RETRANSMITS_MS.contains(&now_ms)),
     }
 }
 
@@ -71,16 +71,16 @@
 /// When the holder gets the first packet of a balancer that never saw its flow; `lost` ones do not arrive.
 fn found_ms(view: &View, flow: FlowKey, holder: Ipv4Addr, lost: usize) -> Option<Millis> {
     let (mut edge, segment) = (Edge::default(), acknowledgement(flow));
-    let is_there = |address: Ipv4Addr| {
+    let is_ready_at = |address: Ipv4Addr| {
         view.upstream_at(address).is_some_and(|upstream| upstream.standing == Standing::Ready)
     };
     let mut denials: Vec<(Millis, Ipv4Addr)> = Vec::new();
-    let mut words: Vec<(Millis, Ipv4Addr)> = Vec::new();
+    let mut alive_replies: Vec<(Millis, Ipv4Addr)> = Vec::new();
     let mut sent_to_holder = 0;
     for now_ms in 0..5_000 {
         edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut actions = Vec::new();
-        for (_, from) in words.extract_if(.., |(at_ms, _)| *at_ms == now_ms) {
+        for (_, from) in alive_replies.extract_if(.., |(at_ms, _)| *at_ms == now_ms) {
             verdict(&mut edge, now_ms, view, from, Verdict::Alive, &segment);
         }
         for (_, from) in denials.extract_if(.., |(at_ms, _)| *at_ms == now_ms) {
@@ -91,15 +91,15 @@
         }
         if now_ms % 20 == 0 {
             actions.extend(tick(&mut edge, now_ms, view));
-            let pinged = edge.take_pings(now_ms, view).into_iter().filter(|to| is_there(*to));
-            words.extend(pinged.map(|to| (now_ms + ROUND_TRIP_MS, to)));
+            let pinged = edge.take_pings(now_ms, view).into_iter().filter(|to| is_ready_at(*to));
+            alive_replies.extend(pinged.map(|to| (now_ms + ROUND_TRIP_MS, to)));
         }
         for to in actions.iter().filter_map(target) {
             sent_to_holder += usize::from(to == holder);
             if sent_to_holder > lost {
                 return Some(now_ms);
             }
-            if is_there(to) && to != holder {
+            if is_ready_at(to) && to != holder {
                 denials.push((now_ms + ROUND_TRIP_MS, to));
             }
         }
@@ -114,7 +114,7 @@
 #[case::twice_the_service(48, 26, 200)]
 #[case::fleet(543, 270, 100)]
 #[case::twice_the_fleet(1_086, 540, 50)]
-fn flow_in_a_long_answer_is_found_behind_upstreams_that_have_left(
+fn flow_in_a_long_answer_is_found_despite_departed_upstreams(
     #[case] ready: u16,
     #[case] gone: u16,
     #[case] flows: u16,
@@ -126,7 +126,7 @@
         let view = view(flow, ready, gone);
         for holder in ready_by_rank(&view, flow).into_iter().take(3) {
             match found_ms(&view, flow, holder, lost) {
-                Some(at_ms) if at_ms < FOUND_WITHIN_MS => {}
+                Some(at_ms) if at_ms < SEARCH_DEADLINE_MS => {}
                 at_ms => late.push((port, holder, at_ms)),
             }
         }
@@ -136,18 +136,18 @@
 
 /// Flows of a neighbor that come to a balancer at once, each with an acknowledgement whenever its upstream
 /// sends again; those whose holder gets no packet in time.
-fn unfound(flows: u16, ready: u16, gone: u16) -> usize {
+fn count_flows_not_found(flows: u16, ready: u16, gone: u16) -> usize {
     let (mut edge, view) = (Edge::default(), view(common::flow(1), ready, gone));
     let segments: Vec<Segment> =
         (1..=flows).map(|port| acknowledgement(common::flow(port))).collect();
     let mut searched: Vec<(Ipv4Addr, bool)> =
         segments.iter().map(|segment| (ready_by_rank(&view, segment.flow)[2], false)).collect();
     let mut replies: Vec<(Millis, Ipv4Addr, usize, Verdict)> = Vec::new();
-    for now_ms in 0..FOUND_WITHIN_MS {
+    for now_ms in 0..SEARCH_DEADLINE_MS {
         edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut sent: Vec<(usize, Ipv4Addr)> = Vec::new();
-        for (_, from, index, word) in replies.extract_if(.., |(at_ms, ..)| *at_ms == now_ms) {
-            let actions = verdict(&mut edge, now_ms, &view, from, word, &segments[index]);
+        for (_, from, index, reply) in replies.extract_if(.., |(at_ms, ..)| *at_ms == now_ms) {
+            let actions = verdict(&mut edge, now_ms, &view, from, reply, &segments[index]);
             sent.extend(actions.iter().filter_map(target).map(|to| (index, to)));
         }
         for (index, segment) in segments.iter().enumerate() {
@@ -172,12 +172,12 @@
             let upstream = view.upstream_at(to).unwrap();
             let (holder, found) = &mut searched[index];
             *found |= to == *holder;
-            let word = match to == *holder {
+            let reply = match to == *holder {
                 true => Verdict::Held { busy: 0, opening_sequence: None },
                 false => Verdict::Denied,
             };
             if upstream.standing == Standing::Ready {
-                replies.push((now_ms + ROUND_TRIP_MS, to, index, word));
+                replies.push((now_ms + ROUND_TRIP_MS, to, index, reply));
             }
         }
     }
@@ -188,9 +188,13 @@
 /// needed one more question stood still.
 #[rstest]
 #[case::service(400, 24, 13)]
-#[case::part(400, 109, 54)]
+#[case::largest_service(400, 109, 54)]
 #[case::fleet(400, 543, 270)]
-#[case::twice(800, 1_086, 540)]
-fn flows_of_a_neighbor_are_all_found(#[case] flows: u16, #[case] ready: u16, #[case] gone: u16) {
-    assert_eq!(unfound(flows, ready, gone), 0);
+#[case::twice_the_fleet(800, 1_086, 540)]
+fn flows_taken_over_from_a_neighbor_are_all_found(
+    #[case] flows: u16,
+    #[case] ready: u16,
+    #[case] gone: u16,
+) {
+    assert_eq!(count_flows_not_found(flows, ready, gone), 0);
 }
--- a/crates/steering/tests/edge_search.rs
+++ b/crates/steering/tests/edge_search.rs
@@ -17,7 +17,7 @@
 /// The fabric moves a caller's flow to a balancer that never saw it. Wherever the flow lives, it is
 /// found by asking, each upstream once, and the next packet goes there directly.
 #[rstest]
-fn flow_without_memory_is_found(#[values(1, 2, 3, 4, 5)] holder: u8) {
+fn flow_without_an_entry_is_found(#[values(1, 2, 3, 4, 5)] holder: u8) {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     let holder = Ipv4Addr::new(10, 0, 0, holder);
     assert!(hops_to(&mut edge, &view, &data(1, 5), Some(holder)).is_some());
@@ -36,7 +36,7 @@
 /// The caller repeats its data since the flow's agent is dead, or the entry is wrong: copies go to
 /// others as well, so that the flow is found without the one that is silent.
 #[test]
-fn repeated_data_asks_others_too() {
+fn retransmitted_data_is_copied_to_other_upstreams() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     packet(&mut edge, 0, &view, &data(1, 5));
     assert_eq!(packet(&mut edge, 20, &view, &data(1, 5)).len(), 1, "a copy of the network's");
@@ -45,7 +45,7 @@
 
 /// Packets of flows that nobody knows cost no more memory than the bound allows.
 #[test]
-fn flood_of_unknown_flows_is_bounded() {
+fn flow_table_is_bounded_in_a_flood() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     for number in 0..200_000_u32 {
         let caller = std::net::SocketAddrV4::new(
@@ -60,7 +60,7 @@
 
 /// A flood of packets of unknown flows is not kept for repetition beyond the bound.
 #[test]
-fn repetition_of_a_flood_is_bounded() {
+fn packets_kept_for_retransmission_are_bounded_in_a_flood() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     for number in 1..20_000 {
         packet(&mut edge, 0, &view, &data(number, 5));
@@ -73,7 +73,7 @@
 /// others. Each such denial led to another upstream, so that the search multiplied, the flow's next
 /// packets went astray, and its upstream got none of them for two seconds.
 #[test]
-fn denied_copies_do_not_lead_on() {
+fn denied_copies_do_not_advance_the_search() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 46]));
     let segment = data(1, 5);
     let holder = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
@@ -89,7 +89,7 @@
 
 /// The flow was found; denials of upstreams that were asked before arrive late.
 #[test]
-fn late_denials_change_nothing_once_the_flow_is_found() {
+fn late_denials_do_not_move_a_found_flow() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     let segment = data(1, 5);
     let first = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
@@ -117,38 +117,41 @@
     edge: &mut Edge,
     view: &View,
     segment: &Segment,
-    silent: &[Ipv4Addr],
+    unresponsive: &[Ipv4Addr],
     until_ms: Millis,
 ) -> Vec<(Millis, Ipv4Addr)> {
-    let mut arrivals = Vec::new();
+    let mut sent = Vec::new();
     for now_ms in 0..until_ms {
         let mut actions = if now_ms == 0 { packet(edge, 0, view, segment) } else { Vec::new() };
         if now_ms % 20 == 0 {
             actions.extend(tick(edge, now_ms, view));
         }
-        let due = |arrival: &&(Millis, Ipv4Addr)| arrival.0 + ROUND_TRIP_MS == now_ms;
-        let answers: Vec<_> = arrivals.iter().filter(due).map(|(_, to)| *to).collect();
-        for from in answers.into_iter().filter(|from| !silent.contains(from)) {
+        let due = |packet_sent: &&(Millis, Ipv4Addr)| packet_sent.0 + ROUND_TRIP_MS == now_ms;
+        let due_replies: Vec<_> = sent.iter().filter(due).map(|(_, to)| *to).collect();
+        for from in due_replies.into_iter().filter(|from| !unresponsive.contains(from)) {
             actions.extend(verdict(edge, now_ms, view, from, Verdict::Denied, segment));
         }
-        arrivals.extend(actions.iter().filter_map(target).map(|to| (now_ms, to)));
+        sent.extend(actions.iter().filter_map(target).map(|to| (now_ms, to)));
     }
-    arrivals
+    sent
 }
 
 /// The upstream that is asked first holds the flow and is at work for a while, beside an agent that has
 /// just started, among forty-six. The search goes on, but packets keep reaching it: led away for two
 /// seconds, its caller would see a flow that stalls although nothing is wrong.
 #[test]
-fn upstream_at_work_keeps_its_packets() {
+fn busy_upstream_keeps_its_packets() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 46]));
     let segment = data(1, 5);
     let holder = target(&packet(&mut Edge::default(), 0, &view, &segment)[0]).unwrap();
-    let arrivals = search(&mut edge, &view, &segment, &[holder], 1_400);
-    let own: Vec<Millis> =
-        arrivals.iter().filter(|(_, to)| *to == holder).map(|(at, _)| *at).collect();
-    assert!(own.windows(2).all(|pair| pair[1] - pair[0] < 1_000), "{own:?}");
-    assert!(own.len() >= 5, "{own:?}");
+    let sent = search(&mut edge, &view, &segment, &[holder], 1_400);
+    let sent_to_holder_ms: Vec<Millis> =
+        sent.iter().filter(|(_, to)| *to == holder).map(|(at, _)| *at).collect();
+    assert!(
+        sent_to_holder_ms.windows(2).all(|pair| pair[1] - pair[0] < 1_000),
+        "{sent_to_holder_ms:?}"
+    );
+    assert!(sent_to_holder_ms.len() >= 5, "{sent_to_holder_ms:?}");
     for (now_ms, sequence) in [(1_600, 5), (1_700, 105)] {
         let actions = packet(&mut edge, now_ms, &view, &data(1, sequence));
         assert!(actions.iter().filter_map(target).any(|to| to == holder), "{now_ms}");
@@ -161,16 +164,16 @@
 #[rstest]
 #[case::one(1, 400)]
 #[case::three(3, 800)]
-fn dead_upstreams_do_not_hold_up_the_search(#[case] dead: usize, #[case] within_ms: Millis) {
+fn dead_upstreams_do_not_delay_the_search(#[case] dead: usize, #[case] within_ms: Millis) {
     let view = view_of(&[READY; 60]);
     let segment = data(1, 5);
     let mut asked: Vec<Ipv4Addr> = Vec::new();
     for _ in 0..dead {
-        let arrivals = search(&mut Edge::default(), &view, &segment, &asked, 1_400);
-        asked.extend(arrivals.iter().map(|(_, to)| *to).find(|to| !asked.contains(to)));
+        let sent = search(&mut Edge::default(), &view, &segment, &asked, 1_400);
+        asked.extend(sent.iter().map(|(_, to)| *to).find(|to| !asked.contains(to)));
     }
-    let arrivals = search(&mut Edge::default(), &view, &segment, &asked, within_ms);
-    let mut reached: Vec<Ipv4Addr> = arrivals.iter().map(|(_, to)| *to).collect();
+    let sent = search(&mut Edge::default(), &view, &segment, &asked, within_ms);
+    let mut reached: Vec<Ipv4Addr> = sent.iter().map(|(_, to)| *to).collect();
     reached.sort_unstable();
     reached.dedup();
     assert_eq!(reached.len(), 60);
@@ -178,12 +181,12 @@
 
 /// A copy reaches the flow's upstream, which answers it: the flow stays there.
 #[test]
-fn flow_found_by_a_copy_stays_found() {
+fn flow_found_by_a_copy_stays_there() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 46]));
     let segment = data(1, 5);
     let dead = target(&packet(&mut Edge::default(), 0, &view, &segment)[0]).unwrap();
-    let arrivals = search(&mut edge, &view, &segment, &[dead], 170);
-    let copied = arrivals.iter().map(|(_, to)| *to).find(|to| *to != dead).unwrap();
+    let sent = search(&mut edge, &view, &segment, &[dead], 170);
+    let copied = sent.iter().map(|(_, to)| *to).find(|to| *to != dead).unwrap();
     let found = Verdict::Held { busy: 0, opening_sequence: None };
     verdict(&mut edge, 160, &view, copied, found, &segment);
     assert_eq!(target(&packet(&mut edge, 161, &view, &data(1, 105))[0]), Some(copied));
@@ -193,7 +196,7 @@
 /// Copies to others find nothing, and count as a flow that is led astray if its own upstream gets no
 /// packet for two seconds.
 #[test]
-fn known_flow_is_not_copied_to_others() {
+fn packets_of_a_confirmed_flow_are_not_copied() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     let segment = data(1, 5);
     let holder = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
@@ -209,12 +212,12 @@
 /// nothing to its packets. When the caller has repeated its request for the third time, 1.4 s after it
 /// first sent it, copies go to others, and the flow's own upstream answers one of them.
 #[test]
-fn flow_at_a_mute_upstream_is_found_in_the_end() {
+fn repeated_retransmissions_of_a_confirmed_flow_are_copied() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 4]));
     let segment = data(1, 5);
-    let mute = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
+    let unresponsive = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
     let held = Verdict::Held { busy: 0, opening_sequence: None };
-    verdict(&mut edge, 1, &view, mute, held, &segment);
+    verdict(&mut edge, 1, &view, unresponsive, held, &segment);
     let copies = [1_000, 1_200, 1_600, 2_400]
         .map(|now_ms| packet(&mut edge, now_ms, &view, &data(1, 105)).len() - 1);
     assert_eq!(copies, [0, 0, 0, 3]);
@@ -223,9 +226,9 @@
 /// The on-call engineer wants to know how far flows are looked for after balancers were replaced: the
 /// mean number of upstreams that are asked for each flow that is found.
 #[rstest]
-#[case::at_the_first(1, Counters { flows_found: 1, upstreams_asked: 1, copies: 0, suppressed: 0, denials: 0 })]
-#[case::at_the_third(3, Counters { flows_found: 1, upstreams_asked: 3, copies: 0, suppressed: 0, denials: 2 })]
-fn counters_of_a_search(#[case] rank: u64, #[case] expected: Counters) {
+#[case::found_at_the_first(1, Counters { flows_found: 1, upstreams_asked: 1, copies: 0, suppressed: 0, denials: 0 })]
+#[case::found_at_the_third(3, Counters { flows_found: 1, upstreams_asked: 3, copies: 0, suppressed: 0, denials: 2 })]
+fn counters_report_the_search_length(#[case] rank: u64, #[case] expected: Counters) {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     let segment = data(1, 5);
     let mut asked = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
@@ -244,12 +247,12 @@
 /// its last packet six times within seven seconds; each of these went to the dead one, and none to
 /// the upstream that holds the flow.
 #[test]
-fn ended_flow_is_looked_for_beyond_a_dead_upstream() {
+fn closing_flow_is_searched_for_beyond_a_dead_upstream() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     let segment = ending(1, 105);
     let dead = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
-    let arrivals = search(&mut edge, &view, &segment, &[dead], 1_000);
-    let mut asked: Vec<Ipv4Addr> = arrivals.into_iter().map(|(_, to)| to).collect();
+    let sent = search(&mut edge, &view, &segment, &[dead], 1_000);
+    let mut asked: Vec<Ipv4Addr> = sent.into_iter().map(|(_, to)| to).collect();
     asked.sort_unstable();
     asked.dedup();
     assert_eq!(asked.len(), 5, "{asked:?}");
@@ -257,7 +260,7 @@
 
 /// The same with bare acknowledgements, which no upstream answers.
 #[test]
-fn acknowledgements_do_not_stick_to_a_dead_upstream() {
+fn acknowledgements_go_beyond_a_dead_upstream() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     let bare = Segment { data_bytes: 0, ..data(1, 105) };
     let dead = target(&packet(&mut edge, 0, &view, &bare)[0]).unwrap();
@@ -272,7 +275,7 @@
 /// The upstream that is asked is dead, and its entry goes while the caller waits. Every further
 /// packet of the caller went to the address that is no longer listed.
 #[test]
-fn unlisted_upstream_is_asked_no_more() {
+fn unlisted_upstream_is_not_asked() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     let dead = target(&packet(&mut edge, 0, &view, &data(1, 5))[0]).unwrap();
     let rest = view.upstreams().iter().filter(|upstream| upstream.address != dead).copied();
@@ -284,7 +287,7 @@
 /// Copies of a repeated packet began further down a list from which those that had denied were gone, and
 /// passed over the holder again and again.
 #[test]
-fn copies_pass_over_nobody() {
+fn copies_skip_no_upstream() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 24]));
     let bare = Segment { data_bytes: 0, ..data(1, 105) };
     let first = target(&packet(&mut edge, 0, &view, &bare)[0]).unwrap();
@@ -306,7 +309,7 @@
 /// All others have denied the flow, and its upstream was asked a moment ago: what its caller sent next was
 /// dropped.
 #[test]
-fn packet_of_a_caller_goes_to_the_last_candidate() {
+fn packet_of_the_caller_goes_to_the_last_candidate() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 3]));
     let holder = target(&packet(&mut Edge::default(), 0, &view, &data(1, 5))[0]).unwrap();
     search(&mut edge, &view, &data(1, 5), &[holder], 190);
@@ -319,12 +322,12 @@
 /// The upstream that answered the opening holds the flow half open and takes its packets without a word.
 /// Where no copies could be sent, all questions went there, and none to the flow's own upstream.
 #[test]
-fn mute_upstream_of_an_opening_does_not_hold_up_the_search() {
+fn unresponsive_upstream_of_an_opening_does_not_block_the_search() {
     let view = view_of(&[READY; 4]);
     let mut edge = Edge::with_policy(Policy { copies: false, ..Policy::default() });
-    let mute = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
+    let unresponsive = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
     let held = Verdict::Held { busy: 0, opening_sequence: Some(1_000) };
-    verdict(&mut edge, 1, &view, mute, held, &opening(1, 0));
+    verdict(&mut edge, 1, &view, unresponsive, held, &opening(1, 0));
     let mut reached = Vec::new();
     for now_ms in 1_000..4_000 {
         let mut actions = Vec::new();
@@ -336,7 +339,7 @@
         }
         while let Some(to) = actions.pop().as_ref().and_then(target) {
             reached.push(to);
-            if to != mute {
+            if to != unresponsive {
                 let denied = Verdict::Denied;
                 actions.extend(verdict(&mut edge, now_ms, &view, to, denied, &ending(1, 5)));
             }
