--- a/crates/steering/tests/edge_bounds.rs
+++ b/crates/steering/tests/edge_bounds.rs
@@ -16,78 +16,78 @@
 /// Once words come again, nothing keeps it from its usual traffic: three seconds later it sends one packet
 /// for each that it takes.
 #[test]
-fn own_packets_stay_a_share_of_callers() {
+fn extra_packets_are_bounded_if_replies_are_lost() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 35]));
-    let (taken, sent) = play(&mut edge, &view, 0..20_000, 10);
-    let saved = 400;
-    assert!(sent <= taken + taken / 10 + saved, "{sent} packets for {taken}");
-    play(&mut edge, &view, 20_000..23_000, 1);
-    let (taken, sent) = play(&mut edge, &view, 23_000..25_000, 1);
-    assert!(sent <= taken + taken / 10, "{sent} packets for {taken}");
+    let (from_callers, sent) = simulate_traffic(&mut edge, &view, 0..20_000, 10);
+    let burst = 400;
+    assert!(sent <= from_callers + from_callers / 10 + burst, "{sent} packets for {from_callers}");
+    simulate_traffic(&mut edge, &view, 20_000..23_000, 1);
+    let (from_callers, sent) = simulate_traffic(&mut edge, &view, 23_000..25_000, 1);
+    assert!(sent <= from_callers + from_callers / 10, "{sent} packets for {from_callers}");
 }
 
 /// Each millisecond a packet, by turns an opening and data of an unknown flow; of the words that follow at
 /// once, one in so many arrives. Returns the packets taken and sent.
-fn play(
+fn simulate_traffic(
     edge: &mut Edge,
     view: &View,
     times_ms: std::ops::Range<Millis>,
-    one_in: Millis,
+    packets_per_reply: Millis,
 ) -> (usize, usize) {
-    let (mut taken, mut sent) = (0, 0);
+    let (mut from_callers, mut sent) = (0, 0);
     for now_ms in times_ms {
         let number = now_ms as u16;
         let segment = if now_ms % 2 == 0 { opening(number, 0) } else { data(number, 5) };
         let actions = packet(edge, now_ms, view, &segment);
-        taken += 1;
+        from_callers += 1;
         sent += actions.len();
-        if now_ms % (2 * one_in) < 2
+        if now_ms % (2 * packets_per_reply) < 2
             && let Some(to) = actions.first().and_then(target)
         {
-            let word = Verdict::Held { busy: 0, opening_sequence: None };
-            sent += verdict(edge, now_ms, view, to, word, &segment).len();
+            let reply = Verdict::Held { busy: 0, opening_sequence: None };
+            sent += verdict(edge, now_ms, view, to, reply, &segment).len();
         }
         if now_ms % 20 == 0 {
             sent += tick(edge, now_ms, view).len();
         }
     }
-    (taken, sent)
+    (from_callers, sent)
 }
 
 /// The same with acknowledgements of long answers on flows that it does not know, several for each: whoever
 /// is silent, it sends no more of its own than its callers send.
 #[test]
-fn own_packets_of_long_answers_stay_below_callers() {
+fn extra_packets_for_long_answers_are_bounded() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 35]));
-    let (mut taken, mut sent) = (0, 0);
+    let (mut from_callers, mut sent) = (0, 0);
     for now_ms in 0..20_000 {
         let bare = Segment { data_bytes: 0, ..data((now_ms / 8) as u16, 5) };
         sent += packet(&mut edge, now_ms, &view, &bare).len();
-        taken += 1;
+        from_callers += 1;
         if now_ms % 20 == 0 {
             sent += tick(&mut edge, now_ms, &view).len();
         }
     }
-    let saved = 400;
-    assert!(sent <= 2 * taken + saved, "{sent} packets for {taken}");
+    let burst = 400;
+    assert!(sent <= 2 * from_callers + burst, "{sent} packets for {from_callers}");
 }
 
 /// Packets wait for 300 ms before this process reads them, so all words of agents come late. An opening
 /// whose answer waits among them looks unanswered; sent to a second upstream, it makes the backlog
 /// longer. Nothing is repeated until words come soon again.
 #[rstest]
-#[case::behind(300, false)]
-#[case::upstream_is_silent(2, true)]
-fn backlog_is_no_silence(#[case] round_trip_ms: Millis, #[case] repeats: bool) {
+#[case::late_replies(300, false)]
+#[case::upstream_does_not_reply(2, true)]
+fn delayed_replies_suspend_retransmissions(#[case] round_trip_ms: Millis, #[case] repeats: bool) {
     let (mut edge, view) = (Edge::default(), all_ready_view());
-    let mut asked: Vec<(Millis, u16, Ipv4Addr)> = Vec::new();
+    let mut awaited: Vec<(Millis, u16, Ipv4Addr)> = Vec::new();
     for now_ms in (0..1_000).step_by(10) {
         let number = now_ms as u16 + 1;
         let to = target(&packet(&mut edge, now_ms, &view, &opening(number, 0))[0]).unwrap();
-        asked.push((now_ms, number, to));
-        for (_, number, from) in asked.extract_if(.., |(at, ..)| *at + round_trip_ms <= now_ms) {
-            let word = Verdict::Held { busy: 0, opening_sequence: Some(1) };
-            verdict(&mut edge, now_ms, &view, from, word, &opening(number, 0));
+        awaited.push((now_ms, number, to));
+        for (_, number, from) in awaited.extract_if(.., |(at, ..)| *at + round_trip_ms <= now_ms) {
+            let reply = Verdict::Held { busy: 0, opening_sequence: Some(1) };
+            verdict(&mut edge, now_ms, &view, from, reply, &opening(number, 0));
         }
     }
     packet(&mut edge, 1_000, &view, &opening(5_000, 0));
--- a/crates/steering/tests/edge_size.rs
+++ b/crates/steering/tests/edge_size.rs
@@ -14,66 +14,66 @@
 /// Upstreams of the largest service of a fleet of 195 instances.
 const UPSTREAMS: usize = 109;
 /// When a caller sends a request, and repeats it.
-const REPEATS_MS: [Millis; 5] = [0, 200, 600, 1_400, 3_000];
+const CALLER_SENDS_MS: [Millis; 5] = [0, 200, 600, 1_400, 3_000];
 
 /// What the callers' requests came to.
 #[derive(Debug, Default)]
-struct Searched {
+struct Outcome {
     /// Packets that callers have sent.
-    taken: usize,
+    caller_packets: usize,
     /// Packets that went to agents, with their times.
     asked: Vec<(Millis, Ipv4Addr)>,
     /// When callers were told that their flows are lost.
-    resets: Vec<Millis>,
+    reset_after_ms: Vec<Millis>,
     /// When these callers began.
-    began: Vec<Millis>,
+    began_ms: Vec<Millis>,
     /// Agents that were pinged.
     pinged: Vec<Ipv4Addr>,
 }
 
-impl Searched {
+impl Outcome {
     fn asked_of(&self, address: Ipv4Addr) -> usize {
         self.asked.iter().filter(|(_, to)| *to == address).count()
     }
 }
 
-/// Plays callers of lost flows, one every `every_ms`, against agents that deny all flows within
-/// `round_trip_ms`, but for those that are dead until `back_ms`.
-struct Play {
+/// Plays callers of lost flows, one every `interval_ms`, against agents that deny all flows within
+/// `round_trip_ms`, but for those that are dead until `recovery_ms`.
+struct Simulation {
     flows: u16,
-    every_ms: Millis,
+    interval_ms: Millis,
     /// Whether the balancer pings agents.
     pings: bool,
     round_trip_ms: Millis,
     dead: Vec<Ipv4Addr>,
-    back_ms: Millis,
-    length_ms: Millis,
+    recovery_ms: Millis,
+    duration_ms: Millis,
 }
 
-impl Play {
-    fn run(&self, view: &View) -> Searched {
+impl Simulation {
+    fn run(&self, view: &View) -> Outcome {
         let mut edge = Edge::default();
-        let mut searched = Searched::default();
-        let mut words: Vec<(Millis, Ipv4Addr, Segment)> = Vec::new();
-        let mut over: Vec<u16> = Vec::new();
+        let mut outcome = Outcome::default();
+        let mut replies: Vec<(Millis, Ipv4Addr, Segment)> = Vec::new();
+        let mut reset_flows: Vec<u16> = Vec::new();
         let known = data(u16::MAX, 1);
         let at = target(&packet(&mut edge, 0, view, &known)[0]).unwrap();
         let held = Verdict::Held { busy: 0, opening_sequence: None };
         verdict(&mut edge, 0, view, at, held, &known);
-        for now_ms in 0..self.length_ms {
+        for now_ms in 0..self.duration_ms {
             // A flow that is well earns the balancer packets of its own.
             packet(&mut edge, now_ms, view, &data(u16::MAX, 100 * (now_ms as u32 + 1)));
             edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
             let mut actions: Vec<(Segment, Action)> = Vec::new();
-            let due: Vec<_> = words.extract_if(.., |(at_ms, ..)| *at_ms == now_ms).collect();
+            let due: Vec<_> = replies.extract_if(.., |(at_ms, ..)| *at_ms == now_ms).collect();
             for (_, from, segment) in due {
-                let said = verdict(&mut edge, now_ms, view, from, Verdict::Denied, &segment);
-                actions.extend(said.into_iter().map(|action| (segment, action)));
+                let next = verdict(&mut edge, now_ms, view, from, Verdict::Denied, &segment);
+                actions.extend(next.into_iter().map(|action| (segment, action)));
             }
-            for number in (1..=self.flows).filter(|number| !over.contains(number)) {
-                let age_ms = now_ms.checked_sub(Millis::from(number) * self.every_ms);
-                if age_ms.is_some_and(|age_ms| REPEATS_MS.contains(&age_ms)) {
-                    searched.taken += 1;
+            for number in (1..=self.flows).filter(|number| !reset_flows.contains(number)) {
+                let age_ms = now_ms.checked_sub(Millis::from(number) * self.interval_ms);
+                if age_ms.is_some_and(|age_ms| CALLER_SENDS_MS.contains(&age_ms)) {
+                    outcome.caller_packets += 1;
                     let segment = data(number, 5);
                     let sent = packet(&mut edge, now_ms, view, &segment);
                     actions.extend(sent.into_iter().map(|action| (segment, action)));
@@ -81,7 +81,7 @@
             }
             if now_ms % 20 == 0 && self.pings {
                 for to in edge.take_pings(now_ms, view) {
-                    searched.pinged.push(to);
+                    outcome.pinged.push(to);
                     if !self.dead.contains(&to) {
                         verdict(&mut edge, now_ms, view, to, Verdict::Alive, &data(0, 0));
                     }
@@ -96,33 +96,41 @@
             for (segment, action) in actions {
                 match action {
                     Action::Forward { to, .. } => {
-                        searched.asked.push((now_ms, to.address));
-                        let is_back = now_ms >= self.back_ms;
+                        outcome.asked.push((now_ms, to.address));
+                        let is_back = now_ms >= self.recovery_ms;
                         if is_back || !self.dead.contains(&to.address) {
-                            words.push((now_ms + self.round_trip_ms, to.address, segment));
+                            replies.push((now_ms + self.round_trip_ms, to.address, segment));
                         }
                     }
                     Action::Reset { reason } => {
                         assert_eq!(reason, Reason::Lost);
                         let number = segment.flow.caller.port();
-                        if !over.contains(&number) {
-                            over.push(number);
-                            let began_ms = Millis::from(number) * self.every_ms;
-                            searched.began.push(began_ms);
-                            searched.resets.push(now_ms - began_ms);
+                        if !reset_flows.contains(&number) {
+                            reset_flows.push(number);
+                            let began_ms = Millis::from(number) * self.interval_ms;
+                            outcome.began_ms.push(began_ms);
+                            outcome.reset_after_ms.push(now_ms - began_ms);
                         }
                     }
                     Action::Drop { .. } => {}
                 }
             }
         }
-        searched
+        outcome
     }
 }
 
-fn play(flows: u16, round_trip_ms: Millis, dead: &[Ipv4Addr]) -> Play {
-    let (dead, back_ms) = (dead.to_vec(), Millis::MAX);
-    Play { flows, every_ms: 1, pings: false, round_trip_ms, dead, back_ms, length_ms: 5_000 }
+fn simulation(flows: u16, round_trip_ms: Millis, dead: &[Ipv4Addr]) -> Simulation {
+    let (dead, recovery_ms) = (dead.to_vec(), Millis::MAX);
+    Simulation {
+        flows,
+        interval_ms: 1,
+        pings: false,
+        round_trip_ms,
+        dead,
+        recovery_ms,
+        duration_ms: 5_000,
+    }
 }
 
 fn dead(count: u8) -> Vec<Ipv4Addr> {
@@ -134,37 +142,37 @@
 /// One balancer sent 7,700 packets a second in this way until the end of the day, long after the
 /// last caller had gone.
 #[rstest]
-#[case::calm(2)]
-#[case::behind(30)]
-fn search_ends_however_slow_it_is(#[case] round_trip_ms: Millis) {
-    let searched = play(1, round_trip_ms, &[]).run(&view_of(&[READY; UPSTREAMS]));
-    assert_eq!(searched.resets.len(), 1, "{} packets sent", searched.asked.len());
-    assert!(searched.asked.len() < 2 * UPSTREAMS, "{} packets sent", searched.asked.len());
+#[case::prompt_replies(2)]
+#[case::slow_replies(30)]
+fn search_with_slow_replies_ends(#[case] round_trip_ms: Millis) {
+    let outcome = simulation(1, round_trip_ms, &[]).run(&view_of(&[READY; UPSTREAMS]));
+    assert_eq!(outcome.reset_after_ms.len(), 1, "{} packets sent", outcome.asked.len());
+    assert!(outcome.asked.len() < 2 * UPSTREAMS, "{} packets sent", outcome.asked.len());
 }
 
 /// Four upstreams died with their instances and are still listed. All others deny the flow. Callers
 /// of requests that may be sent twice learn soon that their flows are lost, and ask anew elsewhere.
 #[test]
-fn dead_entries_do_not_block_the_proof() {
-    let searched = play(40, 3, &dead(4)).run(&view_of(&[READY; UPSTREAMS]));
-    assert_eq!(searched.resets.len(), 40);
-    let late = searched.resets.iter().filter(|reset_ms| **reset_ms > 1_800).count();
-    assert_eq!(late, 0, "{:?}", searched.resets);
+fn dead_upstreams_do_not_block_the_reset() {
+    let outcome = simulation(40, 3, &dead(4)).run(&view_of(&[READY; UPSTREAMS]));
+    assert_eq!(outcome.reset_after_ms.len(), 40);
+    let late = outcome.reset_after_ms.iter().filter(|reset_ms| **reset_ms > 1_800).count();
+    assert_eq!(late, 0, "{:?}", outcome.reset_after_ms);
 }
 
 /// A lost flow is asked for every few milliseconds: agents that are asked so often that no packet ever
 /// grows old unanswered are found out as well, and later searches end at once.
 #[rstest]
-#[case::often(5)]
-#[case::now_and_then(20)]
-fn dead_entries_are_found_under_steady_load(#[case] every_ms: Millis) {
-    let flows = (4_000 / every_ms) as u16;
-    let play = Play { every_ms, pings: true, ..play(flows, 3, &dead(6)) };
-    let searched = play.run(&view_of(&[READY; 43]));
-    let later: Vec<(Millis, Millis)> = searched
-        .began
+#[case::frequent(5)]
+#[case::occasional(20)]
+fn dead_upstreams_are_detected_under_steady_load(#[case] interval_ms: Millis) {
+    let flows = (4_000 / interval_ms) as u16;
+    let simulation = Simulation { interval_ms, pings: true, ..simulation(flows, 3, &dead(6)) };
+    let outcome = simulation.run(&view_of(&[READY; 43]));
+    let later: Vec<(Millis, Millis)> = outcome
+        .began_ms
         .iter()
-        .zip(&searched.resets)
+        .zip(&outcome.reset_after_ms)
         .filter(|(began_ms, _)| **began_ms >= 2_000)
         .map(|(began_ms, reset_ms)| (*began_ms, *reset_ms))
         .collect();
@@ -176,62 +184,67 @@
 /// out of reach, its silence to pings does.
 #[rstest]
 #[case::pings(true, 2)]
-#[case::flows_alone(false, 0)]
-fn pings_find_dead_entries_where_flows_are_few(#[case] pings: bool, #[case] resets: usize) {
-    let play = Play { pings, ..play(2, 3, &dead(3)) };
-    let searched = play.run(&view_of(&[READY; 43]));
-    assert_eq!(searched.resets.len(), resets, "{:?}", searched.resets);
-    assert!(searched.resets.iter().all(|reset_ms| *reset_ms < 2_000), "{:?}", searched.resets);
+#[case::flows_only(false, 0)]
+fn pings_detect_dead_upstreams_if_flows_are_few(#[case] pings: bool, #[case] resets: usize) {
+    let simulation = Simulation { pings, ..simulation(2, 3, &dead(3)) };
+    let outcome = simulation.run(&view_of(&[READY; 43]));
+    assert_eq!(outcome.reset_after_ms.len(), resets, "{:?}", outcome.reset_after_ms);
+    assert!(
+        outcome.reset_after_ms.iter().all(|reset_ms| *reset_ms < 2_000),
+        "{:?}",
+        outcome.reset_after_ms
+    );
 }
 
 /// Half of a large fleet is dead: pings stay within their share of the control traffic.
 #[test]
 fn pings_are_bounded() {
-    let play = Play { pings: true, ..play(200, 3, &dead(54)) };
-    let searched = play.run(&view_of(&[READY; UPSTREAMS]));
-    assert!(searched.pinged.len() <= 500, "{} pings in five seconds", searched.pinged.len());
-    assert_eq!(searched.resets, [], "it may be this balancer that is cut off");
+    let simulation = Simulation { pings: true, ..simulation(200, 3, &dead(54)) };
+    let outcome = simulation.run(&view_of(&[READY; UPSTREAMS]));
+    assert!(outcome.pinged.len() <= 500, "{} pings in five seconds", outcome.pinged.len());
+    assert_eq!(outcome.reset_after_ms, [], "it may be this balancer that is cut off");
 }
 
 /// The same with requests that must not be sent twice: a caller of such a one does not ask anew,
 /// and its upstream may come back with the answer. The search must not go on without end meanwhile.
 #[test]
-fn dead_entries_block_the_proof_of_what_must_not_be_repeated() {
+fn dead_upstreams_block_the_reset_of_requests_that_must_not_be_repeated() {
     let view = view_with(&[READY; UPSTREAMS], false);
-    let searched = play(40, 3, &dead(4)).run(&view);
-    assert_eq!(searched.resets, []);
-    let per_flow = searched.asked.len() / 40;
+    let outcome = simulation(40, 3, &dead(4)).run(&view);
+    assert_eq!(outcome.reset_after_ms, []);
+    let per_flow = outcome.asked.len() / 40;
     assert!(per_flow < 4 * UPSTREAMS, "{per_flow} packets sent for each flow");
 }
 
 /// Quiet agents are asked by few packets on behalf of all flows.
 #[test]
-fn quiet_agents_get_few_packets() {
+fn unresponsive_agents_get_few_packets() {
     let dead = dead(4);
-    let searched = play(200, 3, &dead).run(&view_of(&[READY; UPSTREAMS]));
+    let outcome = simulation(200, 3, &dead).run(&view_of(&[READY; UPSTREAMS]));
     for address in dead {
-        let asked = searched.asked_of(address);
+        let asked = outcome.asked_of(address);
         assert!(asked < 400, "{asked} packets sent to {address} for 200 flows");
     }
 }
 
 /// A whole part of the fleet is silent: it may be this balancer that is cut off.
 #[test]
-fn many_silent_agents_prove_nothing() {
-    let searched = play(20, 3, &dead(40)).run(&view_of(&[READY; UPSTREAMS]));
-    assert_eq!(searched.resets, []);
+fn many_unresponsive_agents_prevent_the_reset() {
+    let outcome = simulation(20, 3, &dead(40)).run(&view_of(&[READY; UPSTREAMS]));
+    assert_eq!(outcome.reset_after_ms, []);
 }
 
 /// An agent is stopped and started again within half a second. Its upstream lives and holds the
 /// flow: the flow must not be reset, and reach it once its agent is back.
 #[test]
-fn flow_beside_a_restarted_agent_is_not_lost() {
-    let silent = dead(1);
-    let play = Play { back_ms: 500, length_ms: 900, ..play(40, 3, &silent) };
-    let searched = play.run(&view_of(&[READY; UPSTREAMS]));
-    let before = searched.resets.iter().filter(|reset_ms| **reset_ms < 400).count();
-    assert_eq!(before, 0, "{:?}", searched.resets);
-    assert!(searched.asked.iter().any(|(at_ms, to)| *at_ms >= 500 && *to == silent[0]));
+fn agent_restart_does_not_lose_the_flow() {
+    let stopped = dead(1);
+    let simulation =
+        Simulation { recovery_ms: 500, duration_ms: 900, ..simulation(40, 3, &stopped) };
+    let outcome = simulation.run(&view_of(&[READY; UPSTREAMS]));
+    let before = outcome.reset_after_ms.iter().filter(|reset_ms| **reset_ms < 400).count();
+    assert_eq!(before, 0, "{:?}", outcome.reset_after_ms);
+    assert!(outcome.asked.iter().any(|(at_ms, to)| *at_ms >= 500 && *to == stopped[0]));
 }
 
 /// Flows are known to be at an upstream that has died with its instance, still listed. Their
@@ -239,9 +252,9 @@
 /// One of the flows lives at another upstream after all: the dead one, which had answered the
 /// opening too, held it half open.
 #[rstest]
-#[case::may_be_repeated(true, true)]
-#[case::must_not_be_repeated(false, false)]
-fn known_flow_of_a_dead_upstream_is_reset(#[case] repeatable: bool, #[case] reset: bool) {
+#[case::repeatable_requests(true, true)]
+#[case::unrepeatable_requests(false, false)]
+fn confirmed_flow_of_a_dead_upstream_is_reset(#[case] repeatable: bool, #[case] reset: bool) {
     let view = view_with(&[READY; 10], repeatable);
     let mut edge = Edge::default();
     let held = Verdict::Held { busy: 0, opening_sequence: None };
@@ -252,24 +265,24 @@
         known.push((number, to));
     }
     let dead = known[0].1;
-    let there: Vec<u16> = known.iter().filter(|(_, to)| *to == dead).map(|(n, _)| *n).collect();
-    let (lost, living) = (&there[1..], there[0]);
-    let mut told: Vec<u16> = Vec::new();
-    let mut words: Vec<(Ipv4Addr, Segment)> = Vec::new();
+    let at_dead: Vec<u16> = known.iter().filter(|(_, to)| *to == dead).map(|(n, _)| *n).collect();
+    let (lost, living) = (&at_dead[1..], at_dead[0]);
+    let mut reset_callers: Vec<u16> = Vec::new();
+    let mut replies: Vec<(Ipv4Addr, Segment)> = Vec::new();
     for now_ms in (2..4_000).step_by(2) {
         edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut actions: Vec<(Segment, Action)> = Vec::new();
-        for (from, segment) in std::mem::take(&mut words) {
+        for (from, segment) in std::mem::take(&mut replies) {
             let is_holder = from != dead && segment.flow == data(living, 0).flow;
-            let word = if is_holder { held } else { Verdict::Denied };
-            let said = verdict(&mut edge, now_ms, &view, from, word, &segment);
-            actions.extend(said.into_iter().map(|action| (segment, action)));
+            let reply = if is_holder { held } else { Verdict::Denied };
+            let next = verdict(&mut edge, now_ms, &view, from, reply, &segment);
+            actions.extend(next.into_iter().map(|action| (segment, action)));
         }
         if now_ms % 20 == 0 {
             actions.extend(common::tick_with_segments(&mut edge, now_ms, &view));
         }
-        if REPEATS_MS.contains(&(now_ms - 2)) {
-            for segment in there.iter().map(|number| data(*number, 105)) {
+        if CALLER_SENDS_MS.contains(&(now_ms - 2)) {
+            for segment in at_dead.iter().map(|number| data(*number, 105)) {
                 let sent = packet(&mut edge, now_ms, &view, &segment);
                 actions.extend(sent.into_iter().map(|action| (segment, action)));
             }
@@ -277,22 +290,22 @@
         for (segment, action) in actions {
             match action {
                 Action::Forward { to, .. } if to.address != dead => {
-                    words.push((to.address, segment))
+                    replies.push((to.address, segment))
                 }
-                Action::Reset { .. } => told.push(segment.flow.caller.port()),
+                Action::Reset { .. } => reset_callers.push(segment.flow.caller.port()),
                 Action::Forward { .. } | Action::Drop { .. } => {}
             }
         }
     }
-    told.sort_unstable();
-    told.dedup();
-    assert_eq!(told, if reset { lost.to_vec() } else { Vec::new() });
+    reset_callers.sort_unstable();
+    reset_callers.dedup();
+    assert_eq!(reset_callers, if reset { lost.to_vec() } else { Vec::new() });
 }
 
 /// Agents were silent for a moment, long ago. When new flows come, each agent is asked: what is old
 /// proves nothing.
 #[test]
-fn old_silence_proves_nothing() {
+fn old_missing_replies_prove_nothing() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY]));
     edge.set_trust(Trust { confirmed_ms: 10_000, complete_from_ms: 0 });
     for now_ms in (0..10_000).step_by(50) {
@@ -311,9 +324,9 @@
 /// that has just started and does not know them. It says now and then that it lives; without its
 /// word, the balancer would take the upstream for dead.
 #[rstest]
-#[case::agent_says_so(true, false)]
-#[case::agent_is_mute(false, true)]
-fn upstream_at_work_beside_a_new_agent_is_not_lost(#[case] word: bool, #[case] reset: bool) {
+#[case::agent_reports(true, false)]
+#[case::agent_does_not_report(false, true)]
+fn busy_upstream_with_a_restarted_agent_is_not_lost(#[case] reports: bool, #[case] reset: bool) {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 6]));
     let holder = Ipv4Addr::new(10, 0, 0, 1);
     let mut resets = 0;
@@ -322,16 +335,16 @@
         edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut actions: Vec<(Segment, Action)> = Vec::new();
         for (from, segment) in std::mem::take(&mut answers) {
-            let said = verdict(&mut edge, now_ms, &view, from, Verdict::Denied, &segment);
-            actions.extend(said.into_iter().map(|action| (segment, action)));
+            let next = verdict(&mut edge, now_ms, &view, from, Verdict::Denied, &segment);
+            actions.extend(next.into_iter().map(|action| (segment, action)));
         }
-        if word && now_ms % 60 == 0 {
+        if reports && now_ms % 60 == 0 {
             verdict(&mut edge, now_ms, &view, holder, Verdict::Alive, &data(0, 0));
         }
         if now_ms % 20 == 0 {
             actions.extend(common::tick_with_segments(&mut edge, now_ms, &view));
         }
-        if REPEATS_MS.contains(&now_ms) {
+        if CALLER_SENDS_MS.contains(&now_ms) {
             for segment in (1..=10).map(|number| data(number, 5)) {
                 let sent = packet(&mut edge, now_ms, &view, &segment);
                 actions.extend(sent.into_iter().map(|action| (segment, action)));
@@ -355,7 +368,7 @@
 /// repetitions must find the others: all three of them went to that one upstream, 1.6 s apart, and
 /// none to the flow's own.
 #[test]
-fn search_goes_on_with_the_callers_packets_alone() {
+fn search_advances_by_the_callers_packets_alone() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 46]));
     (1_000..2_000).for_each(|number| drop(packet(&mut edge, 0, &view, &data(number, 5))));
     for now_ms in (20..1_400).step_by(20) {
@@ -366,12 +379,12 @@
     }
     assert!(edge.counters().suppressed > 0, "the balancer has something left to send");
     let segment = data(1, 5);
-    let mute = target(&packet(&mut edge, 1_400, &view, &segment)[0]).unwrap();
+    let unresponsive = target(&packet(&mut edge, 1_400, &view, &segment)[0]).unwrap();
     let mut reached: Vec<Ipv4Addr> = Vec::new();
     for now_ms in [1_600, 2_000, 2_800] {
         let mut actions = VecDeque::from(packet(&mut edge, now_ms, &view, &segment));
         while let Some(action) = actions.pop_front() {
-            let Some(to) = target(&action).filter(|to| *to != mute) else { continue };
+            let Some(to) = target(&action).filter(|to| *to != unresponsive) else { continue };
             reached.push(to);
             actions.extend(verdict(&mut edge, now_ms + 2, &view, to, Verdict::Denied, &segment));
         }
@@ -381,5 +394,5 @@
     }
     reached.sort_unstable();
     reached.dedup();
-    assert_eq!(reached.len(), 45, "upstreams reached beside the mute one");
+    assert_eq!(reached.len(), 45, "upstreams reached beside the unresponsive one");
 }
