--- a/crates/steering/tests/edge_former.rs
+++ b/crates/steering/tests/edge_former.rs
@@ -14,12 +14,12 @@
 use steering::membership::{Membership, UpstreamRecord};
 use steering::view::{Route, RouteTable, Service, ServiceStamp, Share, Upstream, View, ZoneStamp};
 
-const BEFORE: ServiceStamp = ServiceStamp(1);
-const NOW: ServiceStamp = ServiceStamp(2);
+const FORMER: ServiceStamp = ServiceStamp(1);
+const CURRENT: ServiceStamp = ServiceStamp(2);
 /// Upstreams of the service that the route leads to, and of the one that it has left.
-const NOW_COUNT: u8 = 35;
-const BEFORE_COUNT: u8 = 9;
-const CHANGED_MS: Millis = 1_000;
+const CURRENT_COUNT: u8 = 35;
+const FORMER_COUNT: u8 = 9;
+const REROUTED_MS: Millis = 1_000;
 
 fn route(port: u16, service: ServiceStamp) -> Route {
     let mut endpoint = flow(1).endpoint;
@@ -37,32 +37,32 @@
 
 fn upstreams() -> Vec<Upstream> {
     let of = |service: ServiceStamp, number: u8| Upstream { service, ..upstream(number, READY) };
-    let before = (1..=BEFORE_COUNT).map(|number| of(BEFORE, number));
-    before.chain((101..=100 + NOW_COUNT).map(|number| of(NOW, number))).collect()
+    let former = (1..=FORMER_COUNT).map(|number| of(FORMER, number));
+    former.chain((101..=100 + CURRENT_COUNT).map(|number| of(CURRENT, number))).collect()
 }
 
 /// The route has gone from one service to the other.
-fn moved_view() -> View {
-    let old = RouteTable::new(1, vec![route(443, BEFORE)], []);
-    let new = RouteTable::new(2, vec![route(443, NOW)], []);
+fn rerouted_view() -> View {
+    let old = RouteTable::new(1, vec![route(443, FORMER)], []);
+    let new = RouteTable::new(2, vec![route(443, CURRENT)], []);
     let mut history = History::from_first_start(60_000);
-    history.on_routes(CHANGED_MS, &old, &new);
+    history.on_routes(REROUTED_MS, &old, &new);
     View::new(Arc::new(new), upstreams()).with_history(Arc::new(history))
 }
 
 /// The same as a balancer sees it that has just started, as all have; another route of the address
 /// leads to the former service still, or one of another address does.
-fn forgotten_view(same_address: bool) -> View {
-    let mut other = route(8443, BEFORE);
+fn view_without_history(same_address: bool) -> View {
+    let mut other = route(8443, FORMER);
     if !same_address {
         other.endpoint.set_ip(Ipv4Addr::new(198, 18, 0, 2));
     }
-    let routes = RouteTable::new(2, vec![route(443, NOW), other], []);
+    let routes = RouteTable::new(2, vec![route(443, CURRENT), other], []);
     View::new(Arc::new(routes), upstreams()).with_history(Arc::new(History::from_now(0, 60_000)))
 }
 
 /// Asks one after the other until `holder` is reached, or the flow is reset. Returns who was asked.
-fn asked(view: &View, now_ms: Millis, holder: Option<u8>) -> (Vec<Ipv4Addr>, Vec<Action>) {
+fn ask_in_turn(view: &View, now_ms: Millis, holder: Option<u8>) -> (Vec<Ipv4Addr>, Vec<Action>) {
     let mut edge = Edge::default();
     edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
     let holder = holder.map(|number| Ipv4Addr::new(10, 0, 0, number));
@@ -83,100 +83,100 @@
 /// A route led to another service from one moment to the next, and balancers reset the flows that were
 /// open at the first.
 #[rstest]
-fn flow_at_a_former_service_is_found(#[values(1, 4, 9)] holder: u8) {
-    let (_, actions) = asked(&moved_view(), CHANGED_MS, Some(holder));
+fn flow_at_former_service_is_found(#[values(1, 4, 9)] holder: u8) {
+    let (_, actions) = ask_in_turn(&rerouted_view(), REROUTED_MS, Some(holder));
     assert_eq!(actions.first().and_then(target), Some(Ipv4Addr::new(10, 0, 0, holder)));
 }
 
 /// Flows are placed among the first three ranks.
 #[test]
-fn flow_at_a_former_service_is_found_in_a_few_steps() {
-    let before_only = view_of(&[READY; BEFORE_COUNT as usize]);
-    let (ranks, _) = asked(&before_only, 0, None);
+fn flow_at_former_service_is_found_in_few_queries() {
+    let former_only = view_of(&[READY; FORMER_COUNT as usize]);
+    let (ranks, _) = ask_in_turn(&former_only, 0, None);
     let holder = ranks[2].octets()[3];
-    let (asked, _) = asked(&moved_view(), CHANGED_MS, Some(holder));
+    let (asked, _) = ask_in_turn(&rerouted_view(), REROUTED_MS, Some(holder));
     assert_eq!(asked.len(), 6);
 }
 
 #[test]
-fn reset_is_proven_at_former_services_too() {
-    let (asked, actions) = asked(&moved_view(), CHANGED_MS, None);
-    assert_eq!(asked.len(), usize::from(NOW_COUNT + BEFORE_COUNT));
+fn reset_requires_denials_by_former_services() {
+    let (asked, actions) = ask_in_turn(&rerouted_view(), REROUTED_MS, None);
+    assert_eq!(asked.len(), usize::from(CURRENT_COUNT + FORMER_COUNT));
     assert_eq!(actions, [Action::Reset { reason: Reason::Lost }]);
 }
 
 /// No open flow is as old, so that a lost flow costs no more than before the change.
 #[test]
-fn former_service_is_left_alone_after_the_life_of_a_flow() {
-    let (asked, _) = asked(&moved_view(), CHANGED_MS + 60_000 + STALE_OPENINGS_MS, None);
-    assert_eq!(asked.len(), usize::from(NOW_COUNT));
+fn former_service_is_not_asked_after_the_flow_ttl() {
+    let (asked, _) = ask_in_turn(&rerouted_view(), REROUTED_MS + 60_000 + STALE_OPENINGS_MS, None);
+    assert_eq!(asked.len(), usize::from(CURRENT_COUNT));
 }
 
 /// Nobody remembers which services the route has left: those of the address are asked as well, and no
 /// other client account's.
 #[rstest]
-#[case::same_address(true, NOW_COUNT + BEFORE_COUNT)]
-#[case::other_address(false, NOW_COUNT)]
-fn services_of_the_address_are_asked_where_nobody_remembers(
+#[case::same_address(true, CURRENT_COUNT + FORMER_COUNT)]
+#[case::other_address(false, CURRENT_COUNT)]
+fn incomplete_history_extends_the_search_to_services_of_the_address(
     #[case] same_address: bool,
     #[case] expected: u8,
 ) {
-    let (asked, _) = asked(&forgotten_view(same_address), 100, None);
+    let (asked, _) = ask_in_turn(&view_without_history(same_address), 100, None);
     assert_eq!(asked.len(), usize::from(expected));
 }
 
 /// Nobody remembers which service the route has left, and no route leads there any more: it may be
 /// another client account's, so that the flow is neither looked for there nor reset.
 #[rstest]
-#[case::nobody_remembers(false, Action::Drop { reason: Reason::Unknown })]
+#[case::incomplete_history(false, Action::Drop { reason: Reason::Unknown })]
 #[case::first_start(true, Action::Reset { reason: Reason::Lost })]
-fn unrouted_service_bars_proofs_where_nobody_remembers(
+fn unrouted_service_prevents_reset_if_history_is_incomplete(
     #[case] first_start: bool,
     #[case] expected: Action,
 ) {
-    let former = Service::unlimited(BEFORE);
-    let routes = RouteTable::new(2, vec![route(443, NOW)], [former]);
+    let former = Service::unlimited(FORMER);
+    let routes = RouteTable::new(2, vec![route(443, CURRENT)], [former]);
     let history = match first_start {
         true => History::from_first_start(60_000),
         false => History::from_now(0, 60_000),
     };
     let view = View::new(Arc::new(routes), upstreams()).with_history(Arc::new(history));
-    let (asked, actions) = asked(&view, 100, None);
-    assert_eq!(asked.len(), usize::from(NOW_COUNT));
+    let (asked, actions) = ask_in_turn(&view, 100, None);
+    assert_eq!(asked.len(), usize::from(CURRENT_COUNT));
     assert_eq!(actions, [expected]);
 }
 
 /// The address of an upstream went to another one, and the balancer does not know it yet: what was sent
 /// there was given back unread, and the flow may live there.
 #[rstest]
-#[case::present_service(NOW, false)]
-#[case::former_service(BEFORE, false)]
-#[case::service_that_the_route_never_led_to(ServiceStamp(9), true)]
-fn packet_for_another_service_proves_nothing(#[case] runs: ServiceStamp, #[case] proves: bool) {
-    let (view, segment) = (moved_view(), data(1, 5));
+#[case::current_service(CURRENT, false)]
+#[case::former_service(FORMER, false)]
+#[case::unrelated_service(ServiceStamp(9), true)]
+fn wrong_service_reply_is_inconclusive(#[case] actual_service: ServiceStamp, #[case] proves: bool) {
+    let (view, segment) = (rerouted_view(), data(1, 5));
     let mut edge = Edge::default();
-    edge.set_trust(Trust { confirmed_ms: CHANGED_MS, complete_from_ms: 0 });
-    let mut actions = VecDeque::from(packet(&mut edge, CHANGED_MS, &view, &segment));
+    edge.set_trust(Trust { confirmed_ms: REROUTED_MS, complete_from_ms: 0 });
+    let mut actions = VecDeque::from(packet(&mut edge, REROUTED_MS, &view, &segment));
     let first = target(&actions[0]).unwrap();
     while let Some(to) = actions.front().and_then(target) {
-        let said = match to == first {
-            true => Verdict::WrongService { service: runs },
+        let reply = match to == first {
+            true => Verdict::WrongService { service: actual_service },
             false => Verdict::Denied,
         };
         actions.pop_front();
-        actions.extend(verdict(&mut edge, CHANGED_MS, &view, to, said, &segment));
+        actions.extend(verdict(&mut edge, REROUTED_MS, &view, to, reply, &segment));
     }
     assert_eq!(actions.contains(&Action::Reset { reason: Reason::Lost }), proves);
 }
 
 /// The configuration names the former service no more, but its upstreams go on.
 #[test]
-fn upstreams_of_a_former_service_are_kept() {
+fn upstreams_of_former_service_stay_in_the_view() {
     let record = UpstreamRecord {
         id: "i-1".into(),
         born_ms: 1,
         address: Ipv4Addr::new(10, 0, 0, 1),
-        service: BEFORE,
+        service: FORMER,
         zone: ZoneStamp(0),
         draining: false,
         warmup_left_ms: 0,
@@ -184,22 +184,22 @@
     };
     let mut membership = Membership::default();
     membership.insert(0, &record);
-    let moved = moved_view();
-    let history = Arc::new(moved.history().clone());
-    assert_eq!(membership.view(Arc::clone(&moved.routes)).upstreams().len(), 0);
-    assert_eq!(membership.view_since(moved.routes, history).upstreams().len(), 1);
+    let rerouted = rerouted_view();
+    let history = Arc::new(rerouted.history().clone());
+    assert_eq!(membership.view(Arc::clone(&rerouted.routes)).upstreams().len(), 0);
+    assert_eq!(membership.view_since(rerouted.routes, history).upstreams().len(), 1);
 }
 
 /// No opening goes to a service that the route has left, nor does any of its copies.
 #[test]
-fn openings_go_to_the_present_service_only() {
-    let view = moved_view();
+fn openings_go_to_the_current_service_only() {
+    let view = rerouted_view();
     let mut edge = Edge::default();
     for number in 1..200 {
-        let mut actions = packet(&mut edge, CHANGED_MS, &view, &opening(number, 0));
-        actions.extend(packet(&mut edge, CHANGED_MS + 200, &view, &opening(number, 1)));
+        let mut actions = packet(&mut edge, REROUTED_MS, &view, &opening(number, 0));
+        actions.extend(packet(&mut edge, REROUTED_MS + 200, &view, &opening(number, 1)));
         for to in actions.iter().filter_map(target) {
-            assert_eq!(view.upstream_at(to).unwrap().service, NOW);
+            assert_eq!(view.upstream_at(to).unwrap().service, CURRENT);
         }
     }
 }
--- a/crates/steering/tests/edge_openings.rs
+++ b/crates/steering/tests/edge_openings.rs
@@ -14,7 +14,7 @@
 
 /// A balancer that knows an opening, and one that does not, ask the same upstreams first.
 #[test]
-fn placement_stays_within_the_first_ranks() {
+fn placement_uses_the_first_ranks() {
     let view = all_ready_view();
     for number in 1..200 {
         let placed = target(&packet(&mut Edge::default(), 0, &view, &opening(number, 0))[0]);
@@ -28,7 +28,10 @@
 #[rstest]
 #[case::answered(true, 0)]
 #[case::unanswered(false, 1)]
-fn unanswered_opening_goes_to_the_next(#[case] answered: bool, #[case] replays: usize) {
+fn unanswered_opening_is_retransmitted_to_another_upstream(
+    #[case] answered: bool,
+    #[case] retransmissions: usize,
+) {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     let first = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
     if answered {
@@ -43,34 +46,34 @@
     }
     assert!(tick(&mut edge, RETRANSMIT_AFTER_MS - 1, &view).is_empty());
     let actions = tick(&mut edge, RETRANSMIT_AFTER_MS, &view);
-    assert_eq!(actions.len(), replays);
+    assert_eq!(actions.len(), retransmissions);
     assert!(actions.iter().all(|action| target(action) != Some(first)));
 }
 
 /// An upstream was silent since it had crashed. It starts again under its name and address, and the list
 /// says so: what was known of its earlier life must not keep new flows from it for seconds.
 #[rstest]
-#[case::same_life(0, false)]
-#[case::started_again(9, true)]
+#[case::same_incarnation(0, false)]
+#[case::new_incarnation(9, true)]
 fn restarted_upstream_gets_flows_at_once(#[case] born_ms: u64, #[case] gets_flows: bool) {
     let (mut edge, view) = (Edge::default(), view_of(&[READY, READY]));
-    let silent = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
+    let unresponsive = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
     tick(&mut edge, RETRANSMIT_AFTER_MS, &view);
-    let listed = view.upstreams().iter().map(|upstream| match upstream.address == silent {
+    let listed = view.upstreams().iter().map(|upstream| match upstream.address == unresponsive {
         true => Upstream { born_ms, ..*upstream },
         false => *upstream,
     });
     let view = View::new(view.routes.clone(), listed.collect());
     let mut targets = (2..30)
         .map(|number| target(&packet(&mut edge, 70, &view, &opening(number, 0))[0]).unwrap());
-    assert_eq!(targets.any(|to| to == silent), gets_flows);
+    assert_eq!(targets.any(|to| to == unresponsive), gets_flows);
 }
 
 /// Bodies of 80 KB cross availability zones for nothing while an upstream near by is as idle. Load goes
 /// first: the near one must not get all flows of its zone, and no rank beyond the first three is used, so that a
 /// balancer without memory finds the flow.
 #[test]
-fn near_upstream_is_chosen_among_equals() {
+fn upstream_in_own_zone_is_preferred_at_equal_load() {
     let here = ZoneStamp(7);
     let view = all_ready_view();
     let near = view.upstreams()[2].address;
@@ -84,9 +87,10 @@
     };
     let fresh = || Edge::default().in_zone(here);
     let chosen = (1..400).filter(|number| placed(&mut fresh(), &zoned, *number) == near).count();
-    let by_rank = (1..400).filter(|number| placed(&mut fresh(), &view, *number) == near).count();
+    let by_rank_alone =
+        (1..400).filter(|number| placed(&mut fresh(), &view, *number) == near).count();
     assert!((180..300).contains(&chosen), "three ranks of five: {chosen}");
-    assert!((50..110).contains(&by_rank), "one of five: {by_rank}");
+    assert!((50..110).contains(&by_rank_alone), "one of five: {by_rank_alone}");
     let mut edge = fresh();
     let in_a_row = (1..400).filter(|number| placed(&mut edge, &zoned, *number) == near).count();
     assert!((50..130).contains(&in_a_row), "load decides: {in_a_row}");
@@ -94,13 +98,13 @@
 
 /// After one opening stayed unanswered, the next flows pass that upstream over for a while.
 #[test]
-fn silent_upstream_is_passed_over() {
+fn unresponsive_upstream_is_passed_over() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY, READY]));
-    let silent = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
+    let unresponsive = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
     tick(&mut edge, RETRANSMIT_AFTER_MS, &view);
     for number in 2..30 {
         let actions = packet(&mut edge, 70, &view, &opening(number, 0));
-        assert_ne!(target(&actions[0]), Some(silent), "flow {number}");
+        assert_ne!(target(&actions[0]), Some(unresponsive), "flow {number}");
     }
 }
 
@@ -110,7 +114,7 @@
 #[case::draining(&[Standing::Draining, READY], &[2])]
 #[case::gone(&[Standing::Missing { since_ms: 0, drained: true }, READY], &[2])]
 #[case::both(&[READY, READY], &[1, 2])]
-#[case::list_lost_all(&[Standing::Missing { since_ms: 0, drained: false }], &[1])]
+#[case::all_lapsed(&[Standing::Missing { since_ms: 0, drained: false }], &[1])]
 fn opening_goes_to_ready_upstreams(#[case] standings: &[Standing], #[case] expected: &[u8]) {
     let (mut edge, view) = (Edge::default(), view_of(standings));
     let segment = opening(1, 0);
@@ -126,8 +130,8 @@
 }
 
 #[rstest]
-#[case::known_version(all_ready_view(), Action::Reset { reason: Reason::NoRoute })]
-#[case::nothing_known(View::default(), Action::Drop { reason: Reason::Unknown })]
+#[case::routes_known(all_ready_view(), Action::Reset { reason: Reason::NoRoute })]
+#[case::nothing_known_yet(View::default(), Action::Drop { reason: Reason::Unknown })]
 fn opening_without_route(#[case] view: View, #[case] expected: Action) {
     let endpoint = "198.18.0.9:443".parse().unwrap();
     let segment = Segment { flow: FlowKey { endpoint, ..flow(1) }, ..opening(1, 0) };
@@ -156,10 +160,13 @@
 /// Two copies of an opening were answered by two upstreams. The caller took one of them, and its next
 /// packet says which; the other would take the flow's packets without a word.
 #[rstest]
-#[case::the_first(1_001, 0)]
-#[case::the_second(77_301, 1)]
-#[case::the_second_across_zero(2, 2)]
-fn flow_opened_twice_is_where_the_caller_says(#[case] acknowledged: u32, #[case] expected: usize) {
+#[case::first_answer(1_001, 0)]
+#[case::second_answer(77_301, 1)]
+#[case::second_answer_after_wraparound(2, 2)]
+fn acknowledgement_selects_the_upstream_of_a_flow_opened_twice(
+    #[case] acknowledged: u32,
+    #[case] expected: usize,
+) {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     let first = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
     let second = target(&packet(&mut edge, 200, &view, &opening(1, 1))[0]).unwrap();
@@ -178,7 +185,7 @@
 /// takes no second one. Taken for a denial of the flow, this placed the opening elsewhere, and all
 /// further packets went there for seconds.
 #[test]
-fn denied_copy_of_an_opening_leaves_the_open_flow() {
+fn denied_copy_of_an_opening_does_not_move_the_open_flow() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     let holder = target(&packet(&mut edge, 0, &view, &opening(1, 0))[0]).unwrap();
     let held = Verdict::Held { busy: 0, opening_sequence: Some(1_000) };
@@ -195,12 +202,12 @@
 /// upstream returns it, the flow's own too, since it takes no second one. A refusal would reset the flow.
 #[rstest]
 #[case::fresh(0, 200, 5, true)]
-#[case::waited_in_the_queue(0, 3, 5, false)]
-#[case::sent_on_after_a_silence(0, 200, 65, false)]
+#[case::queued_during_a_pause(0, 3, 5, false)]
+#[case::retransmitted(0, 200, 65, false)]
 #[case::copy(1, 200, 5, false)]
-fn opening_is_refused_while_fresh(
+fn opening_is_refused_only_while_fresh(
     #[case] copy: u32,
-    #[case] awake_ms: Millis,
+    #[case] since_resumed_ms: Millis,
     #[case] denied_after_ms: Millis,
     #[case] refused: bool,
 ) {
@@ -209,8 +216,8 @@
         (from_ms..=to_ms).step_by(50).for_each(|now_ms| drop(tick(edge, now_ms, &view)));
     };
     run(&mut edge, 0, 1_000);
-    run(&mut edge, 4_000, 4_000 + awake_ms);
-    let arrived_ms = 4_000 + awake_ms;
+    run(&mut edge, 4_000, 4_000 + since_resumed_ms);
+    let arrived_ms = 4_000 + since_resumed_ms;
     let segment = opening(1, copy);
     let mut actions = packet(&mut edge, arrived_ms, &view, &segment);
     let now_ms = arrived_ms + denied_after_ms;
@@ -230,8 +237,8 @@
 /// balancer. A refusal would reset it.
 #[rstest]
 #[case::in_time(2, true)]
-#[case::behind(60, false)]
-fn opening_is_not_refused_while_behind(#[case] round_trip_ms: Millis, #[case] refused: bool) {
+#[case::lagging(60, false)]
+fn opening_is_not_refused_while_lagging(#[case] round_trip_ms: Millis, #[case] refused: bool) {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     let held = Verdict::Held { busy: 0, opening_sequence: None };
     for number in 10..20 {
--- a/crates/steering/tests/edge_proof.rs
+++ b/crates/steering/tests/edge_proof.rs
@@ -15,7 +15,7 @@
 /// All upstreams have crashed and started again: every one denies the flow. The caller would repeat
 /// its request until its time is up; a reset lets it ask anew at once.
 #[test]
-fn flow_that_all_deny_is_reset() {
+fn flow_denied_by_all_upstreams_is_reset() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     assert_eq!(hops_to(&mut edge, &view, &data(1, 5), None), None);
 }
@@ -25,38 +25,42 @@
 /// configuration service the list may lack upstreams.
 #[rstest]
 #[case::all_deny(all_ready_view(), 0, true)]
-#[case::one_went_lately(view_of(&[READY, READY, Standing::Missing { since_ms: 0, drained: false }]), 1, false)]
-#[case::one_drains(view_of(&[READY, Standing::Draining, READY]), 1, false)]
-#[case::nothing_known(View::default(), 0, false)]
-fn reset_needs_proof(#[case] view: View, #[case] silent: usize, #[case] reset: bool) {
+#[case::one_lapsed_recently(view_of(&[READY, READY, Standing::Missing { since_ms: 0, drained: false }]), 1, false)]
+#[case::one_draining(view_of(&[READY, Standing::Draining, READY]), 1, false)]
+#[case::empty_view(View::default(), 0, false)]
+fn reset_requires_proof(
+    #[case] view: View,
+    #[case] unresponsive_count: usize,
+    #[case] reset: bool,
+) {
     let mut edge = Edge::default();
     let segment = data(1, 5);
     let mut actions = packet(&mut edge, 0, &view, &segment);
-    let quiet: Vec<Ipv4Addr> = view
+    let unresponsive: Vec<Ipv4Addr> = view
         .upstreams()
         .iter()
         .filter(|upstream| upstream.standing != READY)
         .map(|upstream| upstream.address)
         .collect();
-    assert_eq!(quiet.len(), silent);
-    let mut seen = Vec::new();
+    assert_eq!(unresponsive.len(), unresponsive_count);
+    let mut all_actions = Vec::new();
     for _ in 0..20 {
         let Some(to) = actions.first().and_then(target) else { break };
-        seen.extend(actions.iter().copied());
-        if quiet.contains(&to) {
+        all_actions.extend(actions.iter().copied());
+        if unresponsive.contains(&to) {
             break;
         }
         actions = verdict(&mut edge, 0, &view, to, Verdict::Denied, &segment);
     }
-    seen.extend(actions.iter().copied());
+    all_actions.extend(actions.iter().copied());
     let is_reset = |action: &Action| matches!(action, Action::Reset { .. });
-    assert_eq!(seen.iter().any(is_reset), reset, "{seen:?}");
+    assert_eq!(all_actions.iter().any(is_reset), reset, "{all_actions:?}");
 }
 
 /// A denial says something about now only: the upstream may have been too full a second ago, or the
 /// packet overtook the opening.
 #[test]
-fn old_denials_prove_nothing() {
+fn denials_expire() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY, READY]));
     let segment = data(1, 5);
     let first = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
@@ -70,7 +74,7 @@
 /// four upstreams that deny it, and one that is still down. Once that one is up and denies it too,
 /// the caller learns it by a reset, without having to repeat its request first.
 #[test]
-fn flow_is_proven_lost_when_the_last_upstream_is_back() {
+fn flow_is_reset_when_the_last_upstream_returns() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     let segment = data(1, 5);
     let down = Ipv4Addr::new(10, 0, 0, 3);
@@ -106,9 +110,9 @@
 #[rstest]
 #[case::trusted(9_000, 0, true)]
 #[case::cut_off(3_000, 0, false)]
-#[case::list_may_lack_some(9_900, 10_001, false)]
-#[case::list_is_whole_again(9_900, 10_000, true)]
-fn reset_needs_a_trusted_list(
+#[case::list_may_be_incomplete(9_900, 10_001, false)]
+#[case::list_is_complete_again(9_900, 10_000, true)]
+fn reset_requires_a_trusted_list(
     #[case] confirmed_ms: Millis,
     #[case] complete_from_ms: Millis,
     #[case] reset: bool,
@@ -127,9 +131,12 @@
 /// before: an upstream may have started meanwhile, and the flow may live there. Only after news of its
 /// view does a denial by all others prove anything.
 #[rstest]
-#[case::before_any_news(2_900, false)]
-#[case::after_news(5_001, true)]
-fn reset_after_a_pause_needs_news(#[case] confirmed_ms: Millis, #[case] reset: bool) {
+#[case::before_confirmation(2_900, false)]
+#[case::after_confirmation(5_001, true)]
+fn reset_after_a_pause_requires_a_confirmed_view(
+    #[case] confirmed_ms: Millis,
+    #[case] reset: bool,
+) {
     let (mut edge, view) = (Edge::default(), view_of(&[READY]));
     (0..3_000).step_by(50).for_each(|tick_ms| drop(tick(&mut edge, tick_ms, &view)));
     let segment = data(1, 5);
@@ -143,12 +150,12 @@
 /// opening after all. The others deny the open flow; that it was silent before must not stand for
 /// its denial.
 #[test]
-fn denied_opening_is_no_denial_of_the_open_flow() {
+fn denied_opening_does_not_count_as_denial_of_the_open_flow() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY, READY]));
     let opened = opening(1, 0);
     let holder = target(&packet(&mut edge, 0, &view, &opened)[0]).unwrap();
-    let silent = Verdict::Unresponsive { for_ms: 120 };
-    let other = target(&verdict(&mut edge, 5, &view, holder, silent, &opened)[0]).unwrap();
+    let unresponsive = Verdict::Unresponsive { for_ms: 120 };
+    let other = target(&verdict(&mut edge, 5, &view, holder, unresponsive, &opened)[0]).unwrap();
     let segment = data(1, 5);
     packet(&mut edge, 10, &view, &segment);
     let actions = verdict(&mut edge, 12, &view, other, Verdict::Denied, &segment);
--- a/crates/steering/tests/zones.rs
+++ b/crates/steering/tests/zones.rs
@@ -29,7 +29,7 @@
 }
 
 /// Upstreams asked for an opening that each of them denies, and what comes of it in the end.
-fn asked(view: &View) -> (Vec<u8>, Vec<Action>) {
+fn ask_in_turn(view: &View) -> (Vec<u8>, Vec<Action>) {
     let (mut edge, segment) = (Edge::default(), opening(1, 0));
     let mut actions = packet(&mut edge, 0, view, &segment);
     let mut asked = Vec::new();
@@ -58,7 +58,7 @@
     #[case] expected: &[u8],
     #[case] reason: Reason,
 ) {
-    let (asked, actions) = asked(&view_in(upstreams, closed));
+    let (asked, actions) = ask_in_turn(&view_in(upstreams, closed));
     assert_eq!(asked, expected);
     assert_eq!(actions, [Action::Reset { reason }]);
 }
@@ -128,7 +128,7 @@
 #[case::draining((A, Standing::Draining), true)]
 #[case::drained((A, Standing::Missing { since_ms: 0, drained: true }), true)]
 #[case::lapsed((A, LAPSED), false)]
-fn packets_say_whether_the_upstream_takes_new_flows(
+fn forwarded_packets_state_whether_the_upstream_takes_new_flows(
     #[case] only: (ZoneStamp, Standing),
     #[case] expected: bool,
 ) {
@@ -158,7 +158,7 @@
     #[case] reason: Reason,
 ) {
     let allowed: Vec<RegionStamp> = allowed.iter().copied().map(RegionStamp).collect();
-    let (asked, actions) = asked(&view_of_regions(&allowed));
+    let (asked, actions) = ask_in_turn(&view_of_regions(&allowed));
     assert_eq!(asked, expected);
     assert_eq!(actions, [Action::Reset { reason }]);
 }
@@ -174,7 +174,7 @@
 /// A cold upstream that has taken what it bears is left alone for as long as its agent says; where all
 /// have, the caller learns so at once.
 #[test]
-fn limited_upstream_is_left_alone() {
+fn rate_limited_upstream_gets_no_openings() {
     let view = limited_view(5_000, 2_000);
     let mut edge = Edge::default();
     let segment = opening(1, 0);
@@ -182,8 +182,8 @@
     let mut limited = Vec::new();
     while let Some(to) = actions.first().and_then(target) {
         limited.push(to);
-        let word = Verdict::RateLimited { for_ms: 300 * limited.len() as Millis };
-        actions = verdict(&mut edge, 0, &view, to, word, &segment);
+        let reply = Verdict::RateLimited { for_ms: 300 * limited.len() as Millis };
+        actions = verdict(&mut edge, 0, &view, to, reply, &segment);
     }
     assert_eq!(limited.len(), 2);
     assert_eq!(actions, [Action::Reset { reason: Reason::ColdLimit }]);
@@ -200,10 +200,10 @@
 /// holds for a second at most.
 #[rstest]
 #[case::still_cold(5_000, 900, false)]
-#[case::warm_by_now(800, 900, true)]
-#[case::warm_all_along(0, 900, false)]
-#[case::warm_all_along_a_second_ago(0, 1_000, true)]
-fn limit_ends_with_the_cold(
+#[case::warmed_up(800, 900, true)]
+#[case::never_cold(0, 900, false)]
+#[case::never_cold_after_a_second(0, 1_000, true)]
+fn rate_limit_ends_with_the_warmup(
     #[case] warm_at_ms: Millis,
     #[case] at_ms: Millis,
     #[case] gets_flows: bool,
@@ -212,8 +212,8 @@
     let mut edge = Edge::default();
     let mut actions = packet(&mut edge, 0, &view, &opening(1, 0));
     while let Some(to) = actions.first().and_then(target) {
-        let word = Verdict::RateLimited { for_ms: 3_000 };
-        actions = verdict(&mut edge, 0, &view, to, word, &opening(1, 0));
+        let reply = Verdict::RateLimited { for_ms: 3_000 };
+        actions = verdict(&mut edge, 0, &view, to, reply, &opening(1, 0));
     }
     (0..at_ms).step_by(50).for_each(|now_ms| drop(tick(&mut edge, now_ms, &view)));
     let later = packet(&mut edge, at_ms, &view, &opening(2, 0));
@@ -224,7 +224,7 @@
 #[case::cold(5_000, 12_500, true)]
 #[case::warm(0, 12_500, false)]
 #[case::not_limited(5_000, 0, true)]
-fn openings_name_the_limit(
+fn forwarded_openings_carry_the_limit(
     #[case] warm_at_ms: Millis,
     #[case] limit_per_ks: u32,
     #[case] cold: bool,
@@ -262,14 +262,14 @@
 #[case::opened(&[Change::ZoneClosed(A), Change::ZoneOpened(A)], &[])]
 #[case::closed_again(&[Change::ZoneOpened(A), Change::ZoneClosed(A)], &[A])]
 #[case::opened_unknown(&[Change::ZoneOpened(UNKNOWN)], &[])]
-fn zones_follow_their_changes(#[case] changes: &[Change], #[case] expected: &[ZoneStamp]) {
+fn zone_changes_apply_in_order(#[case] changes: &[Change], #[case] expected: &[ZoneStamp]) {
     assert_eq!(closed_of(changes), expected);
     assert_eq!(closed_of(&Delta::new(0, changes.to_vec()).changes), expected);
 }
 
 /// The history of the store is gone: what is closed now is what the whole list says.
 #[test]
-fn whole_list_says_which_zones_are_closed() {
+fn full_list_replaces_the_closed_zones() {
     let mut membership = Membership::default();
     membership.apply(0, &Change::ZoneClosed(A));
     membership.replace(0, &[], [C, B, C]);
@@ -278,7 +278,7 @@
 
 /// Balancers compare their lists by digest: one that missed the change of a zone must notice.
 #[test]
-fn digest_tells_closed_zones_apart() {
+fn digest_covers_closed_zones() {
     let mut membership = Membership::default();
     membership.insert(0, &record("a"));
     let open = membership.digest();
