--- a/crates/steering/tests/common/mod.rs
+++ b/crates/steering/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of balancer and agent share: flows, packets, views.
+//! Shared helpers of the tests of balancers and agents: flows, packets and views.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -12,6 +12,7 @@
 use steering::view::{Route, RouteTable, ServiceStamp, Share, Standing, Upstream, View, ZoneStamp};
 
 pub(crate) const SERVICE: ServiceStamp = ServiceStamp(1);
+/// Number of upstreams in [`all_ready_view`].
 pub(crate) const UPSTREAMS: u8 = 5;
 pub(crate) const READY: Standing = Standing::Ready;
 
@@ -36,11 +37,13 @@
     }
 }
 
+/// A view with one upstream per standing, numbered from 1.
 pub(crate) fn view_of(standings: &[Standing]) -> View {
     view_with(standings, true)
 }
 
-/// The same with requests that may be sent twice, or not.
+/// The same as [`view_of`]; `repeatable` states whether the requests of the route may be sent
+/// twice.
 pub(crate) fn view_with(standings: &[Standing], repeatable: bool) -> View {
     let shares = [Share { service: SERVICE, weight: 1 }].into();
     let endpoint = flow(1).endpoint;
@@ -72,11 +75,13 @@
     }
 }
 
-/// The packet with which a caller ends its side of a flow.
+/// The packet with which a caller closes its side of a flow.
 pub(crate) fn ending(number: u16, sequence: u32) -> Segment {
     Segment { data_bytes: 0, last: true, ..data(number, sequence) }
 }
 
+/// Passes a packet of a caller to the balancer and returns its actions. The packet's first two
+/// bytes are the port of the caller, by which [`tick_with_segments`] finds the flow.
 pub(crate) fn packet(
     edge: &mut Edge,
     now_ms: Millis,
@@ -90,6 +95,7 @@
     actions
 }
 
+/// Passes an agent's reply about a packet to the balancer and returns its actions.
 pub(crate) fn verdict(
     edge: &mut Edge,
     now_ms: Millis,
@@ -103,7 +109,8 @@
     actions
 }
 
-/// As [`tick`] for flows whose packets tell their numbers: with the data at which each action is.
+/// Same as [`tick`], with the segment that each action applies to. The flow is found by the port in
+/// the first two bytes of the packet.
 pub(crate) fn tick_with_segments(
     edge: &mut Edge,
     now_ms: Millis,
@@ -115,12 +122,14 @@
     actions.into_iter().map(|(kept, action)| (data(number(&kept), 5), action)).collect()
 }
 
+/// Runs a tick and returns the actions without the packets that they apply to.
 pub(crate) fn tick(edge: &mut Edge, now_ms: Millis, view: &View) -> Vec<Action> {
     let mut actions = Vec::new();
     edge.on_tick(now_ms, view, &mut actions);
     actions.into_iter().map(|(_, action)| action).collect()
 }
 
+/// The address to which an action forwards the packet.
 pub(crate) fn target(action: &Action) -> Option<Ipv4Addr> {
     match action {
         Action::Forward { to, .. } => Some(to.address),
@@ -128,7 +137,8 @@
     }
 }
 
-/// Asks upstream after upstream until `holder` is reached; `None` if there was a reset instead.
+/// Lets upstream after upstream deny the flow until `holder` is asked. Returns the number of
+/// upstreams asked, or `None` if the flow was reset instead.
 pub(crate) fn hops_to(
     edge: &mut Edge,
     view: &View,
@@ -143,5 +153,5 @@
         }
         actions = verdict(edge, 0, view, to, Verdict::Denied, segment);
     }
-    panic!("asked longer than there are upstreams");
+    panic!("more queries than upstreams");
 }
