--- a/crates/steering/tests/edge_fleet.rs
+++ b/crates/steering/tests/edge_fleet.rs
@@ -1,4 +1,4 @@
-//! Searches among the upstreams of a whole fleet, and how their length grows with it.
+//! Searches among the upstreams of a whole fleet, and how their length grows with its size.
 
 mod common;
 
@@ -10,22 +10,24 @@
 use steering::flow::{Millis, Segment};
 use steering::view::View;
 
-/// Time from a balancer with a small share of a processor to an agent and back.
+/// Round trip between an agent and a balancer with a small share of a processor.
 const ROUND_TRIP_MS: Millis = 4;
 const DURATION_MS: Millis = 4_000;
-/// When a caller sends its request, and repeats it.
+/// When a caller sends its request and retransmits it.
 const CALLER_SENDS_MS: [Millis; 3] = [0, 200, 600];
 
-/// Packets more that the caller's repetitions bring: each goes to one upstream, and copies to three.
+/// Additional packets caused by the caller's retransmissions: each goes to one upstream, with
+/// copies to three.
 const EXTRA_PACKETS_MAX: usize = 12;
 
-/// Who was asked, and when, until the flow was found or reset.
+/// Which upstreams were asked and when, until the flow was found or reset.
 struct SearchOutcome {
     asked: Vec<(Millis, Ipv4Addr)>,
     ended_ms: Option<Millis>,
 }
 
-/// A flow that `holder` holds, if anybody does. The first packets for `first_packet_lost` get lost.
+/// Searches for a flow that `holder` holds, if it is given. The first packet sent to
+/// `first_packet_lost` does not arrive.
 fn search(
     view: &View,
     holder: Option<Ipv4Addr>,
@@ -74,8 +76,8 @@
     view_of(&vec![READY; upstreams])
 }
 
-/// Five hundred and forty-three upstreams were asked one after the other: a lost flow took over two
-/// seconds to prove.
+/// Asking five hundred and forty-three upstreams one after the other took over two seconds to prove
+/// a flow lost.
 #[rstest]
 #[case::largest_service(109)]
 #[case::fleet(543)]
@@ -104,8 +106,9 @@
     assert!(outcome.asked.len() <= expected, "{} packets", outcome.asked.len());
 }
 
-/// The packet for the upstream that holds the flow gets lost: it came again after all others had been
-/// asked, two seconds later, and a living flow counted as broken.
+/// The packet to the upstream that holds the flow is lost. If it were sent again only after all
+/// other upstreams had been asked, two seconds later, the open flow would look broken to its
+/// caller.
 #[rstest]
 #[case::largest_service(109)]
 #[case::fleet(543)]
@@ -120,7 +123,7 @@
     }
 }
 
-/// No upstream is asked again while it has time to answer.
+/// An upstream is not asked again while it still has time to reply.
 #[test]
 fn upstream_within_its_reply_time_gets_no_second_packet() {
     let view = fleet(543);
--- a/crates/steering/tests/edge_long_answers.rs
+++ b/crates/steering/tests/edge_long_answers.rs
@@ -1,5 +1,6 @@
-//! Flows in the middle of a long answer: their callers send bare acknowledgements only, which nobody
-//! answers, and a balancer that never saw the flow has to find its upstream by these.
+//! Flows in the middle of a long answer. Their callers send only bare acknowledgements, to which no
+//! upstream replies. A balancer that does not know the flow must find its upstream by means of
+//! these.
 
 mod common;
 
@@ -13,13 +14,15 @@
 use steering::rank;
 use steering::view::{Route, RouteTable, Share, Standing, View};
 
-/// Time from a balancer to an agent and back.
+/// Round trip between a balancer and an agent.
 const ROUND_TRIP_MS: Millis = 2;
-/// Until when the holder must have got a packet, so that callers see no broken flow.
+/// Time within which the holder must receive a packet, so that the flow does not look broken to its
+/// caller.
 const SEARCH_DEADLINE_MS: Millis = 2_000;
-/// When an upstream that gets no acknowledgements repeats its answer, and its caller acknowledges it.
+/// When an upstream that receives no acknowledgements retransmits its answer, which its caller
+/// acknowledges.
 const UPSTREAM_RETRANSMITS_MS: [Millis; 4] = [200, 600, 1_400, 3_000];
-/// Acknowledgements of the first packets of an answer, one for every two.
+/// Acknowledgements of the first packets of an answer, one for every two packets.
 const INITIAL_ACKNOWLEDGEMENTS: usize = 8;
 const GONE: Standing = Standing::Missing { since_ms: 0, drained: true };
 
@@ -34,7 +37,7 @@
     }
 }
 
-/// How many acknowledgements a caller sends at this moment whose upstream gets none.
+/// Number of acknowledgements that a caller sends at this moment if its upstream has received none.
 fn acknowledgements_at(now_ms: Millis) -> usize {
     match now_ms {
         0 => INITIAL_ACKNOWLEDGEMENTS,
@@ -42,7 +45,7 @@
     }
 }
 
-/// Upstreams that are ready, and the share of them that has just left the fleet.
+/// A view of `ready` upstreams, and of `gone` ones that have just left the fleet.
 fn view(flow: FlowKey, ready: u16, gone: u16) -> View {
     let shares = [Share { service: SERVICE, weight: 1 }].into();
     let route = Route {
@@ -60,7 +63,7 @@
     View::new(routes, upstreams.collect())
 }
 
-/// Ready upstreams of a view, by rank.
+/// The ready upstreams of a view, by rank.
 fn ready_by_rank(view: &View, flow: FlowKey) -> Vec<Ipv4Addr> {
     let ready = view.upstreams_of(SERVICE).iter().filter(|u| u.standing == Standing::Ready);
     let mut ranked: Vec<Ipv4Addr> = ready.map(|upstream| upstream.address).collect();
@@ -68,7 +71,8 @@
     ranked
 }
 
-/// When the holder gets the first packet of a balancer that never saw its flow; `lost` ones do not arrive.
+/// When the holder receives the first packet from a balancer that does not know the flow, if the
+/// first `lost` packets to it do not arrive.
 fn found_ms(view: &View, flow: FlowKey, holder: Ipv4Addr, lost: usize) -> Option<Millis> {
     let (mut edge, segment) = (Edge::default(), acknowledgement(flow));
     let is_ready_at = |address: Ipv4Addr| {
@@ -107,8 +111,10 @@
     None
 }
 
-/// A third of a service's upstreams has just left, among them the first ones that a balancer asks, when
-/// the fabric moves flows to it whose upstreams are sending: they got no acknowledgement for seconds.
+/// A third of a service's upstreams has just left, including the ones that a balancer asks first.
+/// The fabric then moves flows to that balancer while their upstreams are sending long answers. If
+/// the search does not get past the departed upstreams, the senders receive no acknowledgement for
+/// seconds.
 #[rstest]
 #[case::service(24, 13, 200)]
 #[case::twice_the_service(48, 26, 200)]
@@ -134,8 +140,9 @@
     assert_eq!(late, [], "{} of {}", late.len(), 3 * flows);
 }
 
-/// Flows of a neighbor that come to a balancer at once, each with an acknowledgement whenever its upstream
-/// sends again; those whose holder gets no packet in time.
+/// Simulates flows of a neighbour that reach a balancer all at once; each caller sends an
+/// acknowledgement whenever its upstream retransmits. Returns the number of flows whose holder
+/// receives no packet in time.
 fn count_flows_not_found(flows: u16, ready: u16, gone: u16) -> usize {
     let (mut edge, view) = (Edge::default(), view(common::flow(1), ready, gone));
     let segments: Vec<Segment> =
@@ -184,8 +191,8 @@
     searched.iter().filter(|(_, found)| !found).count()
 }
 
-/// Copies beside the first questions took all that a balancer may send of its own, and searches that
-/// needed one more question stood still.
+/// Copies sent beside the first queries must not use up the budget for extra packets: searches that
+/// need one more query would not advance.
 #[rstest]
 #[case::service(400, 24, 13)]
 #[case::largest_service(400, 109, 54)]
--- a/crates/steering/tests/edge_search.rs
+++ b/crates/steering/tests/edge_search.rs
@@ -1,4 +1,4 @@
-//! How a balancer finds a flow that it does not know, and keeps one that it knows.
+//! How a balancer finds a flow without an entry in its table, and keeps one that it has found.
 
 mod common;
 
@@ -14,8 +14,8 @@
 use steering::policy::Policy;
 use steering::view::View;
 
-/// The fabric moves a caller's flow to a balancer that never saw it. Wherever the flow lives, it is
-/// found by asking, each upstream once, and the next packet goes there directly.
+/// The fabric moves a caller's flow to a balancer that does not know it. Whichever upstream holds
+/// the flow, it is found by asking each upstream once, and the next packet goes there directly.
 #[rstest]
 fn flow_without_an_entry_is_found(#[values(1, 2, 3, 4, 5)] holder: u8) {
     let (mut edge, view) = (Edge::default(), all_ready_view());
@@ -33,17 +33,18 @@
     assert_eq!(actions.iter().filter_map(target).collect::<Vec<_>>(), [holder]);
 }
 
-/// The caller repeats its data since the flow's agent is dead, or the entry is wrong: copies go to
-/// others as well, so that the flow is found without the one that is silent.
+/// The caller retransmits its data because the agent of the flow's upstream is dead, or because the
+/// entry is wrong. Copies go to other upstreams as well, so that the flow is found although the
+/// target does not reply.
 #[test]
 fn retransmitted_data_is_copied_to_other_upstreams() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     packet(&mut edge, 0, &view, &data(1, 5));
-    assert_eq!(packet(&mut edge, 20, &view, &data(1, 5)).len(), 1, "a copy of the network's");
+    assert_eq!(packet(&mut edge, 20, &view, &data(1, 5)).len(), 1, "duplicated by the network");
     assert_eq!(packet(&mut edge, 200, &view, &data(1, 5)).len(), 4);
 }
 
-/// Packets of flows that nobody knows cost no more memory than the bound allows.
+/// Packets of unknown flows take no more memory than the bound of the flow table allows.
 #[test]
 fn flow_table_is_bounded_in_a_flood() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
@@ -58,7 +59,7 @@
     assert!(edge.flow_count() <= steering::edge::FLOWS_MAX);
 }
 
-/// A flood of packets of unknown flows is not kept for repetition beyond the bound.
+/// Packets of unknown flows are kept for retransmission only up to the bound.
 #[test]
 fn packets_kept_for_retransmission_are_bounded_in_a_flood() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
@@ -69,9 +70,9 @@
     assert!(repeated.len() <= 3 * steering::edge::PENDING_BYTES_MAX / 36);
 }
 
-/// Forty-six upstreams, and a request whose upstream is at work: the balancer's copies are denied by
-/// others. Each such denial led to another upstream, so that the search multiplied, the flow's next
-/// packets went astray, and its upstream got none of them for two seconds.
+/// One of forty-six upstreams is busy with a request, and the balancer's copies of it are denied by
+/// others. If each such denial led to another upstream, the search would multiply, the flow's next
+/// packets would go elsewhere, and its upstream would receive none of them for two seconds.
 #[test]
 fn denied_copies_do_not_advance_the_search() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 46]));
@@ -82,12 +83,12 @@
     for copy in &copies[1..] {
         let from = target(copy).unwrap();
         let actions = verdict(&mut edge, 201, &view, from, Verdict::Denied, &segment);
-        assert_eq!(actions, [], "a copy denied by {from}");
+        assert_eq!(actions, [], "copy denied by {from}");
     }
     assert_eq!(target(&packet(&mut edge, 300, &view, &data(1, 105))[0]), Some(holder));
 }
 
-/// The flow was found; denials of upstreams that were asked before arrive late.
+/// The flow has been found when denials by upstreams that were asked before arrive.
 #[test]
 fn late_denials_do_not_move_a_found_flow() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
@@ -108,11 +109,11 @@
     assert_eq!(actions.iter().filter_map(target).collect::<Vec<_>>(), [holder]);
 }
 
-/// Time from a balancer to an agent and back.
+/// Round trip between a balancer and an agent.
 const ROUND_TRIP_MS: Millis = 2;
 
-/// Looks for a flow from the first packet on, which comes at zero. Every upstream denies it but for the
-/// silent ones. Returns who gets a packet, and when.
+/// Searches for a flow whose first packet arrives at time zero. Every upstream denies it except the
+/// unresponsive ones. Returns which upstreams receive a packet, and when.
 fn search(
     edge: &mut Edge,
     view: &View,
@@ -136,9 +137,9 @@
     sent
 }
 
-/// The upstream that is asked first holds the flow and is at work for a while, beside an agent that has
-/// just started, among forty-six. The search goes on, but packets keep reaching it: led away for two
-/// seconds, its caller would see a flow that stalls although nothing is wrong.
+/// Among forty-six upstreams, the one that is asked first holds the flow and is busy for a while,
+/// and its agent has just restarted. The search goes on, but packets must keep reaching the holder:
+/// if they went elsewhere for two seconds, the flow would stall without any fault.
 #[test]
 fn busy_upstream_keeps_its_packets() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 46]));
@@ -158,9 +159,10 @@
     }
 }
 
-/// The upstreams that are asked first are dead with their machines, and the flow lives at any of the
-/// others, among sixty. By copies alone, three at a time, the search takes longer than the two seconds
-/// after which the caller's flow counts as led astray; each dead one must cost one pause only.
+/// Among sixty upstreams, those that are asked first are dead with their instances, and any other
+/// one may hold the flow. If only copies advanced the search, three at a time, it would exceed the
+/// two seconds after which the flow looks broken to its caller. Each dead upstream must cost only
+/// one pause.
 #[rstest]
 #[case::one(1, 400)]
 #[case::three(3, 800)]
@@ -179,7 +181,7 @@
     assert_eq!(reached.len(), 60);
 }
 
-/// A copy reaches the flow's upstream, which answers it: the flow stays there.
+/// A copy reaches the flow's upstream, which replies to it. The flow stays there.
 #[test]
 fn flow_found_by_a_copy_stays_there() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 46]));
@@ -192,8 +194,8 @@
     assert_eq!(target(&packet(&mut edge, 161, &view, &data(1, 105))[0]), Some(copied));
 }
 
-/// The flow's upstream is known, and its request waits beside it for its turn; the caller repeats it.
-/// Copies to others find nothing, and count as a flow that is led astray if its own upstream gets no
+/// The flow's upstream is known, and its request is queued there; the caller retransmits it. Copies
+/// to other upstreams find nothing, and the flow looks broken if its own upstream receives no
 /// packet for two seconds.
 #[test]
 fn packets_of_a_confirmed_flow_are_not_copied() {
@@ -208,9 +210,10 @@
     }
 }
 
-/// The balancer believes that the flow is open at an upstream that holds it half open only, and says
-/// nothing to its packets. When the caller has repeated its request for the third time, 1.4 s after it
-/// first sent it, copies go to others, and the flow's own upstream answers one of them.
+/// The balancer takes the flow for open at an upstream that holds it only half open and does not
+/// reply to its packets. When the caller has retransmitted its request for the third time, 1.4 s
+/// after it first sent it, copies go to other upstreams, and the flow's own upstream replies to one
+/// of them.
 #[test]
 fn repeated_retransmissions_of_a_confirmed_flow_are_copied() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 4]));
@@ -223,8 +226,8 @@
     assert_eq!(copies, [0, 0, 0, 3]);
 }
 
-/// The on-call engineer wants to know how far flows are looked for after balancers were replaced: the
-/// mean number of upstreams that are asked for each flow that is found.
+/// Operators need to know how long searches are after balancers were replaced: the mean number of
+/// upstreams asked for each flow that is found.
 #[rstest]
 #[case::found_at_the_first(1, Counters { flows_found: 1, upstreams_asked: 1, copies: 0, suppressed: 0, denials: 0 })]
 #[case::found_at_the_third(3, Counters { flows_found: 1, upstreams_asked: 3, copies: 0, suppressed: 0, denials: 2 })]
@@ -242,10 +245,10 @@
     assert_eq!(edge.counters(), expected);
 }
 
-/// A caller ends a flow that was idle, through a balancer without memory. The upstream that comes
-/// first by rank is dead together with its agent, so that nothing comes back. The caller repeats
-/// its last packet six times within seven seconds; each of these went to the dead one, and none to
-/// the upstream that holds the flow.
+/// A caller closes an idle flow through a balancer that does not know it. The upstream that is
+/// first by rank is dead together with its agent, so no reply comes. The caller retransmits its
+/// last packet six times within seven seconds. If all of these went to the dead upstream, the one
+/// that holds the flow would receive none.
 #[test]
 fn closing_flow_is_searched_for_beyond_a_dead_upstream() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
@@ -258,7 +261,7 @@
     assert_eq!(asked.len(), 5, "{asked:?}");
 }
 
-/// The same with bare acknowledgements, which no upstream answers.
+/// The same with bare acknowledgements, to which no upstream replies.
 #[test]
 fn acknowledgements_go_beyond_a_dead_upstream() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
@@ -272,8 +275,8 @@
     assert!(later.iter().any(|to| *to != dead), "{later:?}");
 }
 
-/// The upstream that is asked is dead, and its entry goes while the caller waits. Every further
-/// packet of the caller went to the address that is no longer listed.
+/// The upstream that is asked is dead, and its entry lapses while the caller waits. Further packets
+/// of the caller must not go to the address that is no longer listed.
 #[test]
 fn unlisted_upstream_is_not_asked() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
@@ -284,8 +287,8 @@
     assert!(actions.iter().filter_map(target).all(|to| to != dead), "{actions:?}");
 }
 
-/// Copies of a repeated packet began further down a list from which those that had denied were gone, and
-/// passed over the holder again and again.
+/// If the copies of a retransmitted packet started at an offset into the list of candidates, which
+/// shrinks as upstreams deny the flow, they would skip the holder again and again.
 #[test]
 fn copies_skip_no_upstream() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 24]));
@@ -306,8 +309,8 @@
     assert_eq!(reached.len(), 13);
 }
 
-/// All others have denied the flow, and its upstream was asked a moment ago: what its caller sent next was
-/// dropped.
+/// All other upstreams have denied the flow, and its own was asked a moment ago. The caller's next
+/// packets must go there instead of being dropped.
 #[test]
 fn packet_of_the_caller_goes_to_the_last_candidate() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 3]));
@@ -319,8 +322,9 @@
     }
 }
 
-/// The upstream that answered the opening holds the flow half open and takes its packets without a word.
-/// Where no copies could be sent, all questions went there, and none to the flow's own upstream.
+/// The upstream that answered the opening holds the flow half open and takes its packets without
+/// replying. Even if no copies can be sent, queries must reach the flow's own upstream instead of
+/// all going to the unresponsive one.
 #[test]
 fn unresponsive_upstream_of_an_opening_does_not_block_the_search() {
     let view = view_of(&[READY; 4]);
