--- a/crates/steering/tests/edge_bounds.rs
+++ b/crates/steering/tests/edge_bounds.rs
@@ -1,4 +1,5 @@
-//! What a balancer sends of its own is bounded, whatever is lost, and it takes no backlog for silence.
+//! Bounds on the packets that a balancer sends beyond those of its callers while replies are lost,
+//! and retransmissions while replies are only late.
 
 mod common;
 
@@ -10,11 +11,11 @@
 use steering::flow::{Millis, Segment};
 use steering::view::View;
 
-/// A balancer with a thin link hears one word of agents in ten, while callers open flows and send on
-/// flows that it does not know: each is repeated to further upstreams again and again, and these
-/// packets fill the link that drops the words. It sent fifteen packets for each flow that it was given.
-/// Once words come again, nothing keeps it from its usual traffic: three seconds later it sends one packet
-/// for each that it takes.
+/// A balancer behind a slow link receives one reply in ten, while callers open flows and send on
+/// flows that it does not know. Each unanswered packet is retransmitted to further upstreams, which
+/// fills the link that drops the replies: without a bound, the balancer sent fifteen packets for
+/// each flow that it was given. Three seconds after replies arrive again, it sends one packet for
+/// each that it receives.
 #[test]
 fn extra_packets_are_bounded_if_replies_are_lost() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 35]));
@@ -26,8 +27,9 @@
     assert!(sent <= from_callers + from_callers / 10, "{sent} packets for {from_callers}");
 }
 
-/// Each millisecond a packet, by turns an opening and data of an unknown flow; of the words that follow at
-/// once, one in so many arrives. Returns the packets taken and sent.
+/// Passes a packet to the balancer each millisecond, alternately an opening and data of an unknown
+/// flow. One in `packets_per_reply` of them is answered, at once. Returns the number of packets
+/// received and sent.
 fn simulate_traffic(
     edge: &mut Edge,
     view: &View,
@@ -54,8 +56,8 @@
     (from_callers, sent)
 }
 
-/// The same with acknowledgements of long answers on flows that it does not know, several for each: whoever
-/// is silent, it sends no more of its own than its callers send.
+/// The same with acknowledgements of long answers on unknown flows, several for each flow. Even if
+/// no upstream replies, the balancer sends no more extra packets than its callers send.
 #[test]
 fn extra_packets_for_long_answers_are_bounded() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 35]));
@@ -72,9 +74,9 @@
     assert!(sent <= 2 * from_callers + burst, "{sent} packets for {from_callers}");
 }
 
-/// Packets wait for 300 ms before this process reads them, so all words of agents come late. An opening
-/// whose answer waits among them looks unanswered; sent to a second upstream, it makes the backlog
-/// longer. Nothing is repeated until words come soon again.
+/// Packets wait for 300 ms before this process reads them, so all replies are late. An opening
+/// whose answer is still queued looks unanswered, and sending it to a second upstream lengthens the
+/// backlog. Nothing is retransmitted until replies arrive promptly again.
 #[rstest]
 #[case::late_replies(300, false)]
 #[case::upstream_does_not_reply(2, true)]
--- a/crates/steering/tests/edge_size.rs
+++ b/crates/steering/tests/edge_size.rs
@@ -1,4 +1,4 @@
-//! Searches among as many upstreams as the largest service has, and what they cost.
+//! Searches among as many upstreams as the largest service has, and the packets that they cost.
 
 mod common;
 
@@ -11,21 +11,21 @@
 use steering::flow::{Millis, Segment};
 use steering::view::View;
 
-/// Upstreams of the largest service of a fleet of 195 instances.
+/// Upstreams of the largest service in a fleet of 195 instances.
 const UPSTREAMS: usize = 109;
-/// When a caller sends a request, and repeats it.
+/// When a caller sends a request and retransmits it.
 const CALLER_SENDS_MS: [Millis; 5] = [0, 200, 600, 1_400, 3_000];
 
-/// What the callers' requests came to.
+/// What happened to the callers' requests.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Packets that callers have sent.
+    /// Number of packets that callers have sent.
     caller_packets: usize,
-    /// Packets that went to agents, with their times.
+    /// Agents that packets were sent to, with the times.
     asked: Vec<(Millis, Ipv4Addr)>,
-    /// When callers were told that their flows are lost.
+    /// Time from the start of each caller whose flow was reset to the reset.
     reset_after_ms: Vec<Millis>,
-    /// When these callers began.
+    /// When these callers started.
     began_ms: Vec<Millis>,
     /// Agents that were pinged.
     pinged: Vec<Ipv4Addr>,
@@ -37,8 +37,8 @@
     }
 }
 
-/// Plays callers of lost flows, one every `interval_ms`, against agents that deny all flows within
-/// `round_trip_ms`, but for those that are dead until `recovery_ms`.
+/// Simulates callers of lost flows, one every `interval_ms`. Agents deny all flows within
+/// `round_trip_ms`, except that the `dead` ones do not reply until `recovery_ms`.
 struct Simulation {
     flows: u16,
     interval_ms: Millis,
@@ -61,7 +61,7 @@
         let held = Verdict::Held { busy: 0, opening_sequence: None };
         verdict(&mut edge, 0, view, at, held, &known);
         for now_ms in 0..self.duration_ms {
-            // A flow that is well earns the balancer packets of its own.
+            // The packets of a healthy flow add to the budget for extra packets.
             packet(&mut edge, now_ms, view, &data(u16::MAX, 100 * (now_ms as u32 + 1)));
             edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
             let mut actions: Vec<(Segment, Action)> = Vec::new();
@@ -88,7 +88,7 @@
                 }
             }
             if now_ms % 20 == 0 {
-                // The core gives the kept packet; here it tells by its number whose it is.
+                // The port in the kept packet identifies the flow.
                 for (kept, action) in common::tick_with_segments(&mut edge, now_ms, view) {
                     actions.push((kept, action));
                 }
@@ -137,10 +137,10 @@
     (1..=count).map(|number| Ipv4Addr::new(10, 0, 0, number)).collect()
 }
 
-/// After a loss of power, a balancer with a thin link is behind, and each word takes 30 ms to come
-/// back: the first denials of a search were forgotten before the last ones came, and it began anew.
-/// One balancer sent 7,700 packets a second in this way until the end of the day, long after the
-/// last caller had gone.
+/// After a power failure, a balancer behind a slow link lags, and each reply takes 30 ms. If the
+/// first denials of a search expire before the last ones arrive, the search starts over. One
+/// balancer sent 7,700 packets a second in this way until the end of the run, long after the last
+/// caller had gone.
 #[rstest]
 #[case::prompt_replies(2)]
 #[case::slow_replies(30)]
@@ -151,7 +151,7 @@
 }
 
 /// Four upstreams died with their instances and are still listed. All others deny the flow. Callers
-/// of requests that may be sent twice learn soon that their flows are lost, and ask anew elsewhere.
+/// whose requests may be sent twice get a reset soon, and send them anew elsewhere.
 #[test]
 fn dead_upstreams_do_not_block_the_reset() {
     let outcome = simulation(40, 3, &dead(4)).run(&view_of(&[READY; UPSTREAMS]));
@@ -160,8 +160,9 @@
     assert_eq!(late, 0, "{:?}", outcome.reset_after_ms);
 }
 
-/// A lost flow is asked for every few milliseconds: agents that are asked so often that no packet ever
-/// grows old unanswered are found out as well, and later searches end at once.
+/// A lost flow is searched for every few milliseconds, so dead agents are asked so often that their
+/// latest packet is never overdue. They must be detected nevertheless, and later searches end at
+/// once.
 #[rstest]
 #[case::frequent(5)]
 #[case::occasional(20)]
@@ -180,8 +181,8 @@
     assert!(later.iter().all(|(_, reset_ms)| *reset_ms < 200), "{later:?}");
 }
 
-/// Two flows are lost, and three upstreams died with their instances: so few flows prove no agent to be
-/// out of reach, its silence to pings does.
+/// Two flows are lost, and three upstreams died with their instances. So few flows do not prove an
+/// agent unreachable; its missing replies to pings do.
 #[rstest]
 #[case::pings(true, 2)]
 #[case::flows_only(false, 0)]
@@ -196,17 +197,18 @@
     );
 }
 
-/// Half of a large fleet is dead: pings stay within their share of the control traffic.
+/// Half of a large fleet is dead. Pings stay within their share of the control traffic.
 #[test]
 fn pings_are_bounded() {
     let simulation = Simulation { pings: true, ..simulation(200, 3, &dead(54)) };
     let outcome = simulation.run(&view_of(&[READY; UPSTREAMS]));
     assert!(outcome.pinged.len() <= 500, "{} pings in five seconds", outcome.pinged.len());
-    assert_eq!(outcome.reset_after_ms, [], "it may be this balancer that is cut off");
+    assert_eq!(outcome.reset_after_ms, [], "this balancer itself may be cut off");
 }
 
-/// The same with requests that must not be sent twice: a caller of such a one does not ask anew,
-/// and its upstream may come back with the answer. The search must not go on without end meanwhile.
+/// The same with requests that must not be sent twice. After a reset, their callers do not send
+/// them anew, and a dead upstream may come back with the answer. Meanwhile each search must send a
+/// bounded number of packets.
 #[test]
 fn dead_upstreams_block_the_reset_of_requests_that_must_not_be_repeated() {
     let view = view_with(&[READY; UPSTREAMS], false);
@@ -216,7 +218,7 @@
     assert!(per_flow < 4 * UPSTREAMS, "{per_flow} packets sent for each flow");
 }
 
-/// Quiet agents are asked by few packets on behalf of all flows.
+/// Unresponsive agents get few packets for all flows together.
 #[test]
 fn unresponsive_agents_get_few_packets() {
     let dead = dead(4);
@@ -227,15 +229,16 @@
     }
 }
 
-/// A whole part of the fleet is silent: it may be this balancer that is cut off.
+/// A large part of the fleet does not reply: this balancer itself may be cut off.
 #[test]
 fn many_unresponsive_agents_prevent_the_reset() {
     let outcome = simulation(20, 3, &dead(40)).run(&view_of(&[READY; UPSTREAMS]));
     assert_eq!(outcome.reset_after_ms, []);
 }
 
-/// An agent is stopped and started again within half a second. Its upstream lives and holds the
-/// flow: the flow must not be reset, and reach it once its agent is back.
+/// An agent is stopped and restarted within half a second. Its upstream keeps running and holds the
+/// flow. The flow must not be reset, and its packets must reach the upstream once the agent is
+/// back.
 #[test]
 fn agent_restart_does_not_lose_the_flow() {
     let stopped = dead(1);
@@ -247,10 +250,10 @@
     assert!(outcome.asked.iter().any(|(at_ms, to)| *at_ms >= 500 && *to == stopped[0]));
 }
 
-/// Flows are known to be at an upstream that has died with its instance, still listed. Their
-/// callers repeat their requests, and nothing there answers. All others are asked, and deny them.
-/// One of the flows lives at another upstream after all: the dead one, which had answered the
-/// opening too, held it half open.
+/// Flows are confirmed at an upstream that has died with its instance and is still listed. Their
+/// callers retransmit their requests without an answer. All other upstreams are asked and deny the
+/// flows, except for one flow that is open at another upstream: the dead one, which had answered
+/// its opening too, held it only half open.
 #[rstest]
 #[case::repeatable_requests(true, true)]
 #[case::unrepeatable_requests(false, false)]
@@ -302,8 +305,8 @@
     assert_eq!(reset_callers, if reset { lost.to_vec() } else { Vec::new() });
 }
 
-/// Agents were silent for a moment, long ago. When new flows come, each agent is asked: what is old
-/// proves nothing.
+/// Agents were unresponsive for a moment, long ago. When new flows arrive, each agent is asked,
+/// since old missing replies are no evidence.
 #[test]
 fn old_missing_replies_prove_nothing() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY]));
@@ -320,9 +323,9 @@
     }
 }
 
-/// Ten flows live at an upstream that is at work on all of them for two seconds, beside an agent
-/// that has just started and does not know them. It says now and then that it lives; without its
-/// word, the balancer would take the upstream for dead.
+/// Ten flows are open at an upstream that is busy with all of them for two seconds. Its agent has
+/// just restarted and does not know the flows, but reports from time to time that it is alive.
+/// Without these reports, the balancer would take the upstream for dead.
 #[rstest]
 #[case::agent_reports(true, false)]
 #[case::agent_does_not_report(false, true)]
@@ -363,10 +366,10 @@
     assert_eq!(resets > 0, reset, "{resets} flows were reset");
 }
 
-/// A balancer that has sent all it may beyond its callers' packets looks for a flow whose first
-/// upstream by rank holds it half open, and takes its packets without a word. The caller's own
-/// repetitions must find the others: all three of them went to that one upstream, 1.6 s apart, and
-/// none to the flow's own.
+/// A balancer that has used up its budget for extra packets searches for a flow. The first upstream
+/// by rank holds it half open and takes its packets without replying. The caller's own
+/// retransmissions must advance the search: if all three of them, 1.6 s apart, went to that
+/// upstream, the flow's own would receive none.
 #[test]
 fn search_advances_by_the_callers_packets_alone() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY; 46]));
@@ -377,7 +380,7 @@
             verdict(&mut edge, now_ms, &view, agent.address, Verdict::Alive, &data(0, 0));
         }
     }
-    assert!(edge.counters().suppressed > 0, "the balancer has something left to send");
+    assert!(edge.counters().suppressed > 0, "the budget is not used up");
     let segment = data(1, 5);
     let unresponsive = target(&packet(&mut edge, 1_400, &view, &segment)[0]).unwrap();
     let mut reached: Vec<Ipv4Addr> = Vec::new();
@@ -394,5 +397,5 @@
     }
     reached.sort_unstable();
     reached.dedup();
-    assert_eq!(reached.len(), 45, "upstreams reached beside the unresponsive one");
+    assert_eq!(reached.len(), 45, "upstreams reached besides the unresponsive one");
 }
