--- a/crates/steering/tests/edge_former.rs
+++ b/crates/steering/tests/edge_former.rs
@@ -1,4 +1,4 @@
-//! Flows that are open at services which their route does not lead to any more.
+//! Flows that are open at services to which their route no longer leads.
 
 mod common;
 
@@ -16,7 +16,7 @@
 
 const FORMER: ServiceStamp = ServiceStamp(1);
 const CURRENT: ServiceStamp = ServiceStamp(2);
-/// Upstreams of the service that the route leads to, and of the one that it has left.
+/// Number of upstreams of the service that the route leads to, and of the one that it has left.
 const CURRENT_COUNT: u8 = 35;
 const FORMER_COUNT: u8 = 9;
 const REROUTED_MS: Millis = 1_000;
@@ -41,7 +41,7 @@
     former.chain((101..=100 + CURRENT_COUNT).map(|number| of(CURRENT, number))).collect()
 }
 
-/// The route has gone from one service to the other.
+/// A view in which the route has moved from the former service to the current one.
 fn rerouted_view() -> View {
     let old = RouteTable::new(1, vec![route(443, FORMER)], []);
     let new = RouteTable::new(2, vec![route(443, CURRENT)], []);
@@ -50,8 +50,9 @@
     View::new(Arc::new(new), upstreams()).with_history(Arc::new(history))
 }
 
-/// The same as a balancer sees it that has just started, as all have; another route of the address
-/// leads to the former service still, or one of another address does.
+/// The same for a balancer that has just started, as all others have, so that the history of the
+/// route is lost. Another route still leads to the former service, at the same address or at
+/// another one.
 fn view_without_history(same_address: bool) -> View {
     let mut other = route(8443, FORMER);
     if !same_address {
@@ -61,7 +62,8 @@
     View::new(Arc::new(routes), upstreams()).with_history(Arc::new(History::from_now(0, 60_000)))
 }
 
-/// Asks one after the other until `holder` is reached, or the flow is reset. Returns who was asked.
+/// Lets upstream after upstream deny the flow until `holder` is asked, or the flow is reset.
+/// Returns the upstreams asked.
 fn ask_in_turn(view: &View, now_ms: Millis, holder: Option<u8>) -> (Vec<Ipv4Addr>, Vec<Action>) {
     let mut edge = Edge::default();
     edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
@@ -80,15 +82,15 @@
     (asked, actions.into())
 }
 
-/// A route led to another service from one moment to the next, and balancers reset the flows that were
-/// open at the first.
+/// When a route moves to another service, balancers must not reset the flows that are open at the
+/// former one.
 #[rstest]
 fn flow_at_former_service_is_found(#[values(1, 4, 9)] holder: u8) {
     let (_, actions) = ask_in_turn(&rerouted_view(), REROUTED_MS, Some(holder));
     assert_eq!(actions.first().and_then(target), Some(Ipv4Addr::new(10, 0, 0, holder)));
 }
 
-/// Flows are placed among the first three ranks.
+/// Flows are placed among the first three ranks, so the search asks as many of each service first.
 #[test]
 fn flow_at_former_service_is_found_in_few_queries() {
     let former_only = view_of(&[READY; FORMER_COUNT as usize]);
@@ -105,15 +107,16 @@
     assert_eq!(actions, [Action::Reset { reason: Reason::Lost }]);
 }
 
-/// No open flow is as old, so that a lost flow costs no more than before the change.
+/// No flow of the former service can still be open, so proving a flow lost takes no more queries
+/// than before the route moved.
 #[test]
 fn former_service_is_not_asked_after_the_flow_ttl() {
     let (asked, _) = ask_in_turn(&rerouted_view(), REROUTED_MS + 60_000 + STALE_OPENINGS_MS, None);
     assert_eq!(asked.len(), usize::from(CURRENT_COUNT));
 }
 
-/// Nobody remembers which services the route has left: those of the address are asked as well, and no
-/// other client account's.
+/// No balancer knows which services the route has left. The services of other routes at the same
+/// address are asked too, but not those of other client accounts.
 #[rstest]
 #[case::same_address(true, CURRENT_COUNT + FORMER_COUNT)]
 #[case::other_address(false, CURRENT_COUNT)]
@@ -125,8 +128,9 @@
     assert_eq!(asked.len(), usize::from(expected));
 }
 
-/// Nobody remembers which service the route has left, and no route leads there any more: it may be
-/// another client account's, so that the flow is neither looked for there nor reset.
+/// No balancer knows which service the route has left, and no route leads to that service any more.
+/// It may belong to another client account, so the flow is not searched for there, and it is not
+/// reset either.
 #[rstest]
 #[case::incomplete_history(false, Action::Drop { reason: Reason::Unknown })]
 #[case::first_start(true, Action::Reset { reason: Reason::Lost })]
@@ -146,8 +150,8 @@
     assert_eq!(actions, [expected]);
 }
 
-/// The address of an upstream went to another one, and the balancer does not know it yet: what was sent
-/// there was given back unread, and the flow may live there.
+/// The address of an upstream was reassigned to another one, which the balancer does not know yet.
+/// The agent there returns the packet undelivered, but its upstream may hold the flow.
 #[rstest]
 #[case::current_service(CURRENT, false)]
 #[case::former_service(FORMER, false)]
@@ -169,7 +173,7 @@
     assert_eq!(actions.contains(&Action::Reset { reason: Reason::Lost }), proves);
 }
 
-/// The configuration names the former service no more, but its upstreams go on.
+/// The configuration no longer contains the former service, but its upstreams keep running.
 #[test]
 fn upstreams_of_former_service_stay_in_the_view() {
     let record = UpstreamRecord {
@@ -190,7 +194,7 @@
     assert_eq!(membership.view_since(rerouted.routes, history).upstreams().len(), 1);
 }
 
-/// No opening goes to a service that the route has left, nor does any of its copies.
+/// Neither an opening nor a copy of it goes to a service that the route has left.
 #[test]
 fn openings_go_to_the_current_service_only() {
     let view = rerouted_view();
--- a/crates/steering/tests/edge_openings.rs
+++ b/crates/steering/tests/edge_openings.rs
@@ -1,4 +1,4 @@
-//! Where a balancer sends openings, and what becomes of them.
+//! Where a balancer sends openings, and when it retransmits or rejects them.
 
 mod common;
 
@@ -12,7 +12,8 @@
 use steering::flow::{FlowKey, Millis, Segment};
 use steering::view::{Standing, Upstream, View, ZoneStamp};
 
-/// A balancer that knows an opening, and one that does not, ask the same upstreams first.
+/// A balancer places an opening at one of the upstreams that other balancers, which do not know the
+/// flow, ask first.
 #[test]
 fn placement_uses_the_first_ranks() {
     let view = all_ready_view();
@@ -23,8 +24,8 @@
     }
 }
 
-/// An upstream is dead, its agent too: the opening vanishes. Waiting for the caller's next copy
-/// costs 200 ms, most of the time in which an answer is wanted.
+/// An upstream and its agent are dead, so the opening is lost. Waiting for the caller's next copy
+/// would take 200 ms, most of the time in which the caller wants an answer.
 #[rstest]
 #[case::answered(true, 0)]
 #[case::unanswered(false, 1)]
@@ -50,8 +51,9 @@
     assert!(actions.iter().all(|action| target(action) != Some(first)));
 }
 
-/// An upstream was silent since it had crashed. It starts again under its name and address, and the list
-/// says so: what was known of its earlier life must not keep new flows from it for seconds.
+/// An upstream was unresponsive because it had crashed. It restarts under the same name and
+/// address, and the list states its new incarnation. What was recorded about the previous
+/// incarnation must not keep new flows away from it for seconds.
 #[rstest]
 #[case::same_incarnation(0, false)]
 #[case::new_incarnation(9, true)]
@@ -69,9 +71,9 @@
     assert_eq!(targets.any(|to| to == unresponsive), gets_flows);
 }
 
-/// Bodies of 80 KB cross availability zones for nothing while an upstream near by is as idle. Load goes
-/// first: the near one must not get all flows of its zone, and no rank beyond the first three is used, so that a
-/// balancer without memory finds the flow.
+/// Bodies of 80 KB should not cross availability zones if a nearby upstream is equally idle. Load
+/// takes precedence: the nearby upstream must not get all flows of its zone. No rank beyond the
+/// first three is used, so that a balancer that does not know the flow finds it.
 #[test]
 fn upstream_in_own_zone_is_preferred_at_equal_load() {
     let here = ZoneStamp(7);
@@ -96,7 +98,7 @@
     assert!((50..130).contains(&in_a_row), "load decides: {in_a_row}");
 }
 
-/// After one opening stayed unanswered, the next flows pass that upstream over for a while.
+/// After one opening stayed unanswered, the next flows are not placed at that upstream for a while.
 #[test]
 fn unresponsive_upstream_is_passed_over() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY, READY]));
@@ -108,8 +110,8 @@
     }
 }
 
-/// An opening never goes to an upstream that leaves, is gone, or has denied it; if all have denied
-/// it, the caller learns so at once instead of repeating it for 1.4 s.
+/// An opening never goes to an upstream that is draining, is gone or has denied it. If all have
+/// denied it, the caller is told at once instead of retransmitting the opening for 1.4 s.
 #[rstest]
 #[case::draining(&[Standing::Draining, READY], &[2])]
 #[case::gone(&[Standing::Missing { since_ms: 0, drained: true }, READY], &[2])]
@@ -157,8 +159,9 @@
     }
 }
 
-/// Two copies of an opening were answered by two upstreams. The caller took one of them, and its next
-/// packet says which; the other would take the flow's packets without a word.
+/// Two copies of an opening were answered by two upstreams. The caller accepted one of the answers,
+/// and its next packet acknowledges that one. The other upstream would take the flow's packets
+/// without replying.
 #[rstest]
 #[case::first_answer(1_001, 0)]
 #[case::second_answer(77_301, 1)]
@@ -181,9 +184,9 @@
     assert_eq!(target(&actions[0]), Some([first, second, second][expected]));
 }
 
-/// The flow is open. A copy of its opening was under way for long, and its upstream returns it, since it
-/// takes no second one. Taken for a denial of the flow, this placed the opening elsewhere, and all
-/// further packets went there for seconds.
+/// A delayed copy of an opening reaches the upstream that holds the open flow, which returns it
+/// because it accepts no second opening. If this counted as a denial of the flow, the opening would
+/// be placed elsewhere, and all further packets would go there for seconds.
 #[test]
 fn denied_copy_of_an_opening_does_not_move_the_open_flow() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
@@ -197,9 +200,11 @@
     assert_eq!(target(&packet(&mut edge, 220, &view, &segment)[0]), Some(holder));
 }
 
-/// A balancer was frozen with an opening in its queue, or has got a copy only, and the caller has opened the
-/// flow through another one; or a silent upstream has taken the opening before it was sent on. Every
-/// upstream returns it, the flow's own too, since it takes no second one. A refusal would reset the flow.
+/// The flow of an opening may be open although every upstream, its own included, returns the
+/// opening: the holder accepts no second one. This happens if the caller has opened the flow
+/// through another balancer, because this one was paused with the opening in its queue or received
+/// only a copy, or if an unresponsive upstream took the opening before it was retransmitted. A
+/// refusal would reset the open flow.
 #[rstest]
 #[case::fresh(0, 200, 5, true)]
 #[case::queued_during_a_pause(0, 3, 5, false)]
@@ -233,8 +238,8 @@
     assert_eq!(actions, [expected]);
 }
 
-/// Packets wait at this balancer's thin link: a first opening may be old, and its flow open through another
-/// balancer. A refusal would reset it.
+/// Packets are queued at the slow link of this balancer. A first opening may be old, and its flow
+/// may be open through another balancer, so that a refusal would reset it.
 #[rstest]
 #[case::in_time(2, true)]
 #[case::lagging(60, false)]
@@ -259,8 +264,9 @@
     assert_eq!(actions, [expected]);
 }
 
-/// A balancer stands still after the first copy of an opening and works off the second one when it wakes:
-/// the flow was opened through another balancer meanwhile, and was reset.
+/// A balancer is paused after the first copy of an opening and handles the second one when it
+/// resumes. The flow may have been opened through another balancer in the meantime, and a refusal
+/// would reset it.
 #[rstest]
 #[case::at_once(10, true)]
 #[case::after_a_pause(3_000, false)]
--- a/crates/steering/tests/edge_proof.rs
+++ b/crates/steering/tests/edge_proof.rs
@@ -1,4 +1,4 @@
-//! When a balancer may tell a caller that its flow is lost.
+//! When a balancer may reset a flow as lost.
 
 mod common;
 
@@ -12,16 +12,17 @@
 use steering::flow::Millis;
 use steering::view::{Standing, View};
 
-/// All upstreams have crashed and started again: every one denies the flow. The caller would repeat
-/// its request until its time is up; a reset lets it ask anew at once.
+/// All upstreams have crashed and restarted, and every one denies the flow. Without a reset, the
+/// caller would retransmit its request until its timeout; after a reset it can send it anew at
+/// once.
 #[test]
 fn flow_denied_by_all_upstreams_is_reset() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
     assert_eq!(hops_to(&mut edge, &view, &data(1, 5), None), None);
 }
 
-/// A reset is sent only if it is proven that nobody holds the flow. An entry that went lately may
-/// belong to an upstream that lives, silence is no denial, and right after an outage of the
+/// A reset is sent only if it is proven that no upstream holds the flow. An upstream whose entry
+/// lapsed recently may still run, a missing reply is no denial, and right after an outage of the
 /// configuration service the list may lack upstreams.
 #[rstest]
 #[case::all_deny(all_ready_view(), 0, true)]
@@ -57,8 +58,8 @@
     assert_eq!(all_actions.iter().any(is_reset), reset, "{all_actions:?}");
 }
 
-/// A denial says something about now only: the upstream may have been too full a second ago, or the
-/// packet overtook the opening.
+/// A denial holds only for the moment at which it was sent: the upstream may have been overloaded,
+/// or the packet may have overtaken the opening.
 #[test]
 fn denials_expire() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY, READY]));
@@ -70,9 +71,9 @@
     assert_eq!(actions.iter().filter_map(target).collect::<Vec<_>>(), [first]);
 }
 
-/// All instances lost power and come back one after the other. A request of a flow that is lost finds
-/// four upstreams that deny it, and one that is still down. Once that one is up and denies it too,
-/// the caller learns it by a reset, without having to repeat its request first.
+/// All instances lost power and restart one after the other. A request of a lost flow is denied by
+/// four upstreams, and the fifth is still down. Once that one is up and denies the flow too, the
+/// caller gets a reset without having to retransmit its request first.
 #[test]
 fn flow_is_reset_when_the_last_upstream_returns() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
@@ -81,7 +82,7 @@
     let mut actions = packet(&mut edge, 0, &view, &segment);
     while let Some(to) = actions.first().and_then(target) {
         if to == down {
-            // Nobody answers; others are asked only when the packet is repeated.
+            // No reply comes; other upstreams are asked only when the packet is retransmitted.
             actions = tick(&mut edge, RETRANSMIT_AFTER_MS, &view);
             actions.retain(|action| target(action) != Some(down));
             continue;
@@ -93,7 +94,7 @@
     }
     for now_ms in (RETRANSMIT_AFTER_MS..900).step_by(20) {
         for action in tick(&mut edge, now_ms, &view) {
-            assert!(target(&action).is_some(), "no proof yet: {action:?}");
+            assert!(target(&action).is_some(), "not proven lost yet: {action:?}");
             if let Some(to) = target(&action).filter(|to| *to != down) {
                 verdict(&mut edge, now_ms, &view, to, Verdict::Denied, &segment);
             }
@@ -103,10 +104,10 @@
     assert_eq!(actions, [Action::Reset { reason: Reason::Lost }]);
 }
 
-/// This balancer is cut off from all others, and knows no upstream that started since; or it has
-/// just started, or the configuration service has just returned, and entries may be missing. A flow
-/// that lives at an unknown upstream finds only denials here: silence costs its caller time, a reset
-/// costs the flow.
+/// The list may lack upstreams: this balancer is cut off from all others and knows no upstream that
+/// has started since, or it has just started, or the configuration service has just returned. All
+/// known upstreams deny a flow that is open at an unknown one. Without a reset the caller loses
+/// time, with one it loses the flow.
 #[rstest]
 #[case::trusted(9_000, 0, true)]
 #[case::cut_off(3_000, 0, false)]
@@ -127,9 +128,9 @@
     assert_eq!(actions == [Action::Reset { reason: Reason::Lost }], reset, "{actions:?}");
 }
 
-/// The balancer was paused for two seconds and wakes up with packets waiting. What it believes is from
-/// before: an upstream may have started meanwhile, and the flow may live there. Only after news of its
-/// view does a denial by all others prove anything.
+/// The balancer was paused for two seconds and resumes with packets queued. Its view is from before
+/// the pause: an upstream may have started in the meantime, and may hold the flow. Denials by all
+/// others prove the flow lost only after the view has been confirmed again.
 #[rstest]
 #[case::before_confirmation(2_900, false)]
 #[case::after_confirmation(5_001, true)]
@@ -146,9 +147,9 @@
     assert_eq!(actions == [Action::Reset { reason: Reason::Lost }], reset, "{actions:?}");
 }
 
-/// An upstream was silent for a moment, its caller's opening went elsewhere, and then it took the
-/// opening after all. The others deny the open flow; that it was silent before must not stand for
-/// its denial.
+/// An upstream was briefly unresponsive, so the caller's opening was sent elsewhere, and then it
+/// took the opening after all. The others deny the open flow. That it did not take the opening in
+/// time must not count as its denial of the flow.
 #[test]
 fn denied_opening_does_not_count_as_denial_of_the_open_flow() {
     let (mut edge, view) = (Edge::default(), view_of(&[READY, READY]));
--- a/crates/steering/tests/zones.rs
+++ b/crates/steering/tests/zones.rs
@@ -1,4 +1,5 @@
-//! Availability zones that are closed to new flows, and routes that stay in their regions.
+//! Availability zones that are closed to new flows, regions that routes allow, and openings that
+//! cold upstreams take.
 
 mod common;
 
@@ -28,7 +29,8 @@
     View::new(view_of(&[]).routes, listed.collect()).with_closed_zones(closed.to_vec())
 }
 
-/// Upstreams asked for an opening that each of them denies, and what comes of it in the end.
+/// Lets upstream after upstream deny an opening. Returns the upstreams asked, and the final
+/// actions.
 fn ask_in_turn(view: &View) -> (Vec<u8>, Vec<Action>) {
     let (mut edge, segment) = (Edge::default(), opening(1, 0));
     let mut actions = packet(&mut edge, 0, view, &segment);
@@ -41,7 +43,8 @@
     (asked, actions)
 }
 
-/// New flows go elsewhere while a zone is closed; where nothing is left, the caller learns so at once.
+/// While a zone is closed, new flows go to other zones. If no upstream is left, the caller is told
+/// at once.
 #[rstest]
 #[case::none(&[(A, READY), (B, READY)], &[], &[1, 2], Reason::Refused)]
 #[case::one(&[(A, READY), (B, READY)], &[A], &[2], Reason::Refused)]
@@ -63,7 +66,7 @@
     assert_eq!(actions, [Action::Reset { reason }]);
 }
 
-/// A copy of an opening may be late, and its flow open by now.
+/// A copy of an opening may be late, and its flow may be open by now.
 #[test]
 fn copy_of_an_opening_is_not_reset_when_all_zones_are_closed() {
     let view = view_in(&[(A, READY)], &[A]);
@@ -91,7 +94,8 @@
     assert_eq!(target(&actions[0]), Some(holder));
 }
 
-/// The zone is closed between an opening and its copy: nobody has confirmed the flow, or its upstream has.
+/// The zone is closed between an opening and its copy. The copy goes to another zone, unless the
+/// upstream has confirmed the flow.
 #[rstest]
 #[case::unconfirmed(false, 2)]
 #[case::confirmed(true, 1)]
@@ -109,7 +113,7 @@
     assert_eq!(target(&copy[0]).map(|to| to.octets()[3]), Some(expected));
 }
 
-/// The balancer's own repetition goes elsewhere as well.
+/// The balancer's own retransmission goes to another zone as well.
 #[test]
 fn unanswered_opening_leaves_a_closed_zone() {
     let upstreams = [(A, READY), (B, READY)];
@@ -121,7 +125,7 @@
     assert_eq!(target(&repeated[0]).map(|to| to.octets()[3]), Some(2));
 }
 
-/// Agents check openings once more by what balancers say with each packet.
+/// Agents check openings once more by what balancers state with each packet.
 #[rstest]
 #[case::ready((A, READY), false)]
 #[case::closed((B, READY), true)]
@@ -146,7 +150,8 @@
     View::new(routes, view.upstreams().to_vec()).with_regions(Arc::new(regions))
 }
 
-/// A route's flows stay in the regions that it allows; a zone that the settings do not place is in none.
+/// A route's flows stay in the regions that it allows. A zone that the settings assign to no region
+/// is in none of them.
 #[rstest]
 #[case::any(&[], &[1, 2, 3], Reason::Refused)]
 #[case::first(&[7], &[1], Reason::Refused)]
@@ -171,8 +176,8 @@
     View::new(routes, view.upstreams().iter().map(cold).collect())
 }
 
-/// A cold upstream that has taken what it bears is left alone for as long as its agent says; where all
-/// have, the caller learns so at once.
+/// A cold upstream that has taken as many openings as it can bear gets no more for as long as its
+/// agent states. If this applies to all upstreams, the caller is told at once.
 #[test]
 fn rate_limited_upstream_gets_no_openings() {
     let view = limited_view(5_000, 2_000);
@@ -196,8 +201,8 @@
     assert_eq!(next(&mut edge, 300, 3).first().and_then(target), Some(limited[0]));
 }
 
-/// What an agent said of a cold upstream ends when it is warm; where only the agent takes it for cold, its word
-/// holds for a second at most.
+/// The limit that the agent of a cold upstream has reported ends once the upstream is warm. If only
+/// the agent takes the upstream for cold, the report is valid for a second at most.
 #[rstest]
 #[case::still_cold(5_000, 900, false)]
 #[case::warmed_up(800, 900, true)]
@@ -254,7 +259,7 @@
     membership.view(Arc::default()).closed_zones().to_vec()
 }
 
-/// Changes of zones count in the order of their revisions, also where they come together.
+/// Changes of zones apply in the order of their revisions, also within one delta.
 #[rstest]
 #[case::closed(&[Change::ZoneClosed(A)], &[A])]
 #[case::twice(&[Change::ZoneClosed(A), Change::ZoneClosed(A)], &[A])]
@@ -267,7 +272,7 @@
     assert_eq!(closed_of(&Delta::new(0, changes.to_vec()).changes), expected);
 }
 
-/// The history of the store is gone: what is closed now is what the whole list says.
+/// The history of the store is lost, so the full list determines which zones are closed.
 #[test]
 fn full_list_replaces_the_closed_zones() {
     let mut membership = Membership::default();
@@ -276,7 +281,7 @@
     assert_eq!(membership.closed_zones(), [B, C]);
 }
 
-/// Balancers compare their lists by digest: one that missed the change of a zone must notice.
+/// Balancers compare their lists by digest. One that missed a change of a zone must notice.
 #[test]
 fn digest_covers_closed_zones() {
     let mut membership = Membership::default();
