--- a/crates/steering/tests/zones.rs
+++ b/crates/steering/tests/zones.rs
@@ -1,4 +1,5 @@
-//! Availability zones that are closed to new flows, and routes that stay in their regions.
+//! Availability zones that are closed to new flows, regions that routes allow, and openings that
+//! cold upstreams take.
 
 mod common;
 
@@ -28,8 +29,9 @@
     View::new(view_of(&[]).routes, listed.collect()).with_closed_zones(closed.to_vec())
 }
 
-/// Upstreams asked for an opening that each of them denies, and what comes of it in the end.
-fn asked(view: &View) -> (Vec<u8>, Vec<Action>) {
+/// Lets upstream after upstream deny an opening. Returns the upstreams asked, and the final
+/// actions.
+fn ask_in_turn(view: &View) -> (Vec<u8>, Vec<Action>) {
     let (mut edge, segment) = (Edge::default(), opening(1, 0));
     let mut actions = packet(&mut edge, 0, view, &segment);
     let mut asked = Vec::new();
@@ -41,7 +43,8 @@
     (asked, actions)
 }
 
-/// New flows go elsewhere while a zone is closed; where nothing is left, the caller learns so at once.
+/// While a zone is closed, new flows go to other zones. If no upstream is left, the caller is told
+/// at once.
 #[rstest]
 #[case::none(&[(A, READY), (B, READY)], &[], &[1, 2], Reason::Refused)]
 #[case::one(&[(A, READY), (B, READY)], &[A], &[2], Reason::Refused)]
@@ -58,12 +61,12 @@
     #[case] expected: &[u8],
     #[case] reason: Reason,
 ) {
-    let (asked, actions) = asked(&view_in(upstreams, closed));
+    let (asked, actions) = ask_in_turn(&view_in(upstreams, closed));
     assert_eq!(asked, expected);
     assert_eq!(actions, [Action::Reset { reason }]);
 }
 
-/// A copy of an opening may be late, and its flow open by now.
+/// A copy of an opening may be late, and its flow may be open by now.
 #[test]
 fn copy_of_an_opening_is_not_reset_when_all_zones_are_closed() {
     let view = view_in(&[(A, READY)], &[A]);
@@ -91,7 +94,8 @@
     assert_eq!(target(&actions[0]), Some(holder));
 }
 
-/// The zone is closed between an opening and its copy: nobody has confirmed the flow, or its upstream has.
+/// The zone is closed between an opening and its copy. The copy goes to another zone, unless the
+/// upstream has confirmed the flow.
 #[rstest]
 #[case::unconfirmed(false, 2)]
 #[case::confirmed(true, 1)]
@@ -109,7 +113,7 @@
     assert_eq!(target(&copy[0]).map(|to| to.octets()[3]), Some(expected));
 }
 
-/// The balancer's own repetition goes elsewhere as well.
+/// The balancer's own retransmission goes to another zone as well.
 #[test]
 fn unanswered_opening_leaves_a_closed_zone() {
     let upstreams = [(A, READY), (B, READY)];
@@ -121,14 +125,14 @@
     assert_eq!(target(&repeated[0]).map(|to| to.octets()[3]), Some(2));
 }
 
-/// Agents check openings once more by what balancers say with each packet.
+/// Agents check openings once more by what balancers state with each packet.
 #[rstest]
 #[case::ready((A, READY), false)]
 #[case::closed((B, READY), true)]
 #[case::draining((A, Standing::Draining), true)]
 #[case::drained((A, Standing::Missing { since_ms: 0, drained: true }), true)]
 #[case::lapsed((A, LAPSED), false)]
-fn packets_say_whether_the_upstream_takes_new_flows(
+fn forwarded_packets_state_whether_the_upstream_takes_new_flows(
     #[case] only: (ZoneStamp, Standing),
     #[case] expected: bool,
 ) {
@@ -146,7 +150,8 @@
     View::new(routes, view.upstreams().to_vec()).with_regions(Arc::new(regions))
 }
 
-/// A route's flows stay in the regions that it allows; a zone that the settings do not place is in none.
+/// A route's flows stay in the regions that it allows. A zone that the settings assign to no region
+/// is in none of them.
 #[rstest]
 #[case::any(&[], &[1, 2, 3], Reason::Refused)]
 #[case::first(&[7], &[1], Reason::Refused)]
@@ -158,7 +163,7 @@
     #[case] reason: Reason,
 ) {
     let allowed: Vec<RegionStamp> = allowed.iter().copied().map(RegionStamp).collect();
-    let (asked, actions) = asked(&view_of_regions(&allowed));
+    let (asked, actions) = ask_in_turn(&view_of_regions(&allowed));
     assert_eq!(asked, expected);
     assert_eq!(actions, [Action::Reset { reason }]);
 }
@@ -171,10 +176,10 @@
     View::new(routes, view.upstreams().iter().map(cold).collect())
 }
 
-/// A cold upstream that has taken what it bears is left alone for as long as its agent says; where all
-/// have, the caller learns so at once.
+/// A cold upstream that has taken as many openings as it can bear gets no more for as long as its
+/// agent states. If this applies to all upstreams, the caller is told at once.
 #[test]
-fn limited_upstream_is_left_alone() {
+fn rate_limited_upstream_gets_no_openings() {
     let view = limited_view(5_000, 2_000);
     let mut edge = Edge::default();
     let segment = opening(1, 0);
@@ -182,8 +187,8 @@
     let mut limited = Vec::new();
     while let Some(to) = actions.first().and_then(target) {
         limited.push(to);
-        let word = Verdict::RateLimited { for_ms: 300 * limited.len() as Millis };
-        actions = verdict(&mut edge, 0, &view, to, word, &segment);
+        let reply = Verdict::RateLimited { for_ms: 300 * limited.len() as Millis };
+        actions = verdict(&mut edge, 0, &view, to, reply, &segment);
     }
     assert_eq!(limited.len(), 2);
     assert_eq!(actions, [Action::Reset { reason: Reason::ColdLimit }]);
@@ -196,14 +201,14 @@
     assert_eq!(next(&mut edge, 300, 3).first().and_then(target), Some(limited[0]));
 }
 
-/// What an agent said of a cold upstream ends when it is warm; where only the agent takes it for cold, its word
-/// holds for a second at most.
+/// The limit that the agent of a cold upstream has reported ends once the upstream is warm. If only
+/// the agent takes the upstream for cold, the report is valid for a second at most.
 #[rstest]
 #[case::still_cold(5_000, 900, false)]
-#[case::warm_by_now(800, 900, true)]
-#[case::warm_all_along(0, 900, false)]
-#[case::warm_all_along_a_second_ago(0, 1_000, true)]
-fn limit_ends_with_the_cold(
+#[case::warmed_up(800, 900, true)]
+#[case::never_cold(0, 900, false)]
+#[case::never_cold_after_a_second(0, 1_000, true)]
+fn rate_limit_ends_with_the_warmup(
     #[case] warm_at_ms: Millis,
     #[case] at_ms: Millis,
     #[case] gets_flows: bool,
@@ -212,8 +217,8 @@
     let mut edge = Edge::default();
     let mut actions = packet(&mut edge, 0, &view, &opening(1, 0));
     while let Some(to) = actions.first().and_then(target) {
-        let word = Verdict::RateLimited { for_ms: 3_000 };
-        actions = verdict(&mut edge, 0, &view, to, word, &opening(1, 0));
+        let reply = Verdict::RateLimited { for_ms: 3_000 };
+        actions = verdict(&mut edge, 0, &view, to, reply, &opening(1, 0));
     }
     (0..at_ms).step_by(50).for_each(|now_ms| drop(tick(&mut edge, now_ms, &view)));
     let later = packet(&mut edge, at_ms, &view, &opening(2, 0));
@@ -224,7 +229,7 @@
 #[case::cold(5_000, 12_500, true)]
 #[case::warm(0, 12_500, false)]
 #[case::not_limited(5_000, 0, true)]
-fn openings_name_the_limit(
+fn forwarded_openings_carry_the_limit(
     #[case] warm_at_ms: Millis,
     #[case] limit_per_ks: u32,
     #[case] cold: bool,
@@ -254,7 +259,7 @@
     membership.view(Arc::default()).closed_zones().to_vec()
 }
 
-/// Changes of zones count in the order of their revisions, also where they come together.
+/// Changes of zones apply in the order of their revisions, also within one delta.
 #[rstest]
 #[case::closed(&[Change::ZoneClosed(A)], &[A])]
 #[case::twice(&[Change::ZoneClosed(A), Change::ZoneClosed(A)], &[A])]
@@ -262,23 +267,23 @@
 #[case::opened(&[Change::ZoneClosed(A), Change::ZoneOpened(A)], &[])]
 #[case::closed_again(&[Change::ZoneOpened(A), Change::ZoneClosed(A)], &[A])]
 #[case::opened_unknown(&[Change::ZoneOpened(UNKNOWN)], &[])]
-fn zones_follow_their_changes(#[case] changes: &[Change], #[case] expected: &[ZoneStamp]) {
+fn zone_changes_apply_in_order(#[case] changes: &[Change], #[case] expected: &[ZoneStamp]) {
     assert_eq!(closed_of(changes), expected);
     assert_eq!(closed_of(&Delta::new(0, changes.to_vec()).changes), expected);
 }
 
-/// The history of the store is gone: what is closed now is what the whole list says.
+/// The history of the store is lost, so the full list determines which zones are closed.
 #[test]
-fn whole_list_says_which_zones_are_closed() {
+fn full_list_replaces_the_closed_zones() {
     let mut membership = Membership::default();
     membership.apply(0, &Change::ZoneClosed(A));
     membership.replace(0, &[], [C, B, C]);
     assert_eq!(membership.closed_zones(), [B, C]);
 }
 
-/// Balancers compare their lists by digest: one that missed the change of a zone must notice.
+/// Balancers compare their lists by digest. One that missed a change of a zone must notice.
 #[test]
-fn digest_tells_closed_zones_apart() {
+fn digest_covers_closed_zones() {
     let mut membership = Membership::default();
     membership.insert(0, &record("a"));
     let open = membership.digest();
