--- a/crates/goosectl/src/commands/drain_watch/look.rs
+++ b/crates/goosectl/src/commands/drain_watch/look.rs
@@ -6,7 +6,7 @@
 
 use super::progress::{Flows, Look};
 use crate::exit::{Exit, Failure};
-use crate::fleet::{self, Event, Fleet, Place, Subject};
+use crate::fleet::{self, Event, Fleet, ServedUpstream, Target};
 
 /// The most that an agent lists.
 const FLOWS_MAX: usize = 10_000;
@@ -33,8 +33,9 @@
     /// Errors: [`codes::NOT_FOUND`] unless exactly one upstream has that name.
     pub(super) fn find(mut fleet: Fleet, name: &str) -> Result<Self, Failure> {
         let not_found = |text: String| Failure::new(codes::NOT_FOUND, Exit::Usage, text);
-        let fits = |subject: &&Subject| subject.place().is_some_and(|place| is_named(place, name));
-        let found: Vec<Subject> = fleet.subjects.iter().filter(fits).cloned().collect();
+        let fits =
+            |target: &&Target| target.served_upstream().is_some_and(|place| is_named(place, name));
+        let found: Vec<Target> = fleet.targets.iter().filter(fits).cloned().collect();
         let [watched] = &found[..] else {
             return Err(not_found(match found.len() {
                 0 => format!("the platform's list names no agent of upstream `{name}`"),
@@ -43,19 +44,19 @@
                 }
             }));
         };
-        let Some(place) = watched.place().cloned() else {
+        let Some(place) = watched.served_upstream().cloned() else {
             return Err(not_found(format!("`{name}` is no agent")));
         };
-        let is_peer = |subject: &Subject| {
-            let known = subject.place();
+        let is_peer = |target: &Target| {
+            let known = target.served_upstream();
             known.is_some_and(|peer| {
                 (&peer.account, &peer.service) == (&place.account, &place.service)
             })
         };
-        fleet.subjects.retain(|subject| subject.kind() == Some(Kind::Agent) && is_peer(subject));
+        fleet.targets.retain(|target| target.kind() == Some(Kind::Agent) && is_peer(target));
         let id = UpstreamId::of(&place.account, &place.service, &place.upstream);
         Ok(Self {
-            seen: vec![None; fleet.subjects.len()],
+            seen: vec![None; fleet.targets.len()],
             silent_looks: 0,
             agents: fleet,
             instance: watched.name.clone(),
@@ -82,9 +83,9 @@
 
     fn flows(&self) -> Result<Flows, String> {
         let path = format!("/flows?limit={FLOWS_MAX}");
-        let is_watched = |subject: &Subject| subject.name == self.instance;
+        let is_watched = |target: &Target| target.name == self.instance;
         let answers =
-            self.agents.ask::<fleet::Flows>(|subject| is_watched(subject).then(|| path.clone()));
+            self.agents.ask::<fleet::Flows>(|target| is_watched(target).then(|| path.clone()));
         let answer = answers.into_iter().next().ok_or("its agent is not asked")?;
         let list = answer.result.map_err(|silence| silence.to_string())?;
         let closing = list.flows.iter().filter(|flow| flow.state == "finishing").count();
@@ -94,17 +95,17 @@
     /// Openings that the upstream took or was given, and names of silent peers.
     fn new_openings(&mut self) -> (usize, Vec<String>) {
         let seen = self.seen.clone();
-        let subjects = &self.agents.subjects;
-        let after = |subject: &Subject| {
-            let index = subjects.iter().position(|known| known == subject);
+        let targets = &self.agents.targets;
+        let after = |target: &Target| {
+            let index = targets.iter().position(|known| known == target);
             index.and_then(|index| seen[index]).unwrap_or(0)
         };
-        let path = |subject: &Subject| Some(format!("/timeline?after={}", after(subject)));
+        let path = |target: &Target| Some(format!("/timeline?after={}", after(target)));
         let answers = self.agents.ask::<Vec<Event>>(path);
         let (mut openings, mut silent) = (Vec::new(), Vec::new());
         for (index, answer) in answers.into_iter().enumerate() {
             let Ok(events) = answer.result else {
-                silent.push(answer.subject.name);
+                silent.push(answer.target.name);
                 continue;
             };
             if seen[index].is_some() {
@@ -126,8 +127,8 @@
     }
 }
 
-fn is_named(place: &Place, name: &str) -> bool {
-    let Place { account, service, upstream } = place;
+fn is_named(place: &ServedUpstream, name: &str) -> bool {
+    let ServedUpstream { account, service, upstream } = place;
     let words: Vec<&str> = name.split('/').collect();
     let own = [account.as_str(), service, upstream];
     words.len() <= own.len() && own.ends_with(&words)
--- a/crates/goosectl/src/commands/explain/gather.rs
+++ b/crates/goosectl/src/commands/explain/gather.rs
@@ -12,7 +12,7 @@
 use super::arguments::Arguments;
 use super::tuple::Tuple;
 use crate::exit::{Exit, Failure};
-use crate::fleet::{Answer, BalancerView, Explained, Fleet, Silence, Subject};
+use crate::fleet::{Answer, BalancerView, Explained, Fleet, RequestError, Target};
 
 /// All that the explanation rests on.
 pub(super) struct Facts {
@@ -34,7 +34,7 @@
     pub(super) listed: Option<State>,
     /// Retired in the settings: it may well have ended.
     pub(super) is_retired: bool,
-    pub(super) answer: Result<Explained, Silence>,
+    pub(super) answer: Result<Explained, RequestError>,
 }
 
 /// Gathers the facts.
@@ -96,13 +96,13 @@
 fn ask_agents(fleet: &Fleet, view: &View, service: ServiceKey, flow: FlowId) -> Vec<AgentFacts> {
     let upstreams: Vec<_> =
         view.service(service).upstream_keys().map(|key| view.upstream(key)).collect();
-    let subjects = upstreams.iter().map(|upstream| Subject {
+    let targets = upstreams.iter().map(|upstream| Target {
         name: upstream.spec.name.to_string(),
         control: upstream.spec.control_address,
         listed: None,
     });
     let agents = Fleet {
-        subjects: subjects.collect(),
+        targets: targets.collect(),
         notes: Vec::new(),
         platform: fleet.platform,
         client: fleet.client.clone(),
@@ -111,15 +111,15 @@
     let answers = agents.ask::<Explained>(|_| Some(path.clone()));
     let facts = |(upstream, answer): (&&view::Upstream, Answer<Explained>)| AgentFacts {
         id: upstream.id,
-        listed: listed(fleet, &answer.subject),
+        listed: listed(fleet, &answer.target),
         is_retired: upstream.spec.state == UpstreamState::Retired,
         answer: answer.result,
     };
     upstreams.iter().zip(answers).map(facts).collect()
 }
 
-fn listed(fleet: &Fleet, agent: &Subject) -> Option<State> {
-    let entry = fleet.subjects.iter().find(|subject| subject.control == agent.control)?;
+fn listed(fleet: &Fleet, agent: &Target) -> Option<State> {
+    let entry = fleet.targets.iter().find(|target| target.control == agent.control)?;
     entry.listed.as_ref().map(|listed| listed.state)
 }
 
@@ -131,8 +131,8 @@
 ) -> Vec<Answer<BalancerView>> {
     let id = view.service(service).id;
     let path = format!("/explain?service={:016x}&flow={:016x}", id.0, flow.0);
-    let is_agent = |subject: &Subject| subject.kind() == Some(Kind::Agent);
-    fleet.ask(|subject| (!is_agent(subject)).then(|| path.clone()))
+    let is_agent = |target: &Target| target.kind() == Some(Kind::Agent);
+    fleet.ask(|target| (!is_agent(target)).then(|| path.clone()))
 }
 
 impl AgentFacts {
--- a/crates/goosectl/src/commands/explain/home.rs
+++ b/crates/goosectl/src/commands/explain/home.rs
@@ -40,7 +40,7 @@
                 home: view.home.map_or("nobody".to_owned(), |address| name_at(facts, address)),
             },
             Err(silence) => BalancerChoice {
-                instance: answer.subject.name.clone(),
+                instance: answer.target.name.clone(),
                 version: None,
                 home: silence.to_string(),
             },
--- a/crates/goosectl/src/commands/explain/report.rs
+++ b/crates/goosectl/src/commands/explain/report.rs
@@ -52,7 +52,7 @@
 fn ranking(ranks: &[Rank]) -> Table {
     let mut table = Table::new(["", "RANK", "UPSTREAM", "ZONE", "WEIGHT", "STATE", "AGENT"]);
     for (index, rank) in ranks.iter().enumerate() {
-        table.row([
+        table.push_row([
             String::from("      "),
             (index + 1).to_string(),
             rank.upstream.clone(),
--- a/crates/goosectl/src/commands/explain/tests.rs
+++ b/crates/goosectl/src/commands/explain/tests.rs
@@ -11,7 +11,7 @@
 use super::gather::{AgentFacts, Facts};
 use super::steps::{self, ServiceSteps};
 use super::tuple;
-use crate::fleet::{Answer, Explained, Silence, Subject};
+use crate::fleet::{Answer, Explained, RequestError, Target};
 
 const SUBTREE: &str = r#"account: cascadia
 version: 7
@@ -52,11 +52,11 @@
     format!("{:016x}", id(number).0)
 }
 
-fn silence() -> Silence {
-    Silence { code: "E5004".into(), text: "no answer".into() }
+fn silence() -> RequestError {
+    RequestError { code: "E5004".into(), text: "no answer".into() }
 }
 
-fn answer(says: Says) -> Result<Explained, Silence> {
+fn answer(says: Says) -> Result<Explained, RequestError> {
     let (state, holder) = match says {
         Says::Silent => return Err(silence()),
         Says::Holds => ("open", None),
@@ -90,8 +90,8 @@
         let home: SocketAddr = format!("127.20.1.{number}:6080").parse().unwrap();
         let view = json!({"instance": format!("bal-{index}"), "version": 7, "home": home});
         let control = "127.0.0.1:1".parse().unwrap();
-        let subject = Subject { name: "bal".into(), control, listed: None };
-        Answer { subject, result: Ok(serde_json::from_value(view).unwrap()) }
+        let target = Target { name: "bal".into(), control, listed: None };
+        Answer { target, result: Ok(serde_json::from_value(view).unwrap()) }
     };
     Facts {
         tuple: tuple::parse("tcp 198.51.100.7:40001 203.0.113.1:8443").unwrap(),
--- a/crates/goosectl/src/commands/flows/mod.rs
+++ b/crates/goosectl/src/commands/flows/mod.rs
@@ -10,7 +10,7 @@
 
 use super::Command;
 use crate::exit::{Exit, Failure};
-use crate::fleet::{Fleet, Flows, OPTIONS_HELP, Options, Subject};
+use crate::fleet::{Fleet, Flows, OPTIONS_HELP, Options, Target};
 use report::Report;
 
 /// Entry in the command table.
@@ -76,7 +76,7 @@
     }
     let fleet = Fleet::find(&options)?;
     let path = format!("/flows?limit={limit}");
-    let answers = fleet.ask::<Flows>(|subject| filter.fits(subject).then(|| path.clone()));
+    let answers = fleet.ask::<Flows>(|target| filter.fits(target).then(|| path.clone()));
     let report = Report { notes: &fleet.notes, answers: &answers };
     match options.is_json {
         true => report.json(out)?,
@@ -88,14 +88,14 @@
 impl Filter {
     /// Whether an instance is an agent that is asked. What an unlisted one serves is not known; it
     /// is asked unless a filter is given.
-    fn fits(&self, subject: &Subject) -> bool {
-        let is = |wanted: &Option<String>, name: fn(&crate::fleet::Place) -> &str| {
-            let known = subject.place().map(name);
+    fn fits(&self, target: &Target) -> bool {
+        let is = |wanted: &Option<String>, name: fn(&crate::fleet::ServedUpstream) -> &str| {
+            let known = target.served_upstream().map(name);
             wanted.as_deref().is_none_or(|wanted| known == Some(wanted))
         };
-        subject.kind() != Some(Kind::Balancer)
-            && is(&self.account, |place| &place.account)
-            && is(&self.service, |place| &place.service)
-            && is(&self.upstream, |place| &place.upstream)
+        target.kind() != Some(Kind::Balancer)
+            && is(&self.account, |served| &served.account)
+            && is(&self.service, |served| &served.service)
+            && is(&self.upstream, |served| &served.upstream)
     }
 }
--- a/crates/goosectl/src/commands/flows/report.rs
+++ b/crates/goosectl/src/commands/flows/report.rs
@@ -6,7 +6,7 @@
 use settings::codes::{INSTANCE_UNREACHABLE, NOT_FOUND};
 
 use crate::exit::Exit;
-use crate::fleet::{Answer, Flow, Flows, Silence};
+use crate::fleet::{Answer, Flow, Flows, RequestError};
 use crate::output::{self, Table};
 
 /// The answers of the agents.
@@ -31,7 +31,7 @@
     open: Option<usize>,
     flows: &'a [Flow],
     #[serde(skip_serializing_if = "Option::is_none")]
-    silence: Option<&'a Silence>,
+    silence: Option<&'a RequestError>,
 }
 
 impl Report<'_> {
@@ -56,9 +56,9 @@
         let mut flows = Table::new(["FLOW", "STATE", "AGENT"]);
         let mut listed = 0;
         for answer in self.answers {
-            agents.row(agent_row(answer));
+            agents.push_row(agent_row(answer));
             for flow in answer.result.iter().flat_map(|flows| &flows.flows) {
-                flows.row([flow.flow.clone(), flow.state.clone(), answer.subject.name.clone()]);
+                flows.push_row([flow.flow.clone(), flow.state.clone(), answer.target.name.clone()]);
                 listed += 1;
             }
         }
@@ -90,12 +90,12 @@
 
 impl<'a> From<&'a Answer<Flows>> for AgentJson<'a> {
     fn from(answer: &'a Answer<Flows>) -> Self {
-        let (place, flows) = (answer.subject.place(), answer.result.as_ref().ok());
+        let (served, flows) = (answer.target.served_upstream(), answer.result.as_ref().ok());
         Self {
-            instance: flows.map_or(&answer.subject.name, |flows| &flows.instance),
-            account: place.map(|place| place.account.as_str()),
-            service: place.map(|place| place.service.as_str()),
-            upstream: place.map(|place| place.upstream.as_str()),
+            instance: flows.map_or(&answer.target.name, |flows| &flows.instance),
+            account: served.map(|served| served.account.as_str()),
+            service: served.map(|served| served.service.as_str()),
+            upstream: served.map(|served| served.upstream.as_str()),
             open: flows.map(|flows| flows.open),
             flows: flows.map_or(&[], |flows| &flows.flows),
             silence: answer.result.as_ref().err(),
--- a/crates/goosectl/src/commands/settings/lag.rs
+++ b/crates/goosectl/src/commands/settings/lag.rs
@@ -34,9 +34,8 @@
     accounts.sort_unstable();
     accounts.dedup();
     let of_instance = |(answer, status): (&Answer<Status>, &Status)| -> Vec<Held> {
-        let listed = answer.subject.place().map(|place| place.account.as_str());
-        let is_balancer =
-            status.kind == "balancer" || answer.subject.kind() == Some(Kind::Balancer);
+        let listed = answer.target.served_upstream().map(|place| place.account.as_str());
+        let is_balancer = status.kind == "balancer" || answer.target.kind() == Some(Kind::Balancer);
         let expected = |account: &str| is_balancer || listed == Some(account);
         let one = |account: &&str| {
             let entry = status.settings.iter().find(|entry| entry.account == **account);
--- a/crates/goosectl/src/commands/settings/report.rs
+++ b/crates/goosectl/src/commands/settings/report.rs
@@ -62,10 +62,11 @@
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
         output::notes(out, self.notes)?;
         let mut table = Table::new(["ACCOUNT", "INSTANCE", "VERSION", "NEWEST", "STATE", "SINCE"]);
-        self.rows.iter().for_each(|row| table.row(self.cells(row)));
+        self.rows.iter().for_each(|row| table.push_row(self.cells(row)));
         self.silent().for_each(|silent| {
-            table
-                .row(["-", silent.instance, "-", "-", "silent", &silent.cell()].map(str::to_owned));
+            table.push_row(
+                ["-", silent.instance, "-", "-", "silent", &silent.cell()].map(str::to_owned),
+            );
         });
         write!(out, "{table}")?;
         let (lagging, silent) = (self.lagging(), self.silent().count());
@@ -117,7 +118,7 @@
     fn silent(&self) -> impl Iterator<Item = SilentJson<'_>> {
         self.answers.iter().filter_map(|answer| {
             let silence = answer.result.as_ref().err()?;
-            let instance = &answer.subject.name;
+            let instance = &answer.target.name;
             Some(SilentJson { instance, code: &silence.code, text: &silence.text })
         })
     }
--- a/crates/goosectl/src/commands/status/report.rs
+++ b/crates/goosectl/src/commands/status/report.rs
@@ -6,7 +6,7 @@
 use settings::codes::{Class, INSTANCE_UNREACHABLE, TABLE};
 
 use crate::exit::Exit;
-use crate::fleet::{Answer, Silence, Status};
+use crate::fleet::{Answer, RequestError, Status};
 use crate::output::{self, Table};
 
 /// The answers of all instances.
@@ -25,7 +25,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     status: Option<&'a Status>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    silence: Option<&'a Silence>,
+    silence: Option<&'a RequestError>,
 }
 
 impl Report<'_> {
@@ -48,7 +48,7 @@
             "DROPPED",
         ];
         let mut table = Table::new(head);
-        self.answers.iter().for_each(|answer| table.row(row(answer)));
+        self.answers.iter().for_each(|answer| table.push_row(row(answer)));
         write!(out, "{table}")?;
         if self.all_counters {
             self.counters(out)?;
@@ -65,7 +65,7 @@
         let mut table = Table::new(["INSTANCE", "COUNTER", "VALUE"]);
         for status in self.answers.iter().filter_map(|answer| answer.result.as_ref().ok()) {
             for (name, value) in status.counters.iter().filter(|(_, value)| **value > 0) {
-                table.row([status.instance.clone(), name.clone(), value.to_string()]);
+                table.push_row([status.instance.clone(), name.clone(), value.to_string()]);
             }
         }
         write!(out, "\n{table}")
@@ -88,10 +88,10 @@
     fn from(answer: &'a Answer<Status>) -> Self {
         let status = answer.result.as_ref().ok();
         Self {
-            name: status.map_or(&answer.subject.name, |status| &status.instance),
-            control_address: answer.subject.control.to_string(),
-            zone: answer.subject.zone(),
-            listed: answer.subject.state(),
+            name: status.map_or(&answer.target.name, |status| &status.instance),
+            control_address: answer.target.control.to_string(),
+            zone: answer.target.zone(),
+            listed: answer.target.state(),
             status,
             silence: answer.result.as_ref().err(),
         }
@@ -99,15 +99,15 @@
 }
 
 fn row(answer: &Answer<Status>) -> Vec<String> {
-    let subject = &answer.subject;
-    let (zone, state) = (subject.zone().to_owned(), subject.state().to_owned());
+    let target = &answer.target;
+    let (zone, state) = (target.zone().to_owned(), target.state().to_owned());
     let status = match &answer.result {
         Ok(status) => status,
         Err(silence) => {
-            let kind = subject.kind().map_or("-".to_owned(), |kind| format!("{kind:?}"));
+            let kind = target.kind().map_or("-".to_owned(), |kind| format!("{kind:?}"));
             let kind = kind.to_lowercase();
             return vec![
-                subject.name.clone(),
+                target.name.clone(),
                 kind,
                 zone,
                 state,
--- a/crates/goosectl/src/commands/timeline/files.rs
+++ b/crates/goosectl/src/commands/timeline/files.rs
@@ -9,7 +9,7 @@
 
 use super::names::Names;
 use crate::exit::{Exit, Failure};
-use crate::fleet::{Event, Place};
+use crate::fleet::{Event, ServedUpstream};
 
 const SUFFIX: &str = ".timeline.json";
 
@@ -42,9 +42,9 @@
     Ok(paths)
 }
 
-fn place(yaml: &str) -> Option<Place> {
+fn place(yaml: &str) -> Option<ServedUpstream> {
     let settings = agent::parse(yaml).ok()?;
-    Some(Place {
+    Some(ServedUpstream {
         account: settings.account.to_string(),
         service: settings.service.to_string(),
         upstream: settings.upstream.to_string(),
--- a/crates/goosectl/src/commands/timeline/mod.rs
+++ b/crates/goosectl/src/commands/timeline/mod.rs
@@ -125,7 +125,7 @@
     let first_ms = arguments.last_ms.map_or(0, |last_ms| clock::wall_ms().saturating_sub(last_ms));
     let path = format!("/timeline?after={}", Timestamp::from_wall_ms(first_ms).0);
     let answers = fleet.ask::<Vec<Event>>(|_| Some(path.clone()));
-    gathered.names.add_listed(&fleet.subjects);
+    gathered.names.add_listed(&fleet.targets);
     gathered.notes.extend(fleet.notes);
     let asked = answers.len();
     let mut lists = vec![std::mem::take(&mut gathered.events)];
@@ -133,7 +133,7 @@
         match answer.result {
             Ok(events) => lists.push(events),
             Err(silence) => {
-                gathered.notes.push(format!("{} is silent: {silence}", answer.subject.name));
+                gathered.notes.push(format!("{} is silent: {silence}", answer.target.name));
                 gathered.silent += 1;
             }
         }
--- a/crates/goosectl/src/commands/timeline/names.rs
+++ b/crates/goosectl/src/commands/timeline/names.rs
@@ -2,7 +2,7 @@
 
 use decision::keys::UpstreamId;
 
-use crate::fleet::{Place, Subject};
+use crate::fleet::{ServedUpstream, Target};
 
 /// Fields that hold the id of an upstream.
 const UPSTREAM_FIELDS: [&str; 2] = ["to", "peer"];
@@ -15,12 +15,12 @@
 
 impl Names {
     /// Takes in the agents of the platform's list.
-    pub(super) fn add_listed(&mut self, subjects: &[Subject]) {
-        subjects.iter().filter_map(Subject::place).for_each(|place| self.add(place));
+    pub(super) fn add_listed(&mut self, targets: &[Target]) {
+        targets.iter().filter_map(Target::served_upstream).for_each(|place| self.add(place));
     }
 
     /// Takes in one upstream.
-    pub(super) fn add(&mut self, place: &Place) {
+    pub(super) fn add(&mut self, place: &ServedUpstream) {
         let id = UpstreamId::of(&place.account, &place.service, &place.upstream);
         let id = format!("{:016x}", id.0);
         if let Err(index) = self.names.binary_search_by(|(known, _)| known.cmp(&id)) {
--- a/crates/goosectl/src/commands/timeline/tests.rs
+++ b/crates/goosectl/src/commands/timeline/tests.rs
@@ -7,7 +7,7 @@
 use super::merge::{self, Filter};
 use super::names::Names;
 use super::{html, svg, text};
-use crate::fleet::{Event, Place};
+use crate::fleet::{Event, ServedUpstream};
 
 fn event(hlc: u64, instance: &str, kind: &str, fields: Value) -> Event {
     serde_json::from_value(json!({
@@ -173,7 +173,7 @@
 
 #[test]
 fn lines_with_names() {
-    let place = Place { account: "c".into(), service: "s".into(), upstream: "s-2".into() };
+    let place = ServedUpstream { account: "c".into(), service: "s".into(), upstream: "s-2".into() };
     let id = format!("{:016x}", decision::keys::UpstreamId::of("c", "s", "s-2").0);
     let mut names = Names::default();
     names.add(&place);
--- a/crates/goosectl/src/commands/zones/report.rs
+++ b/crates/goosectl/src/commands/zones/report.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use crate::exit::Exit;
-use crate::fleet::{Answer, Silence, Zones};
+use crate::fleet::{Answer, RequestError, Zones};
 use crate::output::{self, Table};
 
 /// The answers of the balancers.
@@ -20,7 +20,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     zones: Option<&'a Zones>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    silence: Option<&'a Silence>,
+    silence: Option<&'a RequestError>,
 }
 
 impl Report<'_> {
@@ -37,7 +37,7 @@
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
         output::notes(out, self.notes)?;
         let mut table = Table::new(["INSTANCE", "REVISION", "CLOSED"]);
-        self.answers.iter().for_each(|answer| table.row(row(answer)));
+        self.answers.iter().for_each(|answer| table.push_row(row(answer)));
         write!(out, "{table}")
     }
 
@@ -48,7 +48,7 @@
 }
 
 fn row(answer: &Answer<Zones>) -> [String; 3] {
-    let name = answer.subject.name.clone();
+    let name = answer.target.name.clone();
     match &answer.result {
         Ok(zones) if zones.closed.is_empty() => [name, zones.revision.to_string(), "-".into()],
         Ok(zones) => [name, zones.revision.to_string(), zones.closed.join(" ")],
@@ -59,7 +59,7 @@
 impl<'a> From<&'a Answer<Zones>> for InstanceJson<'a> {
     fn from(answer: &'a Answer<Zones>) -> Self {
         Self {
-            name: &answer.subject.name,
+            name: &answer.target.name,
             zones: answer.result.as_ref().ok(),
             silence: answer.result.as_ref().err(),
         }
--- a/crates/goosectl/src/fleet/answers.rs
+++ b/crates/goosectl/src/fleet/answers.rs
@@ -70,7 +70,7 @@
     pub(crate) bucket: u16,
     pub(crate) ranking: Vec<Rank>,
     pub(crate) home: Option<String>,
-    pub(crate) place: Place,
+    pub(crate) place: FlowLocation,
 }
 
 /// One rank of a bucket, as an agent sees it.
@@ -84,7 +84,7 @@
 
 /// Where a flow is, as an agent knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Place {
+pub(crate) struct FlowLocation {
     /// `open`, `finishing`, `reset`, `elsewhere` or `unknown`.
     pub(crate) state: String,
     /// Hexadecimal id of the holder, if it is another agent.
--- a/crates/goosectl/src/fleet/ask.rs
+++ b/crates/goosectl/src/fleet/ask.rs
@@ -9,14 +9,14 @@
 use settings::{Code, codes};
 use shell::http::client::Client;
 
-use super::{Fleet, Subject};
+use super::{Fleet, Target};
 
 /// Instances asked at the same time, so that a few silent ones do not hold up the rest.
-const ASKED_AT_ONCE: usize = 16;
+const MAX_CONCURRENT_REQUESTS: usize = 16;
 
 /// Why there is no answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub(crate) struct Silence {
+pub(crate) struct RequestError {
     /// `E5004` or `E5005`.
     pub(crate) code: String,
     /// Explanation for people.
@@ -26,17 +26,17 @@
 /// What an instance has answered.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer<T> {
-    pub(crate) subject: Subject,
-    pub(crate) result: Result<T, Silence>,
+    pub(crate) target: Target,
+    pub(crate) result: Result<T, RequestError>,
 }
 
-impl Silence {
+impl RequestError {
     fn new(code: Code, text: impl fmt::Display) -> Self {
         Self { code: code.to_string(), text: text.to_string() }
     }
 }
 
-impl fmt::Display for Silence {
+impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.code, self.text)
     }
@@ -46,21 +46,23 @@
     /// Asks all instances that `path` gives a path for; answers come in the order of the instances.
     pub(crate) fn ask<T: DeserializeOwned + Send>(
         &self,
-        path: impl Fn(&Subject) -> Option<String> + Sync,
+        path: impl Fn(&Target) -> Option<String> + Sync,
     ) -> Vec<Answer<T>> {
-        let asked: Vec<(&Subject, String)> =
-            self.subjects.iter().filter_map(|subject| Some((subject, path(subject)?))).collect();
-        let share = asked.len().div_ceil(ASKED_AT_ONCE).max(1);
-        let ask_some = |some: &[(&Subject, String)]| -> Vec<Answer<T>> {
-            let ask = |(subject, path): &(&Subject, String)| Answer {
-                subject: (*subject).clone(),
-                result: get(&self.client, subject.control, path),
+        let asked: Vec<(&Target, String)> =
+            self.targets.iter().filter_map(|target| Some((target, path(target)?))).collect();
+        let chunk_len = asked.len().div_ceil(MAX_CONCURRENT_REQUESTS).max(1);
+        let ask_chunk = |chunk: &[(&Target, String)]| -> Vec<Answer<T>> {
+            let ask = |(target, path): &(&Target, String)| Answer {
+                target: (*target).clone(),
+                result: get(&self.client, target.control, path),
             };
-            some.iter().map(ask).collect()
+            chunk.iter().map(ask).collect()
         };
         thread::scope(|scope| {
-            let workers: Vec<_> =
-                asked.chunks(share).map(|some| scope.spawn(move || ask_some(some))).collect();
+            let workers: Vec<_> = asked
+                .chunks(chunk_len)
+                .map(|chunk| scope.spawn(move || ask_chunk(chunk)))
+                .collect();
             // A worker does nothing that can panic; if one did, its instances would be missing.
             workers.into_iter().flat_map(|worker| worker.join().unwrap_or_default()).collect()
         })
@@ -72,10 +74,10 @@
     client: &Client,
     address: SocketAddr,
     path: &str,
-) -> Result<T, Silence> {
+) -> Result<T, RequestError> {
     let body = get_bytes(client, address, path)?;
     let unreadable = |error| {
-        Silence::new(codes::ANSWER_UNREADABLE, format_args!("http://{address}{path}: {error}"))
+        RequestError::new(codes::ANSWER_UNREADABLE, format_args!("http://{address}{path}: {error}"))
     };
     serde_json::from_slice(&body).map_err(unreadable)
 }
@@ -85,9 +87,12 @@
     client: &Client,
     address: SocketAddr,
     path: &str,
-) -> Result<Vec<u8>, Silence> {
-    let silent = |error| {
-        Silence::new(codes::INSTANCE_UNREACHABLE, format_args!("http://{address}{path}: {error}"))
+) -> Result<Vec<u8>, RequestError> {
+    let unreachable = |error| {
+        RequestError::new(
+            codes::INSTANCE_UNREACHABLE,
+            format_args!("http://{address}{path}: {error}"),
+        )
     };
-    client.get(address, path).map_err(silent)
+    client.get(address, path).map_err(unreachable)
 }
--- a/crates/goosectl/src/fleet/discover.rs
+++ b/crates/goosectl/src/fleet/discover.rs
@@ -7,7 +7,7 @@
 use shell::settings_sync::instances::{Instance, InstanceList};
 
 use super::options::{self, Options};
-use super::{Fleet, Listed, Place, Subject, ask};
+use super::{Fleet, ListEntry, ServedUpstream, Target, ask};
 use crate::exit::{Exit, Failure};
 
 /// Names the platform where no option does.
@@ -26,24 +26,24 @@
             (None, None) if options.instances.is_empty() => platform_of_environment()?,
             (named, _) => named,
         };
-        let mut fleet = Self { subjects: Vec::new(), notes: Vec::new(), platform, client };
+        let mut fleet = Self { targets: Vec::new(), notes: Vec::new(), platform, client };
         fleet.add_listed();
         fleet.add_named(&options.instances);
-        if fleet.subjects.is_empty() {
+        if fleet.targets.is_empty() {
             fleet.add_named(&file.map(|file| file.known).unwrap_or_default());
         }
-        if fleet.subjects.is_empty() {
-            return Err(fleet.nobody());
+        if fleet.targets.is_empty() {
+            return Err(fleet.no_targets());
         }
-        fleet.subjects.sort_by(|a, b| a.name.cmp(&b.name));
+        fleet.targets.sort_by(|a, b| a.name.cmp(&b.name));
         Ok(fleet)
     }
 
     fn add_listed(&mut self) {
         let Some(platform) = self.platform else { return };
         match ask::get::<InstanceList>(&self.client, platform, "/v1/instances") {
-            Ok(list) => self.subjects = list.instances.into_iter().map(Subject::from).collect(),
-            Err(silence) => self.notes.push(format!("no list from the platform: {}", silence.text)),
+            Ok(list) => self.targets = list.instances.into_iter().map(Target::from).collect(),
+            Err(error) => self.notes.push(format!("no list from the platform: {}", error.text)),
         }
     }
 
@@ -55,14 +55,14 @@
 
     fn add_named(&mut self, addresses: &[SocketAddr]) {
         for control in addresses {
-            if self.subjects.iter().all(|known| known.control != *control) {
+            if self.targets.iter().all(|known| known.control != *control) {
                 let name = control.to_string();
-                self.subjects.push(Subject { name, control: *control, listed: None });
+                self.targets.push(Target { name, control: *control, listed: None });
             }
         }
     }
 
-    fn nobody(&self) -> Failure {
+    fn no_targets(&self) -> Failure {
         match (self.platform, self.notes.first()) {
             (None, _) => Failure::usage(
                 "no instances: give --platform, --settings or --instance, or set GOOSECTL_PLATFORM",
@@ -85,22 +85,22 @@
     text.parse().map(Some).map_err(bad)
 }
 
-impl From<Instance> for Subject {
+impl From<Instance> for Target {
     fn from(instance: Instance) -> Self {
-        let place = match (&instance.account, &instance.service, &instance.upstream) {
-            (Some(account), Some(service), Some(upstream)) => Some(Place {
+        let served_upstream = match (&instance.account, &instance.service, &instance.upstream) {
+            (Some(account), Some(service), Some(upstream)) => Some(ServedUpstream {
                 account: account.to_string(),
                 service: service.to_string(),
                 upstream: upstream.to_string(),
             }),
             _ => None,
         };
-        let listed = Listed {
+        let listed = ListEntry {
             kind: instance.kind,
             state: instance.state,
             zone: instance.zone.to_string(),
             data: instance.data_address,
-            place,
+            served_upstream,
         };
         let name = instance.name.to_string();
         Self { name, control: instance.control_address, listed: Some(listed) }
--- a/crates/goosectl/src/fleet/mod.rs
+++ b/crates/goosectl/src/fleet/mod.rs
@@ -14,7 +14,7 @@
 use shell::settings_sync::instances::{Kind, State};
 
 pub(crate) use answers::{BalancerView, Event, Explained, Flow, Flows, Status, Zones};
-pub(crate) use ask::{Answer, Silence};
+pub(crate) use ask::{Answer, RequestError};
 pub(crate) use options::{Options, parse_flow, read_flow_key};
 
 /// Lines of `--help` that all asking commands share.
@@ -31,7 +31,7 @@
 
 /// The instances that are asked.
 pub(crate) struct Fleet {
-    pub(crate) subjects: Vec<Subject>,
+    pub(crate) targets: Vec<Target>,
     /// What the reader must know about the list.
     pub(crate) notes: Vec<String>,
     /// Where the platform answers, if it is known.
@@ -41,40 +41,40 @@
 
 /// One instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Subject {
+pub(crate) struct Target {
     /// Its name, or its control address where only that is known.
     pub(crate) name: String,
     pub(crate) control: SocketAddr,
     /// What the platform's list says about it.
-    pub(crate) listed: Option<Listed>,
+    pub(crate) listed: Option<ListEntry>,
 }
 
 /// An entry of the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Listed {
+pub(crate) struct ListEntry {
     pub(crate) kind: Kind,
     pub(crate) state: State,
     pub(crate) zone: String,
     pub(crate) data: SocketAddr,
     /// Of an agent.
-    pub(crate) place: Option<Place>,
+    pub(crate) served_upstream: Option<ServedUpstream>,
 }
 
 /// What an agent serves.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct ServedUpstream {
     pub(crate) account: String,
     pub(crate) service: String,
     pub(crate) upstream: String,
 }
 
-impl Subject {
+impl Target {
     pub(crate) fn kind(&self) -> Option<Kind> {
         self.listed.as_ref().map(|listed| listed.kind)
     }
 
-    pub(crate) fn place(&self) -> Option<&Place> {
-        self.listed.as_ref().and_then(|listed| listed.place.as_ref())
+    pub(crate) fn served_upstream(&self) -> Option<&ServedUpstream> {
+        self.listed.as_ref().and_then(|listed| listed.served_upstream.as_ref())
     }
 
     pub(crate) fn zone(&self) -> &str {
--- a/crates/goosectl/src/fleet/published.rs
+++ b/crates/goosectl/src/fleet/published.rs
@@ -23,7 +23,7 @@
 
     fn document(&self, path: &str) -> Result<String, String> {
         let platform = self.platform.ok_or("the platform's address is not known")?;
-        let body = ask::get_bytes(&self.client, platform, path).map_err(|silence| silence.text)?;
+        let body = ask::get_bytes(&self.client, platform, path).map_err(|error| error.text)?;
         String::from_utf8(body).map_err(|error| format!("http://{platform}{path}: {error}"))
     }
 }
--- a/crates/goosectl/src/output/table.rs
+++ b/crates/goosectl/src/output/table.rs
@@ -18,7 +18,7 @@
     }
 
     /// Adds a row. It may have fewer cells than the head.
-    pub(crate) fn row(&mut self, cells: impl Into<Vec<String>>) {
+    pub(crate) fn push_row(&mut self, cells: impl Into<Vec<String>>) {
         self.rows.push(cells.into());
     }
 
--- a/crates/goosectl/src/output/tests.rs
+++ b/crates/goosectl/src/output/tests.rs
@@ -17,7 +17,7 @@
 #[test]
 fn table_columns() {
     let mut table = Table::new(["A", "LONG", "C"]);
-    table.row(["wide", "é", ""].map(str::to_owned));
-    table.row(["short row".to_owned()]);
+    table.push_row(["wide", "é", ""].map(str::to_owned));
+    table.push_row(["short row".to_owned()]);
     assert_eq!(table.to_string(), "A          LONG  C\nwide       é\nshort row\n");
 }
