--- a/crates/goosectl/src/commands/drain_watch/arguments.rs
+++ b/crates/goosectl/src/commands/drain_watch/arguments.rs
@@ -44,7 +44,7 @@
             Long("quiet-ms") => quiet_ms = parser.value()?.parse()?,
             Long(name) => {
                 let name = name.to_owned();
-                options.take(&name, parser)?;
+                options.parse_option(&name, parser)?;
             }
             Value(name) if upstream.is_none() => upstream = Some(name.string()?),
             other => return Err(other.unexpected().into()),
--- a/crates/goosectl/src/commands/drain_watch/mod.rs
+++ b/crates/goosectl/src/commands/drain_watch/mod.rs
@@ -98,7 +98,7 @@
     verdict: &Verdict,
 ) -> Result<(), Failure> {
     match arguments.options.is_json {
-        true => output::json(out, &progress::json(look, verdict))?,
+        true => output::write_json(out, &progress::json(look, verdict))?,
         false => writeln!(out, "{}", progress::line(look, verdict))?,
     }
     out.flush()?;
--- a/crates/goosectl/src/commands/explain/arguments.rs
+++ b/crates/goosectl/src/commands/explain/arguments.rs
@@ -33,7 +33,7 @@
             Long("subtree") => subtree = Some(PathBuf::from(parser.value()?)),
             Long(name) => {
                 let name = name.to_owned();
-                options.take(&name, parser)?;
+                options.parse_option(&name, parser)?;
             }
             Value(word) => words.push(word.string()?),
             other => return Err(other.unexpected().into()),
--- a/crates/goosectl/src/commands/explain/gather.rs
+++ b/crates/goosectl/src/commands/explain/gather.rs
@@ -12,7 +12,7 @@
 use super::arguments::Arguments;
 use super::tuple::Tuple;
 use crate::exit::{Exit, Failure};
-use crate::fleet::{Answer, BalancerView, Explained, Fleet, RequestError, Target};
+use crate::fleet::{AgentExplained, Answer, BalancerExplained, Fleet, RequestError, Target};
 
 /// All that the explanation rests on.
 pub(super) struct Facts {
@@ -24,7 +24,7 @@
     pub(super) service: Option<ServiceKey>,
     /// Agents of the service.
     pub(super) agents: Vec<AgentFacts>,
-    pub(super) balancers: Vec<Answer<BalancerView>>,
+    pub(super) balancers: Vec<Answer<BalancerExplained>>,
 }
 
 /// What is known about one agent.
@@ -34,7 +34,7 @@
     pub(super) listed: Option<State>,
     /// Retired in the settings: it may well have ended.
     pub(super) is_retired: bool,
-    pub(super) answer: Result<Explained, RequestError>,
+    pub(super) answer: Result<AgentExplained, RequestError>,
 }
 
 /// Gathers the facts.
@@ -51,7 +51,7 @@
             fleet.published_account(&owner).map_err(unreachable)?
         }
     };
-    let (view, flow) = (view::build(&[spec]), tuple.flow(&arguments.flow_key));
+    let (view, flow) = (view::build(&[spec]), tuple.flow_id(&arguments.flow_key));
     let mut facts = Facts {
         service: view.find_endpoint(tuple.endpoint()),
         tuple,
@@ -71,11 +71,11 @@
     let root = fleet.published_root().map_err(unreachable)?;
     let owns = |name: &str| root.ownership(name, address) == Ownership::Owned;
     let owner = root.accounts.iter().find(|account| owns(&account.name));
-    let nobody = || {
+    let unowned = || {
         let text = format!("no account owns {address} (root version {})", root.version.0);
         Failure::new(codes::NOT_FOUND, Exit::Findings, text)
     };
-    owner.map(|account| account.name.to_string()).ok_or_else(nobody)
+    owner.map(|account| account.name.to_string()).ok_or_else(unowned)
 }
 
 fn read_subtree(file: &Path, name: &str) -> Result<AccountSpec, Failure> {
@@ -108,8 +108,8 @@
         client: fleet.client.clone(),
     };
     let path = format!("/explain?flow={:016x}", flow.0);
-    let answers = agents.ask::<Explained>(|_| Some(path.clone()));
-    let facts = |(upstream, answer): (&&view::Upstream, Answer<Explained>)| AgentFacts {
+    let answers = agents.ask::<AgentExplained>(|_| Some(path.clone()));
+    let facts = |(upstream, answer): (&&view::Upstream, Answer<AgentExplained>)| AgentFacts {
         id: upstream.id,
         listed: listed(fleet, &answer.target),
         is_retired: upstream.spec.state == UpstreamState::Retired,
@@ -128,7 +128,7 @@
     view: &View,
     service: ServiceKey,
     flow: FlowId,
-) -> Vec<Answer<BalancerView>> {
+) -> Vec<Answer<BalancerExplained>> {
     let id = view.service(service).id;
     let path = format!("/explain?service={:016x}&flow={:016x}", id.0, flow.0);
     let is_agent = |target: &Target| target.kind() == Some(Kind::Agent);
@@ -137,7 +137,7 @@
 
 impl AgentFacts {
     /// Whether it does not answer although it should.
-    pub(super) fn is_missing(&self) -> bool {
+    pub(super) fn is_unresponsive(&self) -> bool {
         self.answer.is_err() && !self.is_retired
     }
 }
--- a/crates/goosectl/src/commands/explain/holder.rs
+++ b/crates/goosectl/src/commands/explain/holder.rs
@@ -4,10 +4,10 @@
 
 use super::gather::{AgentFacts, Facts};
 use super::steps::name_of_hex;
-use crate::fleet::Explained;
+use crate::fleet::AgentExplained;
 
 /// States in which an agent holds a flow.
-const HELD: [&str; 3] = ["open", "finishing", "reset"];
+const HOLDING_STATES: [&str; 3] = ["open", "finishing", "reset"];
 
 /// Who holds the flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -24,14 +24,15 @@
 
 /// Finds the holder; `home` is the upstream to which the balancers send.
 pub(super) fn find(facts: &Facts, home: Option<&str>) -> Holder {
-    let heard =
+    let answered =
         || facts.agents.iter().filter_map(|agent| Some((agent, agent.answer.as_ref().ok()?)));
-    let holders: Vec<(&AgentFacts, &Explained)> =
-        heard().filter(|(_, answer)| HELD.contains(&&*answer.place.state)).collect();
-    let silent = facts.agents.iter().any(AgentFacts::is_missing);
+    let holders: Vec<(&AgentFacts, &AgentExplained)> =
+        answered().filter(|(_, answer)| HOLDING_STATES.contains(&&*answer.place.state)).collect();
+    let any_unresponsive = facts.agents.iter().any(AgentFacts::is_unresponsive);
     let name = |agent: &AgentFacts| name_of_hex(facts, &format!("{:016x}", agent.id.0));
-    let at_home = heard().find(|(agent, _)| Some(&*name(agent)) == home).map(|(_, answer)| answer);
-    let next = next(facts, at_home, home);
+    let at_home =
+        answered().find(|(agent, _)| Some(&*name(agent)) == home).map(|(_, answer)| answer);
+    let next = next_step(facts, at_home, home);
     match holders[..] {
         [(agent, answer)] => Holder {
             upstream: Some(name(agent)),
@@ -43,9 +44,9 @@
         [] => Holder {
             upstream: None,
             state: None,
-            reason: nobody(facts, silent),
+            reason: reason_without_holder(facts, any_unresponsive),
             next,
-            is_certain: !silent,
+            is_certain: !any_unresponsive,
         },
         _ => {
             let names: Vec<String> = holders.iter().map(|(agent, _)| name(agent)).collect();
@@ -55,26 +56,26 @@
     }
 }
 
-fn nobody(facts: &Facts, silent: bool) -> String {
+fn reason_without_holder(facts: &Facts, any_unresponsive: bool) -> String {
     let answers = facts.agents.iter().filter_map(|agent| agent.answer.as_ref().ok());
-    let believed = answers.filter_map(|answer| answer.place.holder.as_deref()).next();
-    let doubt = if silent { "; not certain, since some agents are silent" } else { "" };
-    let Some(holder) = believed else {
-        return match silent {
+    let redirect_holder = answers.filter_map(|answer| answer.place.holder.as_deref()).next();
+    let caveat = if any_unresponsive { "; not certain, since some agents are silent" } else { "" };
+    let Some(holder) = redirect_holder else {
+        return match any_unresponsive {
             true => "no agent that answers holds it; not certain, since some are silent".to_owned(),
             false => "every agent denies it: the flow is not open".to_owned(),
         };
     };
     let is_holder = |agent: &&AgentFacts| format!("{:016x}", agent.id.0) == holder;
-    let own = facts.agents.iter().find(is_holder);
-    let denial = match own.is_some_and(|agent| agent.answer.is_ok()) {
+    let named_agent = facts.agents.iter().find(is_holder);
+    let denial = match named_agent.is_some_and(|agent| agent.answer.is_ok()) {
         true => "denies it",
         false => "does not answer",
     };
-    format!("an agent believes {}, which {denial}{doubt}", name_of_hex(facts, holder))
+    format!("an agent believes {}, which {denial}{caveat}", name_of_hex(facts, holder))
 }
 
-fn next(facts: &Facts, at_home: Option<&Explained>, home: Option<&str>) -> String {
+fn next_step(facts: &Facts, at_home: Option<&AgentExplained>, home: Option<&str>) -> String {
     let home = home.unwrap_or("nobody");
     let Some(answer) = at_home else {
         return format!("{home} was not heard");
--- a/crates/goosectl/src/commands/explain/home.rs
+++ b/crates/goosectl/src/commands/explain/home.rs
@@ -34,22 +34,22 @@
         .balancers
         .iter()
         .map(|answer| match &answer.result {
-            Ok(view) => BalancerChoice {
-                instance: view.instance.clone(),
-                version: Some(view.version),
-                home: view.home.map_or("nobody".to_owned(), |address| name_at(facts, address)),
+            Ok(explained) => BalancerChoice {
+                instance: explained.instance.clone(),
+                version: Some(explained.version),
+                home: explained.home.map_or("nobody".to_owned(), |address| name_at(facts, address)),
             },
-            Err(silence) => BalancerChoice {
+            Err(error) => BalancerChoice {
                 instance: answer.target.name.clone(),
                 version: None,
-                home: silence.to_string(),
+                home: error.to_string(),
             },
         })
         .collect();
     let chosen = most_frequent(&balancers);
-    let heard = || balancers.iter().filter(|choice| choice.version.is_some());
-    let is_agreed = heard().all(|choice| Some(&choice.home) == chosen.as_ref());
-    let is_certain = is_agreed && heard().count() == balancers.len() && chosen.is_some();
+    let answered = || balancers.iter().filter(|choice| choice.version.is_some());
+    let is_agreed = answered().all(|choice| Some(&choice.home) == chosen.as_ref());
+    let is_certain = is_agreed && answered().count() == balancers.len() && chosen.is_some();
     let by_ranking = || ranking.iter().find(|rank| rank.passed_over.is_none());
     let upstream =
         chosen.clone().or_else(|| by_ranking().or(ranking.first()).map(|r| r.upstream.clone()));
--- a/crates/goosectl/src/commands/explain/mod.rs
+++ b/crates/goosectl/src/commands/explain/mod.rs
@@ -62,9 +62,9 @@
     let facts = gather::gather(&arguments, &fleet)?;
     let explanation = steps::explain(&facts);
     match arguments.options.is_json {
-        true => output::json(out, &explanation)?,
+        true => output::write_json(out, &explanation)?,
         false => {
-            output::notes(out, &fleet.notes)?;
+            output::write_notes(out, &fleet.notes)?;
             report::text(out, &explanation)?;
         }
     }
--- a/crates/goosectl/src/commands/explain/report.rs
+++ b/crates/goosectl/src/commands/explain/report.rs
@@ -35,8 +35,8 @@
             None => writeln!(out, "           {} is silent: {}", choice.instance, choice.home)?,
         }
     }
-    let heard = home.balancers.iter().filter(|choice| choice.version.is_some()).count();
-    writeln!(out, "           {heard} of {} balancer(s) were heard", home.balancers.len())?;
+    let answered = home.balancers.iter().filter(|choice| choice.version.is_some()).count();
+    writeln!(out, "           {answered} of {} balancer(s) answered", home.balancers.len())?;
     let state = holder.state.as_ref().map(|state| format!(" ({state})")).unwrap_or_default();
     writeln!(out, "holder   {}{state}: {}", name(&holder.upstream), holder.reason)?;
     writeln!(out, "next     {}", holder.next)?;
--- a/crates/goosectl/src/commands/explain/steps.rs
+++ b/crates/goosectl/src/commands/explain/steps.rs
@@ -70,14 +70,14 @@
     let bucket = rank::bucket_of(facts.flow);
     let ranking = ranking(facts, key, bucket);
     let home = home::find(facts, &ranking);
-    let silent = facts.agents.iter().filter(|agent| agent.is_missing());
+    let unresponsive = facts.agents.iter().filter(|agent| agent.is_unresponsive());
     ServiceSteps {
         name: service.spec.name.to_string(),
         bucket: bucket.0,
         holder: holder::find(facts, home.upstream.as_deref()),
         home,
         ranking,
-        silent: silent.map(|agent| name(view, key, agent.id)).collect(),
+        silent: unresponsive.map(|agent| name(view, key, agent.id)).collect(),
     }
 }
 
@@ -92,26 +92,26 @@
             UpstreamState::Draining => "draining",
             UpstreamState::Retired => "retired",
         },
-        passed_over: passed_over(&facts.agents, upstream.id),
+        passed_over: exclusion_reason(&facts.agents, upstream.id),
     };
     view.service(key).ranking(bucket).iter().map(|key| rank(view.upstream(*key))).collect()
 }
 
 /// Why an agent cannot be home, as far as anybody says so.
-fn passed_over(agents: &[AgentFacts], id: UpstreamId) -> Option<String> {
+fn exclusion_reason(agents: &[AgentFacts], id: UpstreamId) -> Option<String> {
     let hex = format!("{:016x}", id.0);
-    let own = agents.iter().find(|agent| agent.id == id);
-    let standings = |wanted: &str| {
+    let agent_facts = agents.iter().find(|agent| agent.id == id);
+    let count_standing = |wanted: &str| {
         let answers = agents.iter().filter_map(|agent| agent.answer.as_ref().ok());
         let ranks =
             answers.filter_map(|answer| answer.ranking.iter().find(|rank| rank.upstream == hex));
         ranks.filter(|rank| rank.standing == wanted).count()
     };
-    if own.is_some_and(|own| own.listed == Some(State::Leaving)) {
+    if agent_facts.is_some_and(|facts| facts.listed == Some(State::Leaving)) {
         return Some("leaving, says the platform's list".to_owned());
     }
-    match (standings("leaving"), standings("silent")) {
-        (0, 0) => own?.answer.as_ref().err().map(|_| "does not answer goosectl".to_owned()),
+    match (count_standing("leaving"), count_standing("silent")) {
+        (0, 0) => agent_facts?.answer.as_ref().err().map(|_| "does not answer goosectl".to_owned()),
         (0, silent) => Some(format!("down: {silent} agent(s) hear nothing from it")),
         (leaving, _) => Some(format!("leaving, say {leaving} agent(s)")),
     }
--- a/crates/goosectl/src/commands/explain/tests.rs
+++ b/crates/goosectl/src/commands/explain/tests.rs
@@ -11,7 +11,7 @@
 use super::gather::{AgentFacts, Facts};
 use super::steps::{self, ServiceSteps};
 use super::tuple;
-use crate::fleet::{Answer, Explained, RequestError, Target};
+use crate::fleet::{AgentExplained, Answer, RequestError, Target};
 
 const SUBTREE: &str = r#"account: cascadia
 version: 7
@@ -34,14 +34,14 @@
 
 /// What the agent of each upstream answers, by number: state, holder, standings of the others.
 #[derive(Clone, Copy)]
-enum Says {
-    Silent,
+enum AgentReply {
+    NoReply,
     Unknown,
     Holds,
     /// The holder's number.
-    At(u64),
+    HeldBy(u64),
     /// Number of an agent that it takes as this standing; knows no flow.
-    Sees(u64, &'static str),
+    ReportsStanding(u64, &'static str),
 }
 
 fn id(number: u64) -> UpstreamId {
@@ -52,19 +52,19 @@
     format!("{:016x}", id(number).0)
 }
 
-fn silence() -> RequestError {
+fn no_reply() -> RequestError {
     RequestError { code: "E5004".into(), text: "no answer".into() }
 }
 
-fn answer(says: Says) -> Result<Explained, RequestError> {
-    let (state, holder) = match says {
-        Says::Silent => return Err(silence()),
-        Says::Holds => ("open", None),
-        Says::At(number) => ("elsewhere", Some(hex(number))),
-        Says::Unknown | Says::Sees(..) => ("unknown", None),
+fn answer(reply: AgentReply) -> Result<AgentExplained, RequestError> {
+    let (state, holder) = match reply {
+        AgentReply::NoReply => return Err(no_reply()),
+        AgentReply::Holds => ("open", None),
+        AgentReply::HeldBy(number) => ("elsewhere", Some(hex(number))),
+        AgentReply::Unknown | AgentReply::ReportsStanding(..) => ("unknown", None),
     };
-    let standing = |number: u64| match says {
-        Says::Sees(seen, standing) if seen == number => standing,
+    let standing = |number: u64| match reply {
+        AgentReply::ReportsStanding(reported, standing) if reported == number => standing,
         _ => "up",
     };
     let evidence = holder.as_ref().map(|_| "announced");
@@ -77,14 +77,14 @@
 }
 
 /// Facts with what three agents say and to which number each balancer sends.
-fn facts(says: [Says; 3], balancers: &[u64], leaving: Option<u64>) -> Facts {
+fn facts(replies: [AgentReply; 3], balancers: &[u64], leaving: Option<u64>) -> Facts {
     let spec = settings::account::parse_without_root(SUBTREE, "cascadia").unwrap();
     let view = view::build(&[spec]);
     let agent = |number: u64| AgentFacts {
         id: id(number),
         listed: Some(if leaving == Some(number) { State::Leaving } else { State::Live }),
         is_retired: false,
-        answer: answer(says[number as usize - 1]),
+        answer: answer(replies[number as usize - 1]),
     };
     let balancer = |(index, number): (usize, &u64)| {
         let home: SocketAddr = format!("127.20.1.{number}:6080").parse().unwrap();
@@ -108,28 +108,28 @@
     (explanation.service.unwrap(), explanation.is_certain)
 }
 
-use Says::{At, Holds, Sees, Silent, Unknown};
+use AgentReply::{HeldBy, Holds, NoReply, ReportsStanding, Unknown};
 
 #[rstest]
 #[case::first_rank([Unknown; 3], &[2, 2], None, "shelf-2: first rank", true)]
-#[case::list_says_leaving([Unknown; 3], &[1, 1], Some(2), "shelf-1: rank 2: shelf-2: leaving, says the platform's list", true)]
-#[case::peers_say_leaving([Sees(2, "leaving"), Unknown, Unknown], &[1], None, "shelf-1: rank 2: shelf-2: leaving, say 1 agent(s)", true)]
-#[case::peers_hear_nothing([Sees(2, "silent"), Unknown, Sees(2, "silent")], &[1], None, "shelf-1: rank 2: shelf-2: down: 2 agent(s) hear nothing from it", true)]
-#[case::silent_to_us([Unknown, Silent, Unknown], &[1], None, "shelf-1: rank 2: shelf-2: does not answer goosectl", false)]
-#[case::balancers_know_more([Unknown; 3], &[1], None, "shelf-1: rank 2: shelf-2: down, as the balancers believe", true)]
-#[case::two_passed_over([Sees(2, "leaving"), Unknown, Sees(1, "silent")], &[3], None, "shelf-3: rank 3: shelf-2: leaving, say 1 agent(s), shelf-1: down: 1 agent(s) hear nothing from it", true)]
-#[case::all_down_first_stays([Unknown; 3], &[2], Some(2), "shelf-2: first rank, although leaving, says the platform's list", true)]
+#[case::listed_as_leaving([Unknown; 3], &[1, 1], Some(2), "shelf-1: rank 2: shelf-2: leaving, says the platform's list", true)]
+#[case::peers_report_leaving([ReportsStanding(2, "leaving"), Unknown, Unknown], &[1], None, "shelf-1: rank 2: shelf-2: leaving, say 1 agent(s)", true)]
+#[case::peers_receive_nothing([ReportsStanding(2, "silent"), Unknown, ReportsStanding(2, "silent")], &[1], None, "shelf-1: rank 2: shelf-2: down: 2 agent(s) hear nothing from it", true)]
+#[case::no_reply_to_goosectl([Unknown, NoReply, Unknown], &[1], None, "shelf-1: rank 2: shelf-2: does not answer goosectl", false)]
+#[case::only_balancers_exclude_it([Unknown; 3], &[1], None, "shelf-1: rank 2: shelf-2: down, as the balancers believe", true)]
+#[case::two_passed_over([ReportsStanding(2, "leaving"), Unknown, ReportsStanding(1, "silent")], &[3], None, "shelf-3: rank 3: shelf-2: leaving, say 1 agent(s), shelf-1: down: 1 agent(s) hear nothing from it", true)]
+#[case::excluded_first_rank_stays([Unknown; 3], &[2], Some(2), "shelf-2: first rank, although leaving, says the platform's list", true)]
 #[case::balancers_differ([Unknown; 3], &[2, 1, 2], None, "shelf-2: first rank; the balancers do not agree", false)]
 #[case::no_balancer([Unknown; 3], &[], Some(2), "shelf-1: rank 2: shelf-2: leaving, says the platform's list; no balancer was heard, so this is by ranking only", false)]
 #[case::unlisted_home([Unknown; 3], &[9], None, "127.20.1.9:6080: not in the ranking of the published settings", true)]
 fn home(
-    #[case] says: [Says; 3],
+    #[case] replies: [AgentReply; 3],
     #[case] balancers: &[u64],
     #[case] leaving: Option<u64>,
     #[case] expected: &str,
     #[case] certain: bool,
 ) {
-    let (steps, is_certain) = steps(&facts(says, balancers, leaving));
+    let (steps, is_certain) = steps(&facts(replies, balancers, leaving));
     let ranking: Vec<&str> = steps.ranking.iter().map(|rank| &*rank.upstream).collect();
     assert_eq!(ranking, ["shelf-2", "shelf-1", "shelf-3"]);
     assert_eq!(format!("{}: {}", steps.home.upstream.unwrap(), steps.home.reason), expected);
@@ -138,22 +138,22 @@
 
 #[rstest]
 #[case::at_home([Unknown, Holds, Unknown], Some("shelf-2"), "its agent says so", "shelf-2 delivers it to its own upstream", true)]
-#[case::elsewhere([Unknown, At(3), Holds], Some("shelf-3"), "its agent says so", "shelf-2 passes it to shelf-3 (announced)", true)]
+#[case::elsewhere([Unknown, HeldBy(3), Holds], Some("shelf-3"), "its agent says so", "shelf-2 passes it to shelf-3 (announced)", true)]
 #[case::home_must_ask([Unknown, Unknown, Holds], Some("shelf-3"), "its agent says so", "shelf-2 decides about an opening, and asks its peers about the rest", true)]
 #[case::nobody([Unknown; 3], None, "every agent denies it: the flow is not open", "shelf-2 decides about an opening, and asks its peers about the rest", true)]
-#[case::silence_is_no_denial([Unknown, Unknown, Silent], None, "no agent that answers holds it; not certain, since some are silent", "shelf-2 decides about an opening, and asks its peers about the rest", false)]
-#[case::holder_silent([Unknown, At(3), Silent], None, "an agent believes shelf-3, which does not answer; not certain, since some agents are silent", "shelf-2 passes it to shelf-3 (announced)", false)]
-#[case::redirect_is_old([Unknown, At(3), Unknown], None, "an agent believes shelf-3, which denies it", "shelf-2 passes it to shelf-3 (announced)", true)]
+#[case::no_reply_is_no_denial([Unknown, Unknown, NoReply], None, "no agent that answers holds it; not certain, since some are silent", "shelf-2 decides about an opening, and asks its peers about the rest", false)]
+#[case::holder_unresponsive([Unknown, HeldBy(3), NoReply], None, "an agent believes shelf-3, which does not answer; not certain, since some agents are silent", "shelf-2 passes it to shelf-3 (announced)", false)]
+#[case::stale_redirect([Unknown, HeldBy(3), Unknown], None, "an agent believes shelf-3, which denies it", "shelf-2 passes it to shelf-3 (announced)", true)]
 #[case::two_holders([Holds, Unknown, Holds], None, "claimed by several: shelf-1, shelf-3", "shelf-2 decides about an opening, and asks its peers about the rest", false)]
-#[case::home_silent([Holds, Silent, Unknown], Some("shelf-1"), "its agent says so", "shelf-2 was not heard", false)]
+#[case::home_unresponsive([Holds, NoReply, Unknown], Some("shelf-1"), "its agent says so", "shelf-2 was not heard", false)]
 fn holder(
-    #[case] says: [Says; 3],
+    #[case] replies: [AgentReply; 3],
     #[case] upstream: Option<&str>,
     #[case] reason: &str,
     #[case] next: &str,
     #[case] certain: bool,
 ) {
-    let (steps, is_certain) = steps(&facts(says, &[2], None));
+    let (steps, is_certain) = steps(&facts(replies, &[2], None));
     assert_eq!(steps.holder.upstream.as_deref(), upstream);
     assert_eq!((&*steps.holder.reason, &*steps.holder.next), (reason, next));
     assert_eq!(is_certain, certain);
@@ -161,8 +161,8 @@
 
 /// A retired upstream that has ended is no reason for doubt.
 #[test]
-fn retired_agent_may_be_silent() {
-    let mut facts = facts([Silent, Unknown, Unknown], &[2], None);
+fn retired_agent_may_be_unresponsive() {
+    let mut facts = facts([NoReply, Unknown, Unknown], &[2], None);
     facts.agents[0].is_retired = true;
     let (steps, is_certain) = steps(&facts);
     assert_eq!((steps.silent.len(), is_certain), (0, true));
@@ -174,7 +174,7 @@
 #[case::tcp("tcp 198.51.100.7:40001 203.0.113.1:8443")]
 #[case::udp("udp 198.51.100.7:40001 203.0.113.1:8443")]
 #[case::ipv6("tcp [2001:db8::7]:40001 [2001:db8:1::1]:8443")]
-fn flow_as_balancers_compute_it(#[case] text: &str) {
+fn flow_id_matches_balancers(#[case] text: &str) {
     use etherparse::PacketBuilder;
     let tuple = tuple::parse(text).unwrap();
     let (source, destination) = (tuple.source, tuple.destination);
@@ -189,12 +189,12 @@
     };
     let mut packet = Vec::new();
     let (from, to) = (source.port(), destination.port());
-    match tuple.transport_word() {
+    match tuple.transport_name() {
         "tcp" => builder.tcp(from, to, 7, 1_024).syn().write(&mut packet, &[]).unwrap(),
         _ => builder.udp(from, to).write(&mut packet, b"x").unwrap(),
     }
     let parsed = wire::inner::parse(&packet).unwrap();
-    assert_eq!(tuple.flow(&[9; 16]), parsed.flow_id(&[9; 16]));
+    assert_eq!(tuple.flow_id(&[9; 16]), parsed.flow_id(&[9; 16]));
 }
 
 #[rstest]
--- a/crates/goosectl/src/commands/explain/tuple.rs
+++ b/crates/goosectl/src/commands/explain/tuple.rs
@@ -52,13 +52,13 @@
     }
 
     /// Id of the flow as balancers compute it.
-    pub(super) fn flow(&self, key: &[u8; 16]) -> FlowId {
+    pub(super) fn flow_id(&self, key: &[u8; 16]) -> FlowId {
         let segment = Segment::Udp { payload: &[] };
         let (endpoint, source) = (self.endpoint(), self.source);
         Inner { endpoint, source, segment, header_bytes: 0 }.flow_id(key)
     }
 
-    pub(super) fn transport_word(&self) -> &'static str {
+    pub(super) fn transport_name(&self) -> &'static str {
         match self.transport {
             Transport::Tcp => "tcp",
             Transport::Udp => "udp",
@@ -68,6 +68,6 @@
 
 impl fmt::Display for Tuple {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {} -> {}", self.transport_word(), self.source, self.destination)
+        write!(f, "{} {} -> {}", self.transport_name(), self.source, self.destination)
     }
 }
--- a/crates/goosectl/src/commands/flows/mod.rs
+++ b/crates/goosectl/src/commands/flows/mod.rs
@@ -45,7 +45,7 @@
 ";
 
 /// Flows listed of each agent unless told otherwise.
-const LIMIT: usize = 20;
+const DEFAULT_LIMIT: usize = 20;
 
 /// Which agents are asked.
 #[derive(Debug, Default)]
@@ -56,7 +56,8 @@
 }
 
 fn run(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
-    let (mut options, mut filter, mut limit) = (Options::default(), Filter::default(), LIMIT);
+    let (mut options, mut filter, mut limit) =
+        (Options::default(), Filter::default(), DEFAULT_LIMIT);
     while let Some(argument) = parser.next()? {
         match argument {
             Long("help") | Short('h') => {
@@ -69,14 +70,14 @@
             Long("limit") => limit = parser.value()?.parse()?,
             Long(name) => {
                 let name = name.to_owned();
-                options.take(&name, parser)?;
+                options.parse_option(&name, parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
     }
     let fleet = Fleet::find(&options)?;
     let path = format!("/flows?limit={limit}");
-    let answers = fleet.ask::<Flows>(|target| filter.fits(target).then(|| path.clone()));
+    let answers = fleet.ask::<Flows>(|target| filter.matches(target).then(|| path.clone()));
     let report = Report { notes: &fleet.notes, answers: &answers };
     match options.is_json {
         true => report.json(out)?,
@@ -88,14 +89,14 @@
 impl Filter {
     /// Whether an instance is an agent that is asked. What an unlisted one serves is not known; it
     /// is asked unless a filter is given.
-    fn fits(&self, target: &Target) -> bool {
-        let is = |wanted: &Option<String>, name: fn(&crate::fleet::ServedUpstream) -> &str| {
-            let known = target.served_upstream().map(name);
-            wanted.as_deref().is_none_or(|wanted| known == Some(wanted))
+    fn matches(&self, target: &Target) -> bool {
+        let allows = |wanted: &Option<String>, name: fn(&crate::fleet::ServedUpstream) -> &str| {
+            let actual = target.served_upstream().map(name);
+            wanted.as_deref().is_none_or(|wanted| actual == Some(wanted))
         };
         target.kind() != Some(Kind::Balancer)
-            && is(&self.account, |served| &served.account)
-            && is(&self.service, |served| &served.service)
-            && is(&self.upstream, |served| &served.upstream)
+            && allows(&self.account, |served| &served.account)
+            && allows(&self.service, |served| &served.service)
+            && allows(&self.upstream, |served| &served.upstream)
     }
 }
--- a/crates/goosectl/src/commands/flows/report.rs
+++ b/crates/goosectl/src/commands/flows/report.rs
@@ -37,18 +37,18 @@
 impl Report<'_> {
     /// Whether something is wrong.
     pub(super) fn exit(&self) -> Exit {
-        let silent = self.silent();
-        match silent {
+        let unresponsive = self.unresponsive_count();
+        match unresponsive {
             0 if self.answers.is_empty() => Exit::Findings,
             0 => Exit::Success,
-            silent if silent == self.answers.len() => Exit::Unreachable,
+            unresponsive if unresponsive == self.answers.len() => Exit::Unreachable,
             _ => Exit::Findings,
         }
     }
 
     /// A table with a row for each agent, one with a row for each flow, and a summary.
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
-        output::notes(out, self.notes)?;
+        output::write_notes(out, self.notes)?;
         if self.answers.is_empty() {
             return writeln!(out, "{NOT_FOUND}: no agent fits");
         }
@@ -66,24 +66,26 @@
         if listed > 0 {
             write!(out, "\n{flows}")?;
         }
-        writeln!(out, "{} open flow(s), {listed} flow(s) listed", self.open())?;
-        match self.silent() {
+        writeln!(out, "{} open flow(s), {listed} flow(s) listed", self.open_count())?;
+        match self.unresponsive_count() {
             0 => Ok(()),
-            silent => writeln!(out, "{INSTANCE_UNREACHABLE}: {silent} agent(s) do not answer"),
+            unresponsive => {
+                writeln!(out, "{INSTANCE_UNREACHABLE}: {unresponsive} agent(s) do not answer")
+            }
         }
     }
 
     /// One JSON document.
     pub(super) fn json(&self, out: &mut dyn Write) -> io::Result<()> {
         let agents = self.answers.iter().map(AgentJson::from).collect();
-        output::json(out, &ReportJson { notes: self.notes, open: self.open(), agents })
+        output::write_json(out, &ReportJson { notes: self.notes, open: self.open_count(), agents })
     }
 
-    fn open(&self) -> usize {
+    fn open_count(&self) -> usize {
         self.answers.iter().filter_map(|answer| Some(answer.result.as_ref().ok()?.open)).sum()
     }
 
-    fn silent(&self) -> usize {
+    fn unresponsive_count(&self) -> usize {
         self.answers.iter().filter(|answer| answer.result.is_err()).count()
     }
 }
@@ -108,7 +110,7 @@
     let text = |text: Option<&str>| text.unwrap_or("-").to_owned();
     let open = match &answer.result {
         Ok(flows) => flows.open.to_string(),
-        Err(silence) => silence.to_string(),
+        Err(error) => error.to_string(),
     };
     [
         entry.instance.to_owned(),
--- a/crates/goosectl/src/commands/settings/report.rs
+++ b/crates/goosectl/src/commands/settings/report.rs
@@ -60,7 +60,7 @@
 
     /// A table with a row for each account on each instance, and a summary.
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
-        output::notes(out, self.notes)?;
+        output::write_notes(out, self.notes)?;
         let mut table = Table::new(["ACCOUNT", "INSTANCE", "VERSION", "NEWEST", "STATE", "SINCE"]);
         self.rows.iter().for_each(|row| table.push_row(self.cells(row)));
         self.silent().for_each(|silent| {
@@ -89,7 +89,7 @@
             instances: self.rows.iter().map(RowJson::from).collect(),
             silent: self.silent().collect(),
         };
-        output::json(out, &report)
+        output::write_json(out, &report)
     }
 
     fn cells(&self, row: &Row) -> [String; 6] {
--- a/crates/goosectl/src/commands/status/mod.rs
+++ b/crates/goosectl/src/commands/status/mod.rs
@@ -51,7 +51,7 @@
             Long("counters") => all_counters = true,
             Long(name) => {
                 let name = name.to_owned();
-                options.take(&name, parser)?;
+                options.parse_option(&name, parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
--- a/crates/goosectl/src/commands/status/report.rs
+++ b/crates/goosectl/src/commands/status/report.rs
@@ -31,9 +31,9 @@
 impl Report<'_> {
     /// Whether something is wrong.
     pub(super) fn exit(&self) -> Exit {
-        let heard = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
-        let ready = heard.clone().filter(|status| status.ready).count();
-        match (heard.count(), ready) {
+        let answered = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
+        let ready = answered.clone().filter(|status| status.ready).count();
+        match (answered.count(), ready) {
             (0, _) => Exit::Unreachable,
             (_, ready) if ready < self.answers.len() => Exit::Findings,
             _ => Exit::Success,
@@ -42,7 +42,7 @@
 
     /// A table with a row for each instance, and a summary.
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
-        output::notes(out, self.notes)?;
+        output::write_notes(out, self.notes)?;
         let head = [
             "INSTANCE", "KIND", "ZONE", "LISTED", "READY", "SETTINGS", "FLOWS", "IN", "OUT",
             "DROPPED",
@@ -58,7 +58,7 @@
 
     /// One JSON document.
     pub(super) fn json(&self, out: &mut dyn Write) -> io::Result<()> {
-        output::instances_json(out, self.notes, self.answers.iter().map(InstanceJson::from))
+        output::write_instances_json(out, self.notes, self.answers.iter().map(InstanceJson::from))
     }
 
     fn counters(&self, out: &mut dyn Write) -> io::Result<()> {
@@ -73,12 +73,12 @@
 
     fn summary(&self, out: &mut dyn Write) -> io::Result<()> {
         let all = self.answers.len();
-        let heard = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
-        let ready = heard.clone().filter(|status| status.ready).count();
-        let silent = all - heard.count();
-        writeln!(out, "{all} instance(s): {ready} ready, {silent} silent")?;
-        if silent > 0 {
-            writeln!(out, "{INSTANCE_UNREACHABLE}: {silent} instance(s) do not answer")?;
+        let answered = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
+        let ready = answered.clone().filter(|status| status.ready).count();
+        let unresponsive = all - answered.count();
+        writeln!(out, "{all} instance(s): {ready} ready, {unresponsive} silent")?;
+        if unresponsive > 0 {
+            writeln!(out, "{INSTANCE_UNREACHABLE}: {unresponsive} instance(s) do not answer")?;
         }
         Ok(())
     }
@@ -103,7 +103,7 @@
     let (zone, state) = (target.zone().to_owned(), target.state().to_owned());
     let status = match &answer.result {
         Ok(status) => status,
-        Err(silence) => {
+        Err(error) => {
             let kind = target.kind().map_or("-".to_owned(), |kind| format!("{kind:?}"));
             let kind = kind.to_lowercase();
             return vec![
@@ -112,25 +112,26 @@
                 zone,
                 state,
                 "silent".into(),
-                silence.to_string(),
+                error.to_string(),
             ];
         }
     };
     let ready = if status.ready { "yes" } else { "no" };
-    let numbers = numbers(status).map(|number| number.map_or("-".into(), |n| n.to_string()));
+    let counts =
+        flow_and_packet_counts(status).map(|count| count.map_or("-".into(), |n| n.to_string()));
     let mut cells = vec![
         status.instance.clone(),
         status.kind.clone(),
         zone,
         state,
         ready.into(),
-        settings(status),
+        settings_versions(status),
     ];
-    cells.extend(numbers);
+    cells.extend(counts);
     cells
 }
 
-fn settings(status: &Status) -> String {
+fn settings_versions(status: &Status) -> String {
     let versions: Vec<String> = status
         .settings
         .iter()
@@ -140,7 +141,7 @@
 }
 
 /// Flows, packets in, packets out, packets dropped. Balancers have no flows.
-fn numbers(status: &Status) -> [Option<u64>; 4] {
+fn flow_and_packet_counts(status: &Status) -> [Option<u64>; 4] {
     let counter = |name: &str| status.counters.get(name).copied();
     let sum = |names: [&str; 3]| names.into_iter().filter_map(counter).reduce(|a, b| a + b);
     let reasons = TABLE.iter().filter(|entry| entry.class == Class::Packets);
--- a/crates/goosectl/src/commands/timeline/arguments.rs
+++ b/crates/goosectl/src/commands/timeline/arguments.rs
@@ -49,7 +49,7 @@
             Long("from") => arguments.from = Some(parser.value()?.into()),
             Long(name) => {
                 let name = name.to_owned();
-                arguments.options.take(&name, parser)?;
+                arguments.options.parse_option(&name, parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
--- a/crates/goosectl/src/commands/timeline/mod.rs
+++ b/crates/goosectl/src/commands/timeline/mod.rs
@@ -90,10 +90,10 @@
             writeln!(out, "{}: {} event(s)", path.display(), events.len())?;
         }
         (None, true) => {
-            output::json(out, &serde_json::json!({ "notes": notes, "events": events }))?;
+            output::write_json(out, &serde_json::json!({ "notes": notes, "events": events }))?;
         }
         (None, false) => {
-            output::notes(out, &notes)?;
+            output::write_notes(out, &notes)?;
             text::lines(out, &events, &names)?;
         }
     }
--- a/crates/goosectl/src/commands/zones/mod.rs
+++ b/crates/goosectl/src/commands/zones/mod.rs
@@ -48,7 +48,7 @@
             }
             Long(name) => {
                 let name = name.to_owned();
-                options.take(&name, parser)?;
+                options.parse_option(&name, parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
--- a/crates/goosectl/src/commands/zones/report.rs
+++ b/crates/goosectl/src/commands/zones/report.rs
@@ -26,16 +26,16 @@
 impl Report<'_> {
     /// Whether the balancers agree.
     pub(super) fn exit(&self) -> Exit {
-        let mut heard = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
-        let Some(first) = heard.next() else { return Exit::Unreachable };
-        let agree = heard.all(|zones| zones.closed == first.closed);
-        let silent = self.answers.iter().any(|answer| answer.result.is_err());
-        if agree && !silent { Exit::Success } else { Exit::Findings }
+        let mut answered = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
+        let Some(first) = answered.next() else { return Exit::Unreachable };
+        let agree = answered.all(|zones| zones.closed == first.closed);
+        let any_unresponsive = self.answers.iter().any(|answer| answer.result.is_err());
+        if agree && !any_unresponsive { Exit::Success } else { Exit::Findings }
     }
 
     /// A row for each balancer.
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
-        output::notes(out, self.notes)?;
+        output::write_notes(out, self.notes)?;
         let mut table = Table::new(["INSTANCE", "REVISION", "CLOSED"]);
         self.answers.iter().for_each(|answer| table.push_row(row(answer)));
         write!(out, "{table}")
@@ -43,7 +43,7 @@
 
     /// One JSON document.
     pub(super) fn json(&self, out: &mut dyn Write) -> io::Result<()> {
-        output::instances_json(out, self.notes, self.answers.iter().map(InstanceJson::from))
+        output::write_instances_json(out, self.notes, self.answers.iter().map(InstanceJson::from))
     }
 }
 
@@ -52,7 +52,7 @@
     match &answer.result {
         Ok(zones) if zones.closed.is_empty() => [name, zones.revision.to_string(), "-".into()],
         Ok(zones) => [name, zones.revision.to_string(), zones.closed.join(" ")],
-        Err(silence) => [name, "silent".into(), silence.to_string()],
+        Err(error) => [name, "silent".into(), error.to_string()],
     }
 }
 
--- a/crates/goosectl/src/fleet/answers.rs
+++ b/crates/goosectl/src/fleet/answers.rs
@@ -64,7 +64,7 @@
 
 /// Answer of an agent's `/explain`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Explained {
+pub(crate) struct AgentExplained {
     pub(crate) instance: String,
     pub(crate) version: u64,
     pub(crate) bucket: u16,
@@ -95,7 +95,7 @@
 
 /// Answer of a balancer's `/explain`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct BalancerView {
+pub(crate) struct BalancerExplained {
     pub(crate) instance: String,
     pub(crate) version: u64,
     /// Data address of the agent that gets the flow's packets.
--- a/crates/goosectl/src/fleet/discover.rs
+++ b/crates/goosectl/src/fleet/discover.rs
@@ -30,7 +30,7 @@
         fleet.add_listed();
         fleet.add_named(&options.instances);
         if fleet.targets.is_empty() {
-            fleet.add_named(&file.map(|file| file.known).unwrap_or_default());
+            fleet.add_named(&file.map(|file| file.control_addresses).unwrap_or_default());
         }
         if fleet.targets.is_empty() {
             return Err(fleet.no_targets());
--- a/crates/goosectl/src/fleet/mod.rs
+++ b/crates/goosectl/src/fleet/mod.rs
@@ -13,7 +13,7 @@
 use shell::http::client::Client;
 use shell::settings_sync::instances::{Kind, State};
 
-pub(crate) use answers::{BalancerView, Event, Explained, Flow, Flows, Status, Zones};
+pub(crate) use answers::{AgentExplained, BalancerExplained, Event, Flow, Flows, Status, Zones};
 pub(crate) use ask::{Answer, RequestError};
 pub(crate) use options::{Options, parse_flow, read_flow_key};
 
--- a/crates/goosectl/src/fleet/options.rs
+++ b/crates/goosectl/src/fleet/options.rs
@@ -11,7 +11,7 @@
 
 use crate::exit::{Exit, Failure};
 
-const TIMEOUT_MS: u64 = 2_000;
+const DEFAULT_TIMEOUT_MS: u64 = 2_000;
 
 /// Whom to ask, and how to show the answers.
 #[derive(Debug)]
@@ -27,13 +27,13 @@
 pub(super) struct ProcessFile {
     pub(super) platform: SocketAddr,
     /// Balancers, and the process itself.
-    pub(super) known: Vec<SocketAddr>,
+    pub(super) control_addresses: Vec<SocketAddr>,
     flow_key: [u8; 16],
 }
 
 impl Default for Options {
     fn default() -> Self {
-        let timeout = Duration::from_millis(TIMEOUT_MS);
+        let timeout = Duration::from_millis(DEFAULT_TIMEOUT_MS);
         Self { platform: None, settings: None, instances: Vec::new(), timeout, is_json: false }
     }
 }
@@ -42,7 +42,11 @@
     /// Takes the option called `name`, with its value, from the command line.
     ///
     /// Errors: [`codes::USAGE`] if there is no such option.
-    pub(crate) fn take(&mut self, name: &str, parser: &mut lexopt::Parser) -> Result<(), Failure> {
+    pub(crate) fn parse_option(
+        &mut self,
+        name: &str,
+        parser: &mut lexopt::Parser,
+    ) -> Result<(), Failure> {
         match name {
             "platform" => self.platform = Some(parser.value()?.parse()?),
             "settings" => self.settings = Some(parser.value()?.into()),
@@ -69,16 +73,20 @@
     };
     let yaml = std::fs::read_to_string(path).map_err(|error| unreadable(&error))?;
     if let Ok(agent) = agent::parse(&yaml) {
-        let known = [agent.peers, vec![agent.control_address]].concat();
+        let control_addresses = [agent.peers, vec![agent.control_address]].concat();
         return Ok(ProcessFile {
             platform: agent.platform_address,
-            known,
+            control_addresses,
             flow_key: agent.flow_key,
         });
     }
     let balancer = balancer::parse(&yaml).map_err(|fault| unreadable(&fault))?;
-    let known = [balancer.peers, vec![balancer.control_address]].concat();
-    Ok(ProcessFile { platform: balancer.platform_address, known, flow_key: balancer.flow_key })
+    let control_addresses = [balancer.peers, vec![balancer.control_address]].concat();
+    Ok(ProcessFile {
+        platform: balancer.platform_address,
+        control_addresses,
+        flow_key: balancer.flow_key,
+    })
 }
 
 /// A flow's id in hexadecimal.
--- a/crates/goosectl/src/fleet/published.rs
+++ b/crates/goosectl/src/fleet/published.rs
@@ -10,25 +10,26 @@
     ///
     /// Errors: a line for people.
     pub(crate) fn published_root(&self) -> Result<Root, String> {
-        root::parse(&self.document("/v1/root")?).map_err(|faults| refused("the root", &faults))
+        root::parse(&self.read_document("/v1/root")?)
+            .map_err(|faults| invalid_document("the root", &faults))
     }
 
     /// An account's subtree. Costs one read.
     ///
     /// Errors: a line for people.
     pub(crate) fn published_account(&self, name: &str) -> Result<AccountSpec, String> {
-        let yaml = self.document(&format!("/v1/accounts/{name}"))?;
-        account::parse_without_root(&yaml, name).map_err(|faults| refused(name, &faults))
+        let yaml = self.read_document(&format!("/v1/accounts/{name}"))?;
+        account::parse_without_root(&yaml, name).map_err(|faults| invalid_document(name, &faults))
     }
 
-    fn document(&self, path: &str) -> Result<String, String> {
+    fn read_document(&self, path: &str) -> Result<String, String> {
         let platform = self.platform.ok_or("the platform's address is not known")?;
         let body = ask::get_bytes(&self.client, platform, path).map_err(|error| error.text)?;
         String::from_utf8(body).map_err(|error| format!("http://{platform}{path}: {error}"))
     }
 }
 
-fn refused(what: &str, faults: &[Fault]) -> String {
+fn invalid_document(what: &str, faults: &[Fault]) -> String {
     let first = faults.first().map(ToString::to_string).unwrap_or_default();
     format!("{what} as published has faults: {first}")
 }
--- a/crates/goosectl/src/output/mod.rs
+++ b/crates/goosectl/src/output/mod.rs
@@ -13,13 +13,13 @@
 pub(crate) use time::{clock_time, date_time};
 
 /// Writes one JSON document and a line end.
-pub(crate) fn json(out: &mut dyn Write, value: &impl Serialize) -> io::Result<()> {
+pub(crate) fn write_json(out: &mut dyn Write, value: &impl Serialize) -> io::Result<()> {
     serde_json::to_writer(&mut *out, value)?;
     writeln!(out)
 }
 
 /// Writes each note on a line of its own.
-pub(crate) fn notes(out: &mut dyn Write, notes: &[String]) -> io::Result<()> {
+pub(crate) fn write_notes(out: &mut dyn Write, notes: &[String]) -> io::Result<()> {
     notes.iter().try_for_each(|note| writeln!(out, "note: {note}"))
 }
 
@@ -30,10 +30,10 @@
 }
 
 /// Writes notes and a list of instances as one JSON document.
-pub(crate) fn instances_json<T: Serialize>(
+pub(crate) fn write_instances_json<T: Serialize>(
     out: &mut dyn Write,
     notes: &[String],
     instances: impl IntoIterator<Item = T>,
 ) -> io::Result<()> {
-    json(out, &InstancesJson { notes, instances: instances.into_iter().collect() })
+    write_json(out, &InstancesJson { notes, instances: instances.into_iter().collect() })
 }
