--- a/crates/goosectl/src/commands/explain/arguments.rs
+++ b/crates/goosectl/src/commands/explain/arguments.rs
@@ -11,7 +11,7 @@
 
 const KEY_BYTES: usize = 16;
 
-/// Which packet, and from where the settings come.
+/// The packet to explain, and where to read the settings.
 #[derive(Debug)]
 pub(super) struct Arguments {
     pub(super) options: Options,
@@ -21,7 +21,7 @@
     pub(super) subtree: Option<PathBuf>,
 }
 
-/// Reads the rest of the command line; `None` if help is asked for.
+/// Parses the rest of the command line; `None` if `--help` is given.
 pub(super) fn parse(parser: &mut lexopt::Parser) -> Result<Option<Arguments>, Failure> {
     let (mut options, mut words) = (Options::default(), Vec::new());
     let (mut key, mut account, mut subtree) = (None, None, None);
--- a/crates/goosectl/src/commands/explain/gather.rs
+++ b/crates/goosectl/src/commands/explain/gather.rs
@@ -1,4 +1,4 @@
-//! Reading the settings and asking the instances.
+//! Reads the settings and queries the instances.
 
 use std::net::IpAddr;
 use std::path::Path;
@@ -14,13 +14,13 @@
 use crate::exit::{Exit, Failure};
 use crate::fleet::{AgentExplained, Answer, BalancerExplained, Fleet, RequestError, Target};
 
-/// All that the explanation rests on.
+/// All data that the explanation is derived from.
 pub(super) struct Facts {
     pub(super) tuple: Tuple,
     pub(super) flow: FlowId,
     /// The settings of the account that owns the destination.
     pub(super) view: View,
-    /// `None` if no service answers there; nobody was asked then.
+    /// `None` if no service has the destination as an address; no instance is queried then.
     pub(super) service: Option<ServiceKey>,
     /// Agents of the service.
     pub(super) agents: Vec<AgentFacts>,
@@ -30,17 +30,18 @@
 /// What is known about one agent.
 pub(super) struct AgentFacts {
     pub(super) id: UpstreamId,
-    /// `None` if there is no list or the list does not name it.
+    /// State in the platform's list; `None` if there is no list or the agent is not on it.
     pub(super) listed: Option<State>,
-    /// Retired in the settings: it may well have ended.
+    /// Retired in the settings: the agent may no longer run.
     pub(super) is_retired: bool,
     pub(super) answer: Result<AgentExplained, RequestError>,
 }
 
-/// Gathers the facts.
+/// Reads the settings of the account that owns the destination, and queries the instances.
 ///
-/// Errors: [`codes::NOT_FOUND`] if nobody owns the destination, [`codes::INSTANCE_UNREACHABLE`] if
-/// the settings cannot be read, [`codes::FILE_UNREADABLE`].
+/// Errors: [`codes::NOT_FOUND`] if no account owns the destination, [`codes::INSTANCE_UNREACHABLE`]
+/// if the platform's settings cannot be read, [`codes::FILE_UNREADABLE`] if the file of `--subtree`
+/// cannot.
 pub(super) fn gather(arguments: &Arguments, fleet: &Fleet) -> Result<Facts, Failure> {
     let tuple = arguments.tuple;
     let spec = match (&arguments.account, &arguments.subtree) {
@@ -92,7 +93,7 @@
     Failure::new(codes::INSTANCE_UNREACHABLE, Exit::Unreachable, text)
 }
 
-/// Asks the agents at the addresses in the settings: the list may lag.
+/// Queries the agents at their addresses in the settings, since the platform's list may lag.
 fn ask_agents(fleet: &Fleet, view: &View, service: ServiceKey, flow: FlowId) -> Vec<AgentFacts> {
     let upstreams: Vec<_> =
         view.service(service).upstream_keys().map(|key| view.upstream(key)).collect();
@@ -136,7 +137,7 @@
 }
 
 impl AgentFacts {
-    /// Whether it does not answer although it should.
+    /// Whether the agent did not answer although it should run. A retired agent may have ended.
     pub(super) fn is_unresponsive(&self) -> bool {
         self.answer.is_err() && !self.is_retired
     }
--- a/crates/goosectl/src/commands/explain/holder.rs
+++ b/crates/goosectl/src/commands/explain/holder.rs
@@ -1,4 +1,4 @@
-//! Which agent holds the flow, as the agents themselves say.
+//! Which agent holds the flow, according to the agents' answers.
 
 use serde::Serialize;
 
@@ -9,20 +9,21 @@
 /// States in which an agent holds a flow.
 const HOLDING_STATES: [&str; 3] = ["open", "finishing", "reset"];
 
-/// Who holds the flow.
+/// The holder of the flow.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct Holder {
     pub(super) upstream: Option<String>,
     /// `open`, `finishing` or `reset`.
     pub(super) state: Option<String>,
     pub(super) reason: String,
-    /// What the home does with the next packet.
+    /// What the home does with the flow's next packet.
     pub(super) next: String,
-    /// Whether exactly one agent says so, or all deny it.
+    /// Whether exactly one agent reports the flow as its own, or all agents answer that they do not
+    /// hold it.
     pub(super) is_certain: bool,
 }
 
-/// Finds the holder; `home` is the upstream to which the balancers send.
+/// Finds the holder. `home` is the upstream to whose agent the balancers send the flow.
 pub(super) fn find(facts: &Facts, home: Option<&str>) -> Holder {
     let answered =
         || facts.agents.iter().filter_map(|agent| Some((agent, agent.answer.as_ref().ok()?)));
--- a/crates/goosectl/src/commands/explain/home.rs
+++ b/crates/goosectl/src/commands/explain/home.rs
@@ -1,4 +1,4 @@
-//! To which agent the balancers send the packet, and why.
+//! The agent to which the balancers send the packet, and why.
 
 use std::net::SocketAddr;
 
@@ -11,24 +11,24 @@
 /// The home of the flow's bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct Home {
-    /// Where most balancers send; by the ranking alone if no balancer answers.
+    /// Upstream that most balancers choose; taken from the ranking alone if no balancer answers.
     pub(super) upstream: Option<String>,
     pub(super) reason: String,
     pub(super) balancers: Vec<BalancerChoice>,
-    /// Whether all balancers were heard and choose the same.
+    /// Whether all balancers answered and chose the same upstream.
     pub(super) is_certain: bool,
 }
 
-/// Where one balancer sends.
+/// The upstream that one balancer chooses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct BalancerChoice {
     pub(super) instance: String,
     pub(super) version: Option<u64>,
-    /// Upstream, or why it is not known.
+    /// Name of the upstream, or the error if the balancer did not answer.
     pub(super) home: String,
 }
 
-/// Finds the home.
+/// Finds the home from the balancers' answers and the ranking.
 pub(super) fn find(facts: &Facts, ranking: &[Rank]) -> Home {
     let balancers: Vec<BalancerChoice> = facts
         .balancers
--- a/crates/goosectl/src/commands/explain/report.rs
+++ b/crates/goosectl/src/commands/explain/report.rs
@@ -1,4 +1,4 @@
-//! Text of `goosectl explain`.
+//! Text output of `goosectl explain`.
 
 use std::io::{self, Write};
 
@@ -7,7 +7,7 @@
 use super::steps::{Explanation, Rank, ServiceSteps};
 use crate::output::Table;
 
-/// One line for each step.
+/// Writes one line for each step, and the ranking as a table.
 pub(super) fn text(out: &mut dyn Write, explanation: &Explanation) -> io::Result<()> {
     let Explanation { packet, flow, account, version, .. } = explanation;
     writeln!(out, "packet   {packet}")?;
--- a/crates/goosectl/src/commands/explain/steps.rs
+++ b/crates/goosectl/src/commands/explain/steps.rs
@@ -1,4 +1,4 @@
-//! From facts to an explanation, step by step. Nothing here asks anybody.
+//! Derives the steps of the explanation from the gathered facts. Sends no requests.
 
 use decision::keys::{BucketIndex, ServiceKey, UpstreamId};
 use decision::rank;
@@ -9,7 +9,7 @@
 use super::gather::{AgentFacts, Facts};
 use super::{holder, home};
 
-/// The way of a packet.
+/// The path of a packet, step by step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct Explanation {
     pub(super) packet: String,
@@ -17,9 +17,9 @@
     pub(super) flow: String,
     pub(super) account: String,
     pub(super) version: u64,
-    /// `None` if no service answers on the destination.
+    /// `None` if no service has the destination as an address.
     pub(super) service: Option<ServiceSteps>,
-    /// False if somebody is silent, contradicts the others, or no service answers there.
+    /// False if an instance does not answer or contradicts the others, or if there is no service.
     pub(super) is_certain: bool,
 }
 
@@ -32,7 +32,7 @@
     pub(super) ranking: Vec<Rank>,
     pub(super) home: home::Home,
     pub(super) holder: holder::Holder,
-    /// Upstreams whose agents do not answer.
+    /// Upstreams whose agents do not answer although they should.
     pub(super) silent: Vec<String>,
 }
 
@@ -44,11 +44,11 @@
     pub(super) weight: u32,
     /// `active` or `draining`.
     pub(super) state: &'static str,
-    /// Why it cannot be home; `None` if it can.
+    /// Why the agent cannot be the home; `None` if it can.
     pub(super) passed_over: Option<String>,
 }
 
-/// Explains the way of a packet.
+/// Explains the path of a packet.
 pub(super) fn explain(facts: &Facts) -> Explanation {
     let account = facts.view.accounts().first();
     let service = facts.service.map(|key| service_steps(facts, key));
@@ -97,7 +97,7 @@
     view.service(key).ranking(bucket).iter().map(|key| rank(view.upstream(*key))).collect()
 }
 
-/// Why an agent cannot be home, as far as anybody says so.
+/// Why an agent cannot be the home, according to the platform's list and the agents' answers.
 fn exclusion_reason(agents: &[AgentFacts], id: UpstreamId) -> Option<String> {
     let hex = format!("{:016x}", id.0);
     let agent_facts = agents.iter().find(|agent| agent.id == id);
@@ -117,7 +117,7 @@
     }
 }
 
-/// Name of an upstream of the service, or its id if the settings do not have it.
+/// Name of an upstream of the service, or its id if the settings do not contain it.
 pub(super) fn name(view: &View, service: ServiceKey, id: UpstreamId) -> String {
     match view.find_upstream(service, id) {
         Some(key) => view.upstream(key).spec.name.to_string(),
@@ -125,7 +125,7 @@
     }
 }
 
-/// As [`name`], of a hexadecimal id.
+/// Like [`name`], for a hexadecimal id.
 pub(super) fn name_of_hex(facts: &Facts, hex: &str) -> String {
     let id = u64::from_str_radix(hex, 16).ok().map(UpstreamId);
     match (facts.service, id) {
--- a/crates/goosectl/src/commands/explain/tests.rs
+++ b/crates/goosectl/src/commands/explain/tests.rs
@@ -1,4 +1,4 @@
-//! The steps of an explanation, from facts to words.
+//! Tests of the steps of an explanation, and of the parsing of the packet's addresses.
 
 use std::net::SocketAddr;
 
@@ -29,18 +29,18 @@
          control_address: "127.20.1.3:9080", address: "127.30.1.3:6080", state: active, since: 1}
 "#;
 
-/// Its bucket, number 15, ranks shelf-2, shelf-1, shelf-3.
+/// A flow of bucket 15, whose ranking is shelf-2, shelf-1, shelf-3.
 const FLOW: FlowId = FlowId(15 << 58);
 
-/// What the agent of each upstream answers, by number: state, holder, standings of the others.
+/// What an agent answers about the flow, its holder and the standing of the other agents.
 #[derive(Clone, Copy)]
 enum AgentReply {
     NoReply,
     Unknown,
     Holds,
-    /// The holder's number.
+    /// Redirects to the agent with this number.
     HeldBy(u64),
-    /// Number of an agent that it takes as this standing; knows no flow.
+    /// Does not know the flow; reports this standing for the agent with this number.
     ReportsStanding(u64, &'static str),
 }
 
@@ -76,7 +76,8 @@
     Ok(serde_json::from_value(value).unwrap())
 }
 
-/// Facts with what three agents say and to which number each balancer sends.
+/// Facts with the answers of the three agents, and for each balancer the number of its home.
+/// `leaving` is the number of the agent that the platform lists as leaving.
 fn facts(replies: [AgentReply; 3], balancers: &[u64], leaving: Option<u64>) -> Facts {
     let spec = settings::account::parse_without_root(SUBTREE, "cascadia").unwrap();
     let view = view::build(&[spec]);
@@ -159,7 +160,7 @@
     assert_eq!(is_certain, certain);
 }
 
-/// A retired upstream that has ended is no reason for doubt.
+/// A retired agent may have ended, so that its missing answer leaves the result certain.
 #[test]
 fn retired_agent_may_be_unresponsive() {
     let mut facts = facts([NoReply, Unknown, Unknown], &[2], None);
@@ -169,7 +170,8 @@
     assert_eq!(steps.holder.reason, "every agent denies it: the flow is not open");
 }
 
-/// The id is the one that a balancer computes from the packet's bytes.
+/// The flow id computed from the addresses equals the one that a balancer computes from the
+/// packet's bytes.
 #[rstest]
 #[case::tcp("tcp 198.51.100.7:40001 203.0.113.1:8443")]
 #[case::udp("udp 198.51.100.7:40001 203.0.113.1:8443")]
--- a/crates/goosectl/src/commands/explain/tuple.rs
+++ b/crates/goosectl/src/commands/explain/tuple.rs
@@ -1,4 +1,4 @@
-//! A packet's addresses and the id of its flow.
+//! The transport and addresses of a packet, and the id of its flow.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
         Endpoint { address, port, transport: self.transport }
     }
 
-    /// Id of the flow as balancers compute it.
+    /// Id of the flow, computed as balancers do.
     pub(super) fn flow_id(&self, key: &[u8; 16]) -> FlowId {
         let segment = Segment::Udp { payload: &[] };
         let (endpoint, source) = (self.endpoint(), self.source);
--- a/crates/goosectl/src/commands/flows/mod.rs
+++ b/crates/goosectl/src/commands/flows/mod.rs
@@ -1,4 +1,4 @@
-//! `goosectl flows`: the flows that agents hold.
+//! `goosectl flows`: lists the flows that agents hold.
 
 mod report;
 
@@ -44,10 +44,10 @@
 answers.
 ";
 
-/// Flows listed of each agent unless told otherwise.
+/// Flows listed for each agent if `--limit` is not given.
 const DEFAULT_LIMIT: usize = 20;
 
-/// Which agents are asked.
+/// Which agents to query.
 #[derive(Debug, Default)]
 struct Filter {
     account: Option<String>,
@@ -87,8 +87,9 @@
 }
 
 impl Filter {
-    /// Whether an instance is an agent that is asked. What an unlisted one serves is not known; it
-    /// is asked unless a filter is given.
+    /// Whether to query an instance. Listed balancers are not queried. For an instance that is not
+    /// on the platform's list, the kind and the served upstream are unknown: it is queried only if
+    /// no filter is given.
     fn matches(&self, target: &Target) -> bool {
         let allows = |wanted: &Option<String>, name: fn(&crate::fleet::ServedUpstream) -> &str| {
             let actual = target.served_upstream().map(name);
--- a/crates/goosectl/src/commands/flows/report.rs
+++ b/crates/goosectl/src/commands/flows/report.rs
@@ -35,7 +35,7 @@
 }
 
 impl Report<'_> {
-    /// Whether something is wrong.
+    /// Exit code: findings if no agent matches or some do not answer.
     pub(super) fn exit(&self) -> Exit {
         let unresponsive = self.unresponsive_count();
         match unresponsive {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A table with a row for each agent, one with a row for each flow, and a summary.
+    /// Writes a table of the agents, a table of the flows, and a summary.
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
         output::write_notes(out, self.notes)?;
         if self.answers.is_empty() {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// One JSON document.
+    /// Writes one JSON document.
     pub(super) fn json(&self, out: &mut dyn Write) -> io::Result<()> {
         let agents = self.answers.iter().map(AgentJson::from).collect();
         output::write_json(out, &ReportJson { notes: self.notes, open: self.open_count(), agents })
--- a/crates/goosectl/src/commands/mod.rs
+++ b/crates/goosectl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands. A new one is a module with its own `COMMAND` and a line in [`COMMANDS`].
+//! The commands. To add one, write a module with a `COMMAND` and list it in [`COMMANDS`].
 
 mod check;
 mod drain_watch;
@@ -16,17 +16,17 @@
 
 /// One command of the command line.
 pub(crate) struct Command {
-    /// Word that selects it.
+    /// Name on the command line.
     pub(crate) name: &'static str,
-    /// One line for the overview.
+    /// One line for `goosectl --help`.
     pub(crate) summary: &'static str,
-    /// One complete command line.
+    /// A complete example command line.
     pub(crate) example: &'static str,
-    /// Reads the rest of the command line and does the work.
+    /// Parses the rest of the command line and runs the command.
     pub(crate) run: fn(&mut lexopt::Parser, &mut dyn Write) -> Result<Exit, Failure>,
 }
 
-/// All commands in the order of the overview.
+/// All commands, in the order in which `goosectl --help` lists them.
 pub(crate) const COMMANDS: &[Command] = &[
     check::COMMAND,
     status::COMMAND,
--- a/crates/goosectl/src/commands/status/mod.rs
+++ b/crates/goosectl/src/commands/status/mod.rs
@@ -1,4 +1,4 @@
-//! `goosectl status`: how every instance is.
+//! `goosectl status`: shows the state of every instance.
 
 mod report;
 
--- a/crates/goosectl/src/commands/status/report.rs
+++ b/crates/goosectl/src/commands/status/report.rs
@@ -29,7 +29,7 @@
 }
 
 impl Report<'_> {
-    /// Whether something is wrong.
+    /// Exit code: findings if some instances do not answer or are not ready.
     pub(super) fn exit(&self) -> Exit {
         let answered = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
         let ready = answered.clone().filter(|status| status.ready).count();
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A table with a row for each instance, and a summary.
+    /// Writes a table with a row for each instance, and a summary.
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
         output::write_notes(out, self.notes)?;
         let head = [
@@ -56,7 +56,7 @@
         self.summary(out)
     }
 
-    /// One JSON document.
+    /// Writes one JSON document.
     pub(super) fn json(&self, out: &mut dyn Write) -> io::Result<()> {
         output::write_instances_json(out, self.notes, self.answers.iter().map(InstanceJson::from))
     }
@@ -140,7 +140,8 @@
     if versions.is_empty() { "none".to_owned() } else { versions.join(" ") }
 }
 
-/// Flows, packets in, packets out, packets dropped. Balancers have no flows.
+/// Open flows, packets in, packets out and packets dropped; `None` where the instance has no such
+/// counter. Balancers have no flows.
 fn flow_and_packet_counts(status: &Status) -> [Option<u64>; 4] {
     let counter = |name: &str| status.counters.get(name).copied();
     let sum = |names: [&str; 3]| names.into_iter().filter_map(counter).reduce(|a, b| a + b);
--- a/crates/goosectl/src/commands/zones/mod.rs
+++ b/crates/goosectl/src/commands/zones/mod.rs
@@ -1,4 +1,4 @@
-//! `goosectl zones`: which availability zones are closed to new flows.
+//! `goosectl zones`: shows which availability zones are closed to new flows.
 
 mod report;
 
--- a/crates/goosectl/src/commands/zones/report.rs
+++ b/crates/goosectl/src/commands/zones/report.rs
@@ -24,7 +24,7 @@
 }
 
 impl Report<'_> {
-    /// Whether the balancers agree.
+    /// Exit code: findings if the balancers differ or some do not answer.
     pub(super) fn exit(&self) -> Exit {
         let mut answered = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
         let Some(first) = answered.next() else { return Exit::Unreachable };
@@ -33,7 +33,7 @@
         if agree && !any_unresponsive { Exit::Success } else { Exit::Findings }
     }
 
-    /// A row for each balancer.
+    /// Writes a table with a row for each balancer.
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
         output::write_notes(out, self.notes)?;
         let mut table = Table::new(["INSTANCE", "REVISION", "CLOSED"]);
@@ -41,7 +41,7 @@
         write!(out, "{table}")
     }
 
-    /// One JSON document.
+    /// Writes one JSON document.
     pub(super) fn json(&self, out: &mut dyn Write) -> io::Result<()> {
         output::write_instances_json(out, self.notes, self.answers.iter().map(InstanceJson::from))
     }
--- a/crates/goosectl/src/exit.rs
+++ b/crates/goosectl/src/exit.rs
@@ -1,4 +1,4 @@
-//! How a command ends.
+//! Exit codes, and the error that ends a command.
 
 use std::fmt;
 use std::process::ExitCode;
@@ -19,28 +19,28 @@
 /// Exit code of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Done, and nothing was found wrong.
+    /// Done; no problem found.
     Success = 0,
-    /// Done, but something was found wrong.
+    /// Done; problems found.
     Findings = 1,
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage = 2,
     /// A file cannot be read, or the output cannot be written.
     File = 3,
     /// No instance could be reached.
     Unreachable = 4,
-    /// What was waited for has not happened in time.
+    /// The awaited state was not reached in time.
     TimedOut = 5,
 }
 
-/// Why a command could not do its work.
+/// Why a command failed.
 #[derive(Debug)]
 pub struct Failure {
-    /// Result code, 5xxx.
+    /// Result code, in the range 5xxx.
     pub code: Code,
     /// Exit code.
     pub exit: Exit,
-    /// Explanation for people.
+    /// Human-readable explanation.
     pub text: String,
 }
 
@@ -51,12 +51,12 @@
 }
 
 impl Failure {
-    /// A failure with its codes.
+    /// Creates a failure from its codes and text.
     pub(crate) fn new(code: Code, exit: Exit, text: impl Into<String>) -> Self {
         Self { code, exit, text: text.into() }
     }
 
-    /// A command line that cannot be understood.
+    /// Creates the failure for an invalid command line.
     pub(crate) fn usage(error: impl fmt::Display) -> Self {
         Self::new(codes::USAGE, Exit::Usage, error.to_string())
     }
--- a/crates/goosectl/src/fleet/answers.rs
+++ b/crates/goosectl/src/fleet/answers.rs
@@ -1,4 +1,4 @@
-//! What the daemons answer, as far as the commands read it.
+//! Answers of the daemons. Only the fields that the commands read are declared.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
     pub(crate) counters: BTreeMap<String, u64>,
 }
 
-/// Version of an account's settings in force.
+/// Version of an account's settings that an instance has in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AccountVersion {
     pub(crate) account: String,
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Flows {
     pub(crate) instance: String,
-    /// Open flows in all; closing ones are not counted.
+    /// Number of open flows; closing ones are not counted.
     pub(crate) open: usize,
     pub(crate) flows: Vec<Flow>,
 }
@@ -35,7 +35,7 @@
 /// Answer of a balancer's `/zones`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Zones {
-    /// Revision of the configuration service that it goes by.
+    /// Revision of the configuration service that `closed` is taken from.
     pub(crate) revision: u64,
     /// Names of the availability zones that take no new flows, in order.
     pub(crate) closed: Vec<String>,
@@ -56,7 +56,7 @@
     /// Hybrid logical time.
     pub(crate) hlc: u64,
     pub(crate) instance: String,
-    /// Empty if the event concerns no account.
+    /// Empty if the event does not belong to an account.
     pub(crate) account: String,
     pub(crate) kind: String,
     pub(crate) fields: Map<String, Value>,
@@ -73,7 +73,7 @@
     pub(crate) place: FlowLocation,
 }
 
-/// One rank of a bucket, as an agent sees it.
+/// One rank of a bucket, with the state that an agent knows of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Rank {
     /// Hexadecimal id.
@@ -82,14 +82,14 @@
     pub(crate) standing: String,
 }
 
-/// Where a flow is, as an agent knows it.
+/// Where a flow is, as far as an agent knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FlowLocation {
     /// `open`, `finishing`, `reset`, `elsewhere` or `unknown`.
     pub(crate) state: String,
     /// Hexadecimal id of the holder, if it is another agent.
     pub(crate) holder: Option<String>,
-    /// What a redirect rests on: `found`, `assigned` or `announced`.
+    /// How the agent learned of the holder: `found`, `assigned` or `announced`.
     pub(crate) evidence: Option<String>,
 }
 
@@ -98,12 +98,12 @@
 pub(crate) struct BalancerExplained {
     pub(crate) instance: String,
     pub(crate) version: u64,
-    /// Data address of the agent that gets the flow's packets.
+    /// Data address of the agent to which the balancer sends the flow's packets.
     pub(crate) home: Option<std::net::SocketAddr>,
 }
 
 impl Event {
-    /// A field as text, empty if the event does not have it.
+    /// A field as text; empty if the event does not have the field.
     pub(crate) fn field(&self, name: &str) -> String {
         match self.fields.get(name) {
             None => String::new(),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Milliseconds since 1970 as the instance believed.
+    /// Time of the event by the instance's clock, in milliseconds since 1970.
     pub(crate) fn wall_ms(&self) -> u64 {
         telemetry::clock::Timestamp(self.hlc).wall_ms()
     }
--- a/crates/goosectl/src/fleet/ask.rs
+++ b/crates/goosectl/src/fleet/ask.rs
@@ -1,4 +1,4 @@
-//! Asking instances, several at a time.
+//! Sends requests to instances, several at a time.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,19 +11,20 @@
 
 use super::{Fleet, Target};
 
-/// Instances asked at the same time, so that a few silent ones do not hold up the rest.
+/// Requests in progress at the same time, so that a few unresponsive instances do not delay the
+/// rest.
 const MAX_CONCURRENT_REQUESTS: usize = 16;
 
-/// Why there is no answer.
+/// Why a request got no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(crate) struct RequestError {
-    /// `E5004` or `E5005`.
+    /// `E5004` if the request failed, `E5005` if its answer could not be decoded.
     pub(crate) code: String,
-    /// Explanation for people.
+    /// Human-readable explanation.
     pub(crate) text: String,
 }
 
-/// What an instance has answered.
+/// The result of a request to one instance.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer<T> {
     pub(crate) target: Target,
@@ -43,7 +44,8 @@
 }
 
 impl Fleet {
-    /// Asks all instances that `path` gives a path for; answers come in the order of the instances.
+    /// Sends a request to every instance for which `path` returns a path. The answers are in the
+    /// order of the instances.
     pub(crate) fn ask<T: DeserializeOwned + Send>(
         &self,
         path: impl Fn(&Target) -> Option<String> + Sync,
@@ -63,13 +65,14 @@
                 .chunks(chunk_len)
                 .map(|chunk| scope.spawn(move || ask_chunk(chunk)))
                 .collect();
-            // A worker does nothing that can panic; if one did, its instances would be missing.
+            // The workers are not expected to panic. If one did, the answers of its instances would
+            // be missing from the result.
             workers.into_iter().flat_map(|worker| worker.join().unwrap_or_default()).collect()
         })
     }
 }
 
-/// Asks one address and decodes the answer.
+/// Sends a GET request to one address and decodes the answer.
 pub(crate) fn get<T: DeserializeOwned>(
     client: &Client,
     address: SocketAddr,
@@ -82,7 +85,7 @@
     serde_json::from_slice(&body).map_err(unreadable)
 }
 
-/// Asks one address.
+/// Sends a GET request to one address.
 pub(crate) fn get_bytes(
     client: &Client,
     address: SocketAddr,
--- a/crates/goosectl/src/fleet/discover.rs
+++ b/crates/goosectl/src/fleet/discover.rs
@@ -1,4 +1,4 @@
-//! Finding the instances: from the platform's list, a settings file, or as named.
+//! Finds the instances: from the platform's list, a settings file, or the command line.
 
 use std::net::SocketAddr;
 
@@ -10,14 +10,15 @@
 use super::{Fleet, ListEntry, ServedUpstream, Target, ask};
 use crate::exit::{Exit, Failure};
 
-/// Names the platform where no option does.
+/// Environment variable with the platform's address, used if no option gives it.
 const PLATFORM_VARIABLE: &str = "GOOSECTL_PLATFORM";
 
 impl Fleet {
-    /// Finds the instances that the options name.
+    /// Finds the instances that the options select.
     ///
-    /// Errors: [`codes::USAGE`] if they name none, [`codes::INSTANCE_UNREACHABLE`] if the platform
-    /// does not answer and no instance is named otherwise.
+    /// Errors: [`codes::USAGE`] if they select none, [`codes::FILE_UNREADABLE`] if the settings
+    /// file cannot be read, [`codes::INSTANCE_UNREACHABLE`] if the platform does not answer or
+    /// lists no instance, and the options name none themselves.
     pub(crate) fn find(options: &Options) -> Result<Self, Failure> {
         let client = Client::new(options.timeout);
         let file = options.settings.as_deref().map(options::read).transpose()?;
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Whether the platform's list names an instance now; `None` if the platform does not say.
+    /// Whether the platform's list contains an instance now; `None` if the list cannot be read.
     pub(crate) fn is_listed(&self, name: &str) -> Option<bool> {
         let list: InstanceList = ask::get(&self.client, self.platform?, "/v1/instances").ok()?;
         Some(list.instances.iter().any(|instance| &*instance.name == name))
--- a/crates/goosectl/src/fleet/mod.rs
+++ b/crates/goosectl/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! The instances that a command asks: which ones there are, and how they are asked.
+//! Discovery of the instances, and the requests that commands send to them.
 //!
-//! Every request is a GET. Nothing here changes the state of a daemon or of the platform.
+//! Every request is a GET and changes no state, neither of a daemon nor of the platform.
 
 mod answers;
 mod ask;
@@ -17,7 +17,7 @@
 pub(crate) use ask::{Answer, RequestError};
 pub(crate) use options::{Options, parse_flow, read_flow_key};
 
-/// Lines of `--help` that all asking commands share.
+/// Lines of `--help` shared by all commands that query instances.
 pub(crate) const OPTIONS_HELP: &str = "\
   --platform ADDR    ask the platform there for the list of instances, e.g. 127.1.0.1:8000
                      (default: the environment variable GOOSECTL_PLATFORM)
@@ -29,23 +29,23 @@
   --json             one JSON document instead of tables
 ";
 
-/// The instances that are asked.
+/// The instances that a command queries.
 pub(crate) struct Fleet {
     pub(crate) targets: Vec<Target>,
-    /// What the reader must know about the list.
+    /// Remarks for the operator, such as that the platform's list could not be read.
     pub(crate) notes: Vec<String>,
-    /// Where the platform answers, if it is known.
+    /// Address of the platform, if known.
     pub(crate) platform: Option<SocketAddr>,
     pub(crate) client: Client,
 }
 
-/// One instance.
+/// An instance that requests are sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Target {
-    /// Its name, or its control address where only that is known.
+    /// Name of the instance, or its control address if only that is known.
     pub(crate) name: String,
     pub(crate) control: SocketAddr,
-    /// What the platform's list says about it.
+    /// Its entry in the platform's list, if it has one.
     pub(crate) listed: Option<ListEntry>,
 }
 
@@ -56,11 +56,11 @@
     pub(crate) state: State,
     pub(crate) zone: String,
     pub(crate) data: SocketAddr,
-    /// Of an agent.
+    /// Set for agents only.
     pub(crate) served_upstream: Option<ServedUpstream>,
 }
 
-/// What an agent serves.
+/// The upstream that an agent serves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ServedUpstream {
     pub(crate) account: String,
@@ -81,7 +81,7 @@
         self.listed.as_ref().map_or("-", |listed| &listed.zone)
     }
 
-    /// What the platform's list says about its life.
+    /// State according to the platform's list; `-` if the instance is not on it.
     pub(crate) fn state(&self) -> &'static str {
         match self.listed.as_ref().map(|listed| listed.state) {
             None => "-",
--- a/crates/goosectl/src/fleet/options.rs
+++ b/crates/goosectl/src/fleet/options.rs
@@ -1,4 +1,4 @@
-//! Options that all asking commands share.
+//! Options shared by all commands that query instances.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
 
 const DEFAULT_TIMEOUT_MS: u64 = 2_000;
 
-/// Whom to ask, and how to show the answers.
+/// Which instances to query, and how to print the answers.
 #[derive(Debug)]
 pub(crate) struct Options {
     pub(crate) platform: Option<SocketAddr>,
@@ -23,10 +23,10 @@
     pub(crate) is_json: bool,
 }
 
-/// What a command needs of a process's settings file.
+/// The part of a process's settings file that commands need.
 pub(super) struct ProcessFile {
     pub(super) platform: SocketAddr,
-    /// Balancers, and the process itself.
+    /// Control addresses of the listed peers and of the process itself.
     pub(super) control_addresses: Vec<SocketAddr>,
     flow_key: [u8; 16],
 }
@@ -39,7 +39,7 @@
 }
 
 impl Options {
-    /// Takes the option called `name`, with its value, from the command line.
+    /// Reads the value of the option `--name` from the command line and stores it.
     ///
     /// Errors: [`codes::USAGE`] if there is no such option.
     pub(crate) fn parse_option(
@@ -59,14 +59,14 @@
     }
 }
 
-/// Key of the flow hash from a process's settings file.
+/// Reads the key of the flow hash from a process's settings file.
 pub(crate) fn read_flow_key(path: &Path) -> Result<[u8; 16], Failure> {
     read(path).map(|file| file.flow_key)
 }
 
 /// Reads the settings file of a balancer or an agent.
 ///
-/// Errors: [`codes::FILE_UNREADABLE`] if it is neither.
+/// Errors: [`codes::FILE_UNREADABLE`] if the file cannot be read or is neither.
 pub(super) fn read(path: &Path) -> Result<ProcessFile, Failure> {
     let unreadable = |error: &dyn std::fmt::Display| {
         Failure::new(codes::FILE_UNREADABLE, Exit::File, format!("{}: {error}", path.display()))
@@ -89,7 +89,7 @@
     })
 }
 
-/// A flow's id in hexadecimal.
+/// Parses a hexadecimal flow id.
 ///
 /// Errors: [`codes::BAD_TUPLE`].
 pub(crate) fn parse_flow(text: &str) -> Result<FlowId, Failure> {
--- a/crates/goosectl/src/fleet/published.rs
+++ b/crates/goosectl/src/fleet/published.rs
@@ -1,4 +1,4 @@
-//! What the platform publishes.
+//! Reads the settings that the platform publishes.
 
 use decision::view::AccountSpec;
 use settings::{Fault, Root, account, root};
@@ -6,17 +6,17 @@
 use super::{Fleet, ask};
 
 impl Fleet {
-    /// The root document. Costs one read.
+    /// Reads the root document with one request to the platform.
     ///
-    /// Errors: a line for people.
+    /// Errors: a human-readable line.
     pub(crate) fn published_root(&self) -> Result<Root, String> {
         root::parse(&self.read_document("/v1/root")?)
             .map_err(|faults| invalid_document("the root", &faults))
     }
 
-    /// An account's subtree. Costs one read.
+    /// Reads an account's subtree with one request to the platform.
     ///
-    /// Errors: a line for people.
+    /// Errors: a human-readable line.
     pub(crate) fn published_account(&self, name: &str) -> Result<AccountSpec, String> {
         let yaml = self.read_document(&format!("/v1/accounts/{name}"))?;
         account::parse_without_root(&yaml, name).map_err(|faults| invalid_document(name, &faults))
--- a/crates/goosectl/src/lib.rs
+++ b/crates/goosectl/src/lib.rs
@@ -13,7 +13,8 @@
 use commands::{COMMANDS, Command};
 pub use exit::{Exit, Failure};
 
-/// Runs one command line and says how it ended. Results go to `out`, everything else to `err`.
+/// Runs one command line and returns its exit code. Results are written to `out`, failures to
+/// `err`.
 ///
 /// ```
 /// let (mut out, mut err) = (Vec::new(), Vec::new());
@@ -28,7 +29,7 @@
 ) -> Exit {
     let result = dispatch(lexopt::Parser::from_args(arguments), out);
     result.unwrap_or_else(|failure| {
-        // Nothing is left to do if even the message cannot be written.
+        // If `err` cannot be written to either, the exit code is all that is left to report.
         let _ = writeln!(err, "goosectl: {failure}");
         failure.exit
     })
--- a/crates/goosectl/src/output/mod.rs
+++ b/crates/goosectl/src/output/mod.rs
@@ -1,4 +1,4 @@
-//! What all commands print with: tables for people, JSON for programs, times as text.
+//! Output shared by all commands: tables for people, JSON for programs, times as text.
 
 mod table;
 #[cfg(test)]
@@ -12,7 +12,7 @@
 pub(crate) use table::Table;
 pub(crate) use time::{clock_time, date_time};
 
-/// Writes one JSON document and a line end.
+/// Writes one JSON document followed by a newline.
 pub(crate) fn write_json(out: &mut dyn Write, value: &impl Serialize) -> io::Result<()> {
     serde_json::to_writer(&mut *out, value)?;
     writeln!(out)
--- a/crates/goosectl/src/output/table.rs
+++ b/crates/goosectl/src/output/table.rs
@@ -5,19 +5,19 @@
 /// Space between two columns.
 const GAP: &str = "  ";
 
-/// A table with a head line. Columns are as wide as their widest cell.
+/// A table with a header row. Each column is as wide as its widest cell.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with this head line.
+    /// Creates a table with this header row.
     pub(crate) fn new<const N: usize>(head: [&str; N]) -> Self {
         Self { rows: vec![head.map(str::to_owned).to_vec()] }
     }
 
-    /// Adds a row. It may have fewer cells than the head.
+    /// Adds a row. It may have fewer cells than the header row.
     pub(crate) fn push_row(&mut self, cells: impl Into<Vec<String>>) {
         self.rows.push(cells.into());
     }
--- a/crates/goosectl/src/output/tests.rs
+++ b/crates/goosectl/src/output/tests.rs
@@ -1,4 +1,4 @@
-//! Times and tables as text.
+//! Tests of times and tables as text.
 
 use rstest::rstest;
 
