--- a/crates/goosectl/src/commands/explain/mod.rs
+++ b/crates/goosectl/src/commands/explain/mod.rs
@@ -31,13 +31,14 @@
 Follows a packet step by step: the account and service of its destination, the flow's id and bucket,
 the ranking of the bucket's agents, the home that the balancers choose and why, and the agent that
 holds the flow. Settings are read from the platform; balancers and agents are asked what they would
-do themselves. TRANSPORT is tcp or udp, addresses are IP:PORT, IPv6 in brackets.
+do with the packet. TRANSPORT is tcp or udp; addresses are IP:PORT, with IPv6 in brackets.
 
 Options:
   --flow-key HEX     key of the flow hash, 32 hexadecimal digits, as in the processes' settings
                      (default: the one in the file of --settings)
-  --account NAME     owner of the destination; saves reading the root
-  --subtree FILE     the account's published settings, instead of reading them; needs --account
+  --account NAME     account that owns the destination; the root document is then not read
+  --subtree FILE     read the account's settings from this file, not from the platform; needs
+                     --account
 ";
 
 const EXAMPLES: &str = "
@@ -46,8 +47,9 @@
   goosectl explain udp '[2001:db8::7]:5353' '[2001:db8:1::1]:53' --platform 127.1.0.1:8000 \\
       --flow-key 00112233445566778899aabbccddeeff --account cascadia --json
 
-Exit codes: 0 explained, 1 some instances are silent or contradict each other, or no service answers
-there, 2 wrong command line, 3 unreadable file, 4 nobody answers.
+Exit codes: 0 explained; 1 some instances do not answer or contradict each other, or no account or
+service has the destination; 2 invalid command line; 3 unreadable file; 4 neither the platform nor
+an instance answers.
 ";
 
 fn run(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
--- a/crates/goosectl/src/commands/explain/report.rs
+++ b/crates/goosectl/src/commands/explain/report.rs
@@ -32,7 +32,9 @@
     for choice in home.balancers.iter().filter(|choice| differs(&choice.home)) {
         match choice.version {
             Some(_) => writeln!(out, "           {} sends to {}", choice.instance, choice.home)?,
-            None => writeln!(out, "           {} is silent: {}", choice.instance, choice.home)?,
+            None => {
+                writeln!(out, "           {} did not answer: {}", choice.instance, choice.home)?
+            }
         }
     }
     let answered = home.balancers.iter().filter(|choice| choice.version.is_some()).count();
--- a/crates/goosectl/src/commands/explain/tests.rs
+++ b/crates/goosectl/src/commands/explain/tests.rs
@@ -202,7 +202,7 @@
 #[rstest]
 #[case::two_words("tcp 198.51.100.7:40001", "E5006: 2 word(s) instead of three")]
 #[case::transport("sctp 1.2.3.4:5 1.2.3.4:5", "E5006: `sctp` is neither tcp nor udp")]
-#[case::no_port("tcp 1.2.3.4 1.2.3.4:5", "E5006: `1.2.3.4` is no address with port")]
+#[case::no_port("tcp 1.2.3.4 1.2.3.4:5", "E5006: `1.2.3.4` is not an address with a port")]
 #[case::mixed("tcp 1.2.3.4:5 [::1]:5", "E5006: one address is IPv4 and the other IPv6")]
 fn bad_tuple(#[case] text: &str, #[case] expected: &str) {
     let failure = tuple::parse(text).unwrap_err().to_string();
--- a/crates/goosectl/src/commands/explain/tuple.rs
+++ b/crates/goosectl/src/commands/explain/tuple.rs
@@ -36,7 +36,7 @@
         other => return Err(bad(&format!("`{other}` is neither tcp nor udp"))),
     };
     let address = |text: &str| -> Result<SocketAddr, Failure> {
-        text.parse().map_err(|_| bad(&format!("`{text}` is no address with port")))
+        text.parse().map_err(|_| bad(&format!("`{text}` is not an address with a port")))
     };
     let (source, destination) = (address(source)?, address(destination)?);
     if source.is_ipv4() != destination.is_ipv4() {
--- a/crates/goosectl/src/commands/flows/mod.rs
+++ b/crates/goosectl/src/commands/flows/mod.rs
@@ -24,14 +24,15 @@
 const HELP: &str = "\
 Usage: goosectl flows [--account NAME] [--service NAME] [--upstream NAME] [--limit N] [OPTIONS]
 
-Lists the flows that agents hold for their upstreams, by id and state: `open`, `finishing` (the
-caller has ended its half) or `reset`. `goosectl explain` finds the id of a caller's flow.
+Lists the flows that agents hold for their upstreams, with id and state: `open`, `finishing` (the
+caller has closed its side) or `reset`. `goosectl explain` shows the id of a caller's flow.
 
 Options:
   --account NAME     only agents of this account
   --service NAME     only agents of this service
-  --upstream NAME    only the agent of this upstream; these three need the platform's list
-  --limit N          most flows of each agent to list (default 20, at most 10000; 0: counts only)
+  --upstream NAME    only the agent of this upstream; these three filters need the platform's list
+  --limit N          maximum number of flows listed for each agent (default 20, at most 10000; 0
+                     prints the counts only)
 ";
 
 const EXAMPLES: &str = "
@@ -40,8 +41,8 @@
   goosectl flows --platform 127.1.0.1:8000 --service shelf --upstream shelf-1 --limit 10000 --json
   goosectl flows --instance 127.20.1.1:9080
 
-Exit codes: 0 done, 1 some agents are silent, 2 wrong command line, 3 unreadable file, 4 no agent
-answers.
+Exit codes: 0 done; 1 some agents do not answer, or none matches; 2 invalid command line;
+3 unreadable file; 4 no agent answers.
 ";
 
 /// Flows listed for each agent if `--limit` is not given.
--- a/crates/goosectl/src/commands/status/mod.rs
+++ b/crates/goosectl/src/commands/status/mod.rs
@@ -14,7 +14,7 @@
 /// Entry in the command table.
 pub(crate) const COMMAND: Command = Command {
     name: "status",
-    summary: "show how every instance is",
+    summary: "show the state of every instance",
     example: "goosectl status --platform 127.1.0.1:8000",
     run,
 };
@@ -22,9 +22,9 @@
 const HELP: &str = "\
 Usage: goosectl status [--counters] [OPTIONS]
 
-Shows for every instance whether it answers, is ready, which settings it runs and what it counts.
-FLOWS are the open flows of an agent. IN are the datagrams that arrived, OUT the packets passed to
-agents or the upstream, DROPPED those dropped or refused, whatever the reason.
+Shows for every instance whether it answers and is ready, the versions of its settings, and its
+counters. FLOWS counts the open flows of an agent, IN the datagrams received, OUT the packets sent
+to agents or to the upstream, and DROPPED the packets dropped or refused for any reason.
 
 Options:
   --counters         list every counter that is not zero
@@ -36,8 +36,8 @@
   goosectl status --settings /etc/gooseberrysill/balancer.yaml --counters
   goosectl status --instance 127.20.1.1:9080 --instance 127.20.1.2:9080 --json
 
-Exit codes: 0 all instances are ready, 1 some are silent or not ready, 2 wrong command line,
-3 unreadable file, 4 no instance answers.
+Exit codes: 0 all instances are ready; 1 some do not answer or are not ready; 2 invalid command
+line; 3 unreadable file; 4 no instance answers.
 ";
 
 fn run(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
--- a/crates/goosectl/src/commands/zones/mod.rs
+++ b/crates/goosectl/src/commands/zones/mod.rs
@@ -23,8 +23,9 @@
 Usage: goosectl zones [OPTIONS]
 
 Shows for each balancer of the direct-return path which availability zones it has closed, and the
-revision of the configuration service by which it does so. Balancers that differ for more than a
-moment are named by the exit code. ADDR is where a balancer answers probes.
+revision of the configuration service that the closures come from. The exit code reports balancers
+that differ, which is normal only for a moment after a change. ADDR is the address at which a
+balancer answers probes.
 
 Options:
 ";
@@ -34,8 +35,8 @@
   goosectl zones --instance 10.1.0.10:8167 --instance 10.2.0.40:8167
   goosectl zones --instance 10.1.0.10:8167 --json
 
-Exit codes: 0 all balancers agree, 1 some differ or are silent, 2 wrong command line, 3 unreadable
-file, 4 no balancer answers.
+Exit codes: 0 all balancers agree; 1 some differ or do not answer; 2 invalid command line;
+3 unreadable file; 4 no balancer answers.
 ";
 
 fn run(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
--- a/crates/goosectl/src/exit.rs
+++ b/crates/goosectl/src/exit.rs
@@ -8,12 +8,12 @@
 /// Exit codes, for `--help`.
 pub(crate) const HELP: &str = "\
 Exit codes:
-  0  done, and nothing was found wrong
-  1  done, but something was found wrong (faults, lagging or silent instances)
-  2  the command line is wrong
+  0  done; no problem found
+  1  done; problems found (faults, lagging or unresponsive instances)
+  2  the command line is invalid
   3  a file cannot be read, or the output cannot be written
   4  no instance could be reached
-  5  what was waited for has not happened in time
+  5  the awaited state was not reached in time
 ";
 
 /// Exit code of a command.
--- a/crates/goosectl/src/fleet/mod.rs
+++ b/crates/goosectl/src/fleet/mod.rs
@@ -19,14 +19,14 @@
 
 /// Lines of `--help` shared by all commands that query instances.
 pub(crate) const OPTIONS_HELP: &str = "\
-  --platform ADDR    ask the platform there for the list of instances, e.g. 127.1.0.1:8000
+  --platform ADDR    read the list of instances from the platform at ADDR, e.g. 127.1.0.1:8000
                      (default: the environment variable GOOSECTL_PLATFORM)
-  --settings FILE    balancer.yaml or agent.yaml: take the platform's address from there; if the
-                     platform does not answer, ask the balancers that the file names
-  --instance ADDR    ask the instance with this control address; may be repeated, and alone
-                     suffices where the platform is down
-  --timeout-ms N     longest wait for one answer (default 2000)
-  --json             one JSON document instead of tables
+  --settings FILE    balancer.yaml or agent.yaml with the platform's address; if the platform does
+                     not answer, query the balancers that the file names
+  --instance ADDR    query the instance with this control address; may be repeated, and works
+                     without the platform
+  --timeout-ms N     timeout of each request in milliseconds (default 2000)
+  --json             print one JSON document instead of tables
 ";
 
 /// The instances that a command queries.
--- a/crates/goosectl/src/fleet/options.rs
+++ b/crates/goosectl/src/fleet/options.rs
@@ -94,7 +94,11 @@
 /// Errors: [`codes::BAD_TUPLE`].
 pub(crate) fn parse_flow(text: &str) -> Result<FlowId, Failure> {
     let bad = |_| {
-        Failure::new(codes::BAD_TUPLE, Exit::Usage, format!("`{text}` is no hexadecimal flow id"))
+        Failure::new(
+            codes::BAD_TUPLE,
+            Exit::Usage,
+            format!("`{text}` is not a hexadecimal flow id"),
+        )
     };
     u64::from_str_radix(text, 16).map(FlowId).map_err(bad)
 }
--- a/crates/goosectl/src/fleet/published.rs
+++ b/crates/goosectl/src/fleet/published.rs
@@ -31,5 +31,5 @@
 
 fn invalid_document(what: &str, faults: &[Fault]) -> String {
     let first = faults.first().map(ToString::to_string).unwrap_or_default();
-    format!("{what} as published has faults: {first}")
+    format!("{what} as published is invalid: {first}")
 }
--- a/crates/goosectl/src/lib.rs
+++ b/crates/goosectl/src/lib.rs
@@ -60,7 +60,7 @@
         COMMANDS.iter().map(|command| format!("  {}\n", command.example)).collect();
     format!(
         "Usage: goosectl COMMAND [OPTIONS]\n\nCommands:\n{list}\nExamples:\n{examples}\n{}\
-         \n`goosectl COMMAND --help` tells more.\n",
+         \nRun `goosectl COMMAND --help` for the options of a command.\n",
         exit::HELP
     )
 }
--- a/crates/goosectl/tests/fleet.rs
+++ b/crates/goosectl/tests/fleet.rs
@@ -303,7 +303,7 @@
     Exit::Usage,
     "E5006: 2 word(s)"
 )]
-#[case::bad_flow("timeline --flow here", Exit::Usage, "E5006: `here` is no hexadecimal flow id")]
+#[case::bad_flow("timeline --flow here", Exit::Usage, "E5006: `here` is not a hexadecimal flow id")]
 #[case::no_folder("timeline --from /nowhere", Exit::File, "E5002: /nowhere: ")]
 #[case::no_file("status --settings /nowhere", Exit::File, "E5002: /nowhere: ")]
 fn command_line_fails(#[case] line: &str, #[case] exit: Exit, #[case] err: &str) {
