--- a/crates/goosectl/src/commands/explain/home.rs
+++ b/crates/goosectl/src/commands/explain/home.rs
@@ -1,4 +1,4 @@
-//! To which agent the balancers send the packet, and why.
+//! The agent to which the balancers send the packet, and why.
 
 use std::net::SocketAddr;
 
@@ -11,45 +11,45 @@
 /// The home of the flow's bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct Home {
-    /// Where most balancers send; by the ranking alone if no balancer answers.
+    /// Upstream that most balancers choose; taken from the ranking alone if no balancer answers.
     pub(super) upstream: Option<String>,
     pub(super) reason: String,
     pub(super) balancers: Vec<BalancerChoice>,
-    /// Whether all balancers were heard and choose the same.
+    /// Whether all balancers answered and chose the same upstream.
     pub(super) is_certain: bool,
 }
 
-/// Where one balancer sends.
+/// The upstream that one balancer chooses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct BalancerChoice {
     pub(super) instance: String,
     pub(super) version: Option<u64>,
-    /// Upstream, or why it is not known.
+    /// Name of the upstream, or the error if the balancer did not answer.
     pub(super) home: String,
 }
 
-/// Finds the home.
+/// Finds the home from the balancers' answers and the ranking.
 pub(super) fn find(facts: &Facts, ranking: &[Rank]) -> Home {
     let balancers: Vec<BalancerChoice> = facts
         .balancers
         .iter()
         .map(|answer| match &answer.result {
-            Ok(view) => BalancerChoice {
-                instance: view.instance.clone(),
-                version: Some(view.version),
-                home: view.home.map_or("nobody".to_owned(), |address| name_at(facts, address)),
+            Ok(explained) => BalancerChoice {
+                instance: explained.instance.clone(),
+                version: Some(explained.version),
+                home: explained.home.map_or("nobody".to_owned(), |address| name_at(facts, address)),
             },
-            Err(silence) => BalancerChoice {
-                instance: answer.subject.name.clone(),
+            Err(error) => BalancerChoice {
+                instance: answer.target.name.clone(),
                 version: None,
-                home: silence.to_string(),
+                home: error.to_string(),
             },
         })
         .collect();
     let chosen = most_frequent(&balancers);
-    let heard = || balancers.iter().filter(|choice| choice.version.is_some());
-    let is_agreed = heard().all(|choice| Some(&choice.home) == chosen.as_ref());
-    let is_certain = is_agreed && heard().count() == balancers.len() && chosen.is_some();
+    let answered = || balancers.iter().filter(|choice| choice.version.is_some());
+    let is_agreed = answered().all(|choice| Some(&choice.home) == chosen.as_ref());
+    let is_certain = is_agreed && answered().count() == balancers.len() && chosen.is_some();
     let by_ranking = || ranking.iter().find(|rank| rank.passed_over.is_none());
     let upstream =
         chosen.clone().or_else(|| by_ranking().or(ranking.first()).map(|r| r.upstream.clone()));
--- a/crates/goosectl/src/commands/explain/report.rs
+++ b/crates/goosectl/src/commands/explain/report.rs
@@ -1,4 +1,4 @@
-//! Text of `goosectl explain`.
+//! Text output of `goosectl explain`.
 
 use std::io::{self, Write};
 
@@ -7,7 +7,7 @@
 use super::steps::{Explanation, Rank, ServiceSteps};
 use crate::output::Table;
 
-/// One line for each step.
+/// Writes one line for each step, and the ranking as a table.
 pub(super) fn text(out: &mut dyn Write, explanation: &Explanation) -> io::Result<()> {
     let Explanation { packet, flow, account, version, .. } = explanation;
     writeln!(out, "packet   {packet}")?;
@@ -32,11 +32,13 @@
     for choice in home.balancers.iter().filter(|choice| differs(&choice.home)) {
         match choice.version {
             Some(_) => writeln!(out, "           {} sends to {}", choice.instance, choice.home)?,
-            None => writeln!(out, "           {} is silent: {}", choice.instance, choice.home)?,
+            None => {
+                writeln!(out, "           {} did not answer: {}", choice.instance, choice.home)?
+            }
         }
     }
-    let heard = home.balancers.iter().filter(|choice| choice.version.is_some()).count();
-    writeln!(out, "           {heard} of {} balancer(s) were heard", home.balancers.len())?;
+    let answered = home.balancers.iter().filter(|choice| choice.version.is_some()).count();
+    writeln!(out, "           {answered} of {} balancer(s) answered", home.balancers.len())?;
     let state = holder.state.as_ref().map(|state| format!(" ({state})")).unwrap_or_default();
     writeln!(out, "holder   {}{state}: {}", name(&holder.upstream), holder.reason)?;
     writeln!(out, "next     {}", holder.next)?;
@@ -52,7 +54,7 @@
 fn ranking(ranks: &[Rank]) -> Table {
     let mut table = Table::new(["", "RANK", "UPSTREAM", "ZONE", "WEIGHT", "STATE", "AGENT"]);
     for (index, rank) in ranks.iter().enumerate() {
-        table.row([
+        table.push_row([
             String::from("      "),
             (index + 1).to_string(),
             rank.upstream.clone(),
--- a/crates/goosectl/src/commands/explain/tuple.rs
+++ b/crates/goosectl/src/commands/explain/tuple.rs
@@ -1,4 +1,4 @@
-//! A packet's addresses and the id of its flow.
+//! The transport and addresses of a packet, and the id of its flow.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
         other => return Err(bad(&format!("`{other}` is neither tcp nor udp"))),
     };
     let address = |text: &str| -> Result<SocketAddr, Failure> {
-        text.parse().map_err(|_| bad(&format!("`{text}` is no address with port")))
+        text.parse().map_err(|_| bad(&format!("`{text}` is not an address with a port")))
     };
     let (source, destination) = (address(source)?, address(destination)?);
     if source.is_ipv4() != destination.is_ipv4() {
@@ -51,14 +51,14 @@
         Endpoint { address, port, transport: self.transport }
     }
 
-    /// Id of the flow as balancers compute it.
-    pub(super) fn flow(&self, key: &[u8; 16]) -> FlowId {
+    /// Id of the flow, computed as balancers do.
+    pub(super) fn flow_id(&self, key: &[u8; 16]) -> FlowId {
         let segment = Segment::Udp { payload: &[] };
         let (endpoint, source) = (self.endpoint(), self.source);
         Inner { endpoint, source, segment, header_bytes: 0 }.flow_id(key)
     }
 
-    pub(super) fn transport_word(&self) -> &'static str {
+    pub(super) fn transport_name(&self) -> &'static str {
         match self.transport {
             Transport::Tcp => "tcp",
             Transport::Udp => "udp",
@@ -68,6 +68,6 @@
 
 impl fmt::Display for Tuple {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {} -> {}", self.transport_word(), self.source, self.destination)
+        write!(f, "{} {} -> {}", self.transport_name(), self.source, self.destination)
     }
 }
--- a/crates/goosectl/src/commands/flows/mod.rs
+++ b/crates/goosectl/src/commands/flows/mod.rs
@@ -1,4 +1,4 @@
-//! `goosectl flows`: the flows that agents hold.
+//! `goosectl flows`: lists the flows that agents hold.
 
 mod report;
 
@@ -10,7 +10,7 @@
 
 use super::Command;
 use crate::exit::{Exit, Failure};
-use crate::fleet::{Fleet, Flows, OPTIONS_HELP, Options, Subject};
+use crate::fleet::{Fleet, Flows, OPTIONS_HELP, Options, Target};
 use report::Report;
 
 /// Entry in the command table.
@@ -24,14 +24,15 @@
 const HELP: &str = "\
 Usage: goosectl flows [--account NAME] [--service NAME] [--upstream NAME] [--limit N] [OPTIONS]
 
-Lists the flows that agents hold for their upstreams, by id and state: `open`, `finishing` (the
-caller has ended its half) or `reset`. `goosectl explain` finds the id of a caller's flow.
+Lists the flows that agents hold for their upstreams, with id and state: `open`, `finishing` (the
+caller has closed its side) or `reset`. `goosectl explain` shows the id of a caller's flow.
 
 Options:
   --account NAME     only agents of this account
   --service NAME     only agents of this service
-  --upstream NAME    only the agent of this upstream; these three need the platform's list
-  --limit N          most flows of each agent to list (default 20, at most 10000; 0: counts only)
+  --upstream NAME    only the agent of this upstream; these three filters need the platform's list
+  --limit N          maximum number of flows listed for each agent (default 20, at most 10000; 0
+                     prints the counts only)
 ";
 
 const EXAMPLES: &str = "
@@ -40,14 +41,14 @@
   goosectl flows --platform 127.1.0.1:8000 --service shelf --upstream shelf-1 --limit 10000 --json
   goosectl flows --instance 127.20.1.1:9080
 
-Exit codes: 0 done, 1 some agents are silent, 2 wrong command line, 3 unreadable file, 4 no agent
-answers.
+Exit codes: 0 done; 1 some agents do not answer, or none matches; 2 invalid command line;
+3 unreadable file; 4 no agent answers.
 ";
 
-/// Flows listed of each agent unless told otherwise.
-const LIMIT: usize = 20;
+/// Flows listed for each agent if `--limit` is not given.
+const DEFAULT_LIMIT: usize = 20;
 
-/// Which agents are asked.
+/// Which agents to query.
 #[derive(Debug, Default)]
 struct Filter {
     account: Option<String>,
@@ -56,7 +57,8 @@
 }
 
 fn run(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
-    let (mut options, mut filter, mut limit) = (Options::default(), Filter::default(), LIMIT);
+    let (mut options, mut filter, mut limit) =
+        (Options::default(), Filter::default(), DEFAULT_LIMIT);
     while let Some(argument) = parser.next()? {
         match argument {
             Long("help") | Short('h') => {
@@ -69,14 +71,14 @@
             Long("limit") => limit = parser.value()?.parse()?,
             Long(name) => {
                 let name = name.to_owned();
-                options.take(&name, parser)?;
+                options.parse_option(&name, parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
     }
     let fleet = Fleet::find(&options)?;
     let path = format!("/flows?limit={limit}");
-    let answers = fleet.ask::<Flows>(|subject| filter.fits(subject).then(|| path.clone()));
+    let answers = fleet.ask::<Flows>(|target| filter.matches(target).then(|| path.clone()));
     let report = Report { notes: &fleet.notes, answers: &answers };
     match options.is_json {
         true => report.json(out)?,
@@ -86,16 +88,17 @@
 }
 
 impl Filter {
-    /// Whether an instance is an agent that is asked. What an unlisted one serves is not known; it
-    /// is asked unless a filter is given.
-    fn fits(&self, subject: &Subject) -> bool {
-        let is = |wanted: &Option<String>, name: fn(&crate::fleet::Place) -> &str| {
-            let known = subject.place().map(name);
-            wanted.as_deref().is_none_or(|wanted| known == Some(wanted))
+    /// Whether to query an instance. Listed balancers are not queried. For an instance that is not
+    /// on the platform's list, the kind and the served upstream are unknown: it is queried only if
+    /// no filter is given.
+    fn matches(&self, target: &Target) -> bool {
+        let allows = |wanted: &Option<String>, name: fn(&crate::fleet::ServedUpstream) -> &str| {
+            let actual = target.served_upstream().map(name);
+            wanted.as_deref().is_none_or(|wanted| actual == Some(wanted))
         };
-        subject.kind() != Some(Kind::Balancer)
-            && is(&self.account, |place| &place.account)
-            && is(&self.service, |place| &place.service)
-            && is(&self.upstream, |place| &place.upstream)
+        target.kind() != Some(Kind::Balancer)
+            && allows(&self.account, |served| &served.account)
+            && allows(&self.service, |served| &served.service)
+            && allows(&self.upstream, |served| &served.upstream)
     }
 }
--- a/crates/goosectl/src/commands/flows/report.rs
+++ b/crates/goosectl/src/commands/flows/report.rs
@@ -6,7 +6,7 @@
 use settings::codes::{INSTANCE_UNREACHABLE, NOT_FOUND};
 
 use crate::exit::Exit;
-use crate::fleet::{Answer, Flow, Flows, Silence};
+use crate::fleet::{Answer, Flow, Flows, RequestError};
 use crate::output::{self, Table};
 
 /// The answers of the agents.
@@ -31,24 +31,24 @@
     open: Option<usize>,
     flows: &'a [Flow],
     #[serde(skip_serializing_if = "Option::is_none")]
-    silence: Option<&'a Silence>,
+    silence: Option<&'a RequestError>,
 }
 
 impl Report<'_> {
-    /// Whether something is wrong.
+    /// Exit code: findings if no agent matches or some do not answer.
     pub(super) fn exit(&self) -> Exit {
-        let silent = self.silent();
-        match silent {
+        let unresponsive = self.unresponsive_count();
+        match unresponsive {
             0 if self.answers.is_empty() => Exit::Findings,
             0 => Exit::Success,
-            silent if silent == self.answers.len() => Exit::Unreachable,
+            unresponsive if unresponsive == self.answers.len() => Exit::Unreachable,
             _ => Exit::Findings,
         }
     }
 
-    /// A table with a row for each agent, one with a row for each flow, and a summary.
+    /// Writes a table of the agents, a table of the flows, and a summary.
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
-        output::notes(out, self.notes)?;
+        output::write_notes(out, self.notes)?;
         if self.answers.is_empty() {
             return writeln!(out, "{NOT_FOUND}: no agent fits");
         }
@@ -56,9 +56,9 @@
         let mut flows = Table::new(["FLOW", "STATE", "AGENT"]);
         let mut listed = 0;
         for answer in self.answers {
-            agents.row(agent_row(answer));
+            agents.push_row(agent_row(answer));
             for flow in answer.result.iter().flat_map(|flows| &flows.flows) {
-                flows.row([flow.flow.clone(), flow.state.clone(), answer.subject.name.clone()]);
+                flows.push_row([flow.flow.clone(), flow.state.clone(), answer.target.name.clone()]);
                 listed += 1;
             }
         }
@@ -66,36 +66,38 @@
         if listed > 0 {
             write!(out, "\n{flows}")?;
         }
-        writeln!(out, "{} open flow(s), {listed} flow(s) listed", self.open())?;
-        match self.silent() {
+        writeln!(out, "{} open flow(s), {listed} flow(s) listed", self.open_count())?;
+        match self.unresponsive_count() {
             0 => Ok(()),
-            silent => writeln!(out, "{INSTANCE_UNREACHABLE}: {silent} agent(s) do not answer"),
+            unresponsive => {
+                writeln!(out, "{INSTANCE_UNREACHABLE}: {unresponsive} agent(s) do not answer")
+            }
         }
     }
 
-    /// One JSON document.
+    /// Writes one JSON document.
     pub(super) fn json(&self, out: &mut dyn Write) -> io::Result<()> {
         let agents = self.answers.iter().map(AgentJson::from).collect();
-        output::json(out, &ReportJson { notes: self.notes, open: self.open(), agents })
+        output::write_json(out, &ReportJson { notes: self.notes, open: self.open_count(), agents })
     }
 
-    fn open(&self) -> usize {
+    fn open_count(&self) -> usize {
         self.answers.iter().filter_map(|answer| Some(answer.result.as_ref().ok()?.open)).sum()
     }
 
-    fn silent(&self) -> usize {
+    fn unresponsive_count(&self) -> usize {
         self.answers.iter().filter(|answer| answer.result.is_err()).count()
     }
 }
 
 impl<'a> From<&'a Answer<Flows>> for AgentJson<'a> {
     fn from(answer: &'a Answer<Flows>) -> Self {
-        let (place, flows) = (answer.subject.place(), answer.result.as_ref().ok());
+        let (served, flows) = (answer.target.served_upstream(), answer.result.as_ref().ok());
         Self {
-            instance: flows.map_or(&answer.subject.name, |flows| &flows.instance),
-            account: place.map(|place| place.account.as_str()),
-            service: place.map(|place| place.service.as_str()),
-            upstream: place.map(|place| place.upstream.as_str()),
+            instance: flows.map_or(&answer.target.name, |flows| &flows.instance),
+            account: served.map(|served| served.account.as_str()),
+            service: served.map(|served| served.service.as_str()),
+            upstream: served.map(|served| served.upstream.as_str()),
             open: flows.map(|flows| flows.open),
             flows: flows.map_or(&[], |flows| &flows.flows),
             silence: answer.result.as_ref().err(),
@@ -108,7 +110,7 @@
     let text = |text: Option<&str>| text.unwrap_or("-").to_owned();
     let open = match &answer.result {
         Ok(flows) => flows.open.to_string(),
-        Err(silence) => silence.to_string(),
+        Err(error) => error.to_string(),
     };
     [
         entry.instance.to_owned(),
--- a/crates/goosectl/src/commands/status/report.rs
+++ b/crates/goosectl/src/commands/status/report.rs
@@ -6,7 +6,7 @@
 use settings::codes::{Class, INSTANCE_UNREACHABLE, TABLE};
 
 use crate::exit::Exit;
-use crate::fleet::{Answer, Silence, Status};
+use crate::fleet::{Answer, RequestError, Status};
 use crate::output::{self, Table};
 
 /// The answers of all instances.
@@ -25,30 +25,30 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     status: Option<&'a Status>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    silence: Option<&'a Silence>,
+    silence: Option<&'a RequestError>,
 }
 
 impl Report<'_> {
-    /// Whether something is wrong.
+    /// Exit code: findings if some instances do not answer or are not ready.
     pub(super) fn exit(&self) -> Exit {
-        let heard = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
-        let ready = heard.clone().filter(|status| status.ready).count();
-        match (heard.count(), ready) {
+        let answered = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
+        let ready = answered.clone().filter(|status| status.ready).count();
+        match (answered.count(), ready) {
             (0, _) => Exit::Unreachable,
             (_, ready) if ready < self.answers.len() => Exit::Findings,
             _ => Exit::Success,
         }
     }
 
-    /// A table with a row for each instance, and a summary.
+    /// Writes a table with a row for each instance, and a summary.
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
-        output::notes(out, self.notes)?;
+        output::write_notes(out, self.notes)?;
         let head = [
             "INSTANCE", "KIND", "ZONE", "LISTED", "READY", "SETTINGS", "FLOWS", "IN", "OUT",
             "DROPPED",
         ];
         let mut table = Table::new(head);
-        self.answers.iter().for_each(|answer| table.row(row(answer)));
+        self.answers.iter().for_each(|answer| table.push_row(row(answer)));
         write!(out, "{table}")?;
         if self.all_counters {
             self.counters(out)?;
@@ -56,16 +56,16 @@
         self.summary(out)
     }
 
-    /// One JSON document.
+    /// Writes one JSON document.
     pub(super) fn json(&self, out: &mut dyn Write) -> io::Result<()> {
-        output::instances_json(out, self.notes, self.answers.iter().map(InstanceJson::from))
+        output::write_instances_json(out, self.notes, self.answers.iter().map(InstanceJson::from))
     }
 
     fn counters(&self, out: &mut dyn Write) -> io::Result<()> {
         let mut table = Table::new(["INSTANCE", "COUNTER", "VALUE"]);
         for status in self.answers.iter().filter_map(|answer| answer.result.as_ref().ok()) {
             for (name, value) in status.counters.iter().filter(|(_, value)| **value > 0) {
-                table.row([status.instance.clone(), name.clone(), value.to_string()]);
+                table.push_row([status.instance.clone(), name.clone(), value.to_string()]);
             }
         }
         write!(out, "\n{table}")
@@ -73,12 +73,12 @@
 
     fn summary(&self, out: &mut dyn Write) -> io::Result<()> {
         let all = self.answers.len();
-        let heard = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
-        let ready = heard.clone().filter(|status| status.ready).count();
-        let silent = all - heard.count();
-        writeln!(out, "{all} instance(s): {ready} ready, {silent} silent")?;
-        if silent > 0 {
-            writeln!(out, "{INSTANCE_UNREACHABLE}: {silent} instance(s) do not answer")?;
+        let answered = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
+        let ready = answered.clone().filter(|status| status.ready).count();
+        let unresponsive = all - answered.count();
+        writeln!(out, "{all} instance(s): {ready} ready, {unresponsive} silent")?;
+        if unresponsive > 0 {
+            writeln!(out, "{INSTANCE_UNREACHABLE}: {unresponsive} instance(s) do not answer")?;
         }
         Ok(())
     }
@@ -88,10 +88,10 @@
     fn from(answer: &'a Answer<Status>) -> Self {
         let status = answer.result.as_ref().ok();
         Self {
-            name: status.map_or(&answer.subject.name, |status| &status.instance),
-            control_address: answer.subject.control.to_string(),
-            zone: answer.subject.zone(),
-            listed: answer.subject.state(),
+            name: status.map_or(&answer.target.name, |status| &status.instance),
+            control_address: answer.target.control.to_string(),
+            zone: answer.target.zone(),
+            listed: answer.target.state(),
             status,
             silence: answer.result.as_ref().err(),
         }
@@ -99,38 +99,39 @@
 }
 
 fn row(answer: &Answer<Status>) -> Vec<String> {
-    let subject = &answer.subject;
-    let (zone, state) = (subject.zone().to_owned(), subject.state().to_owned());
+    let target = &answer.target;
+    let (zone, state) = (target.zone().to_owned(), target.state().to_owned());
     let status = match &answer.result {
         Ok(status) => status,
-        Err(silence) => {
-            let kind = subject.kind().map_or("-".to_owned(), |kind| format!("{kind:?}"));
+        Err(error) => {
+            let kind = target.kind().map_or("-".to_owned(), |kind| format!("{kind:?}"));
             let kind = kind.to_lowercase();
             return vec![
-                subject.name.clone(),
+                target.name.clone(),
                 kind,
                 zone,
                 state,
                 "silent".into(),
-                silence.to_string(),
+                error.to_string(),
             ];
         }
     };
     let ready = if status.ready { "yes" } else { "no" };
-    let numbers = numbers(status).map(|number| number.map_or("-".into(), |n| n.to_string()));
+    let counts =
+        flow_and_packet_counts(status).map(|count| count.map_or("-".into(), |n| n.to_string()));
     let mut cells = vec![
         status.instance.clone(),
         status.kind.clone(),
         zone,
         state,
         ready.into(),
-        settings(status),
+        settings_versions(status),
     ];
-    cells.extend(numbers);
+    cells.extend(counts);
     cells
 }
 
-fn settings(status: &Status) -> String {
+fn settings_versions(status: &Status) -> String {
     let versions: Vec<String> = status
         .settings
         .iter()
@@ -139,8 +140,9 @@
     if versions.is_empty() { "none".to_owned() } else { versions.join(" ") }
 }
 
-/// Flows, packets in, packets out, packets dropped. Balancers have no flows.
-fn numbers(status: &Status) -> [Option<u64>; 4] {
+/// Open flows, packets in, packets out and packets dropped; `None` where the instance has no such
+/// counter. Balancers have no flows.
+fn flow_and_packet_counts(status: &Status) -> [Option<u64>; 4] {
     let counter = |name: &str| status.counters.get(name).copied();
     let sum = |names: [&str; 3]| names.into_iter().filter_map(counter).reduce(|a, b| a + b);
     let reasons = TABLE.iter().filter(|entry| entry.class == Class::Packets);
--- a/crates/goosectl/src/commands/zones/report.rs
+++ b/crates/goosectl/src/commands/zones/report.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use crate::exit::Exit;
-use crate::fleet::{Answer, Silence, Zones};
+use crate::fleet::{Answer, RequestError, Zones};
 use crate::output::{self, Table};
 
 /// The answers of the balancers.
@@ -20,46 +20,46 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     zones: Option<&'a Zones>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    silence: Option<&'a Silence>,
+    silence: Option<&'a RequestError>,
 }
 
 impl Report<'_> {
-    /// Whether the balancers agree.
+    /// Exit code: findings if the balancers differ or some do not answer.
     pub(super) fn exit(&self) -> Exit {
-        let mut heard = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
-        let Some(first) = heard.next() else { return Exit::Unreachable };
-        let agree = heard.all(|zones| zones.closed == first.closed);
-        let silent = self.answers.iter().any(|answer| answer.result.is_err());
-        if agree && !silent { Exit::Success } else { Exit::Findings }
+        let mut answered = self.answers.iter().filter_map(|answer| answer.result.as_ref().ok());
+        let Some(first) = answered.next() else { return Exit::Unreachable };
+        let agree = answered.all(|zones| zones.closed == first.closed);
+        let any_unresponsive = self.answers.iter().any(|answer| answer.result.is_err());
+        if agree && !any_unresponsive { Exit::Success } else { Exit::Findings }
     }
 
-    /// A row for each balancer.
+    /// Writes a table with a row for each balancer.
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
-        output::notes(out, self.notes)?;
+        output::write_notes(out, self.notes)?;
         let mut table = Table::new(["INSTANCE", "REVISION", "CLOSED"]);
-        self.answers.iter().for_each(|answer| table.row(row(answer)));
+        self.answers.iter().for_each(|answer| table.push_row(row(answer)));
         write!(out, "{table}")
     }
 
-    /// One JSON document.
+    /// Writes one JSON document.
     pub(super) fn json(&self, out: &mut dyn Write) -> io::Result<()> {
-        output::instances_json(out, self.notes, self.answers.iter().map(InstanceJson::from))
+        output::write_instances_json(out, self.notes, self.answers.iter().map(InstanceJson::from))
     }
 }
 
 fn row(answer: &Answer<Zones>) -> [String; 3] {
-    let name = answer.subject.name.clone();
+    let name = answer.target.name.clone();
     match &answer.result {
         Ok(zones) if zones.closed.is_empty() => [name, zones.revision.to_string(), "-".into()],
         Ok(zones) => [name, zones.revision.to_string(), zones.closed.join(" ")],
-        Err(silence) => [name, "silent".into(), silence.to_string()],
+        Err(error) => [name, "silent".into(), error.to_string()],
     }
 }
 
 impl<'a> From<&'a Answer<Zones>> for InstanceJson<'a> {
     fn from(answer: &'a Answer<Zones>) -> Self {
         Self {
-            name: &answer.subject.name,
+            name: &answer.target.name,
             zones: answer.result.as_ref().ok(),
             silence: answer.result.as_ref().err(),
         }
--- a/crates/goosectl/src/fleet/options.rs
+++ b/crates/goosectl/src/fleet/options.rs
@@ -1,4 +1,4 @@
-//! Options that all asking commands share.
+//! Options shared by all commands that query instances.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,9 +11,9 @@
 
 use crate::exit::{Exit, Failure};
 
-const TIMEOUT_MS: u64 = 2_000;
+const DEFAULT_TIMEOUT_MS: u64 = 2_000;
 
-/// Whom to ask, and how to show the answers.
+/// Which instances to query, and how to print the answers.
 #[derive(Debug)]
 pub(crate) struct Options {
     pub(crate) platform: Option<SocketAddr>,
@@ -23,26 +23,30 @@
     pub(crate) is_json: bool,
 }
 
-/// What a command needs of a process's settings file.
+/// The part of a process's settings file that commands need.
 pub(super) struct ProcessFile {
     pub(super) platform: SocketAddr,
-    /// Balancers, and the process itself.
-    pub(super) known: Vec<SocketAddr>,
+    /// Control addresses of the listed peers and of the process itself.
+    pub(super) control_addresses: Vec<SocketAddr>,
     flow_key: [u8; 16],
 }
 
 impl Default for Options {
     fn default() -> Self {
-        let timeout = Duration::from_millis(TIMEOUT_MS);
+        let timeout = Duration::from_millis(DEFAULT_TIMEOUT_MS);
         Self { platform: None, settings: None, instances: Vec::new(), timeout, is_json: false }
     }
 }
 
 impl Options {
-    /// Takes the option called `name`, with its value, from the command line.
+    /// Reads the value of the option `--name` from the command line and stores it.
     ///
     /// Errors: [`codes::USAGE`] if there is no such option.
-    pub(crate) fn take(&mut self, name: &str, parser: &mut lexopt::Parser) -> Result<(), Failure> {
+    pub(crate) fn parse_option(
+        &mut self,
+        name: &str,
+        parser: &mut lexopt::Parser,
+    ) -> Result<(), Failure> {
         match name {
             "platform" => self.platform = Some(parser.value()?.parse()?),
             "settings" => self.settings = Some(parser.value()?.into()),
@@ -55,38 +59,46 @@
     }
 }
 
-/// Key of the flow hash from a process's settings file.
+/// Reads the key of the flow hash from a process's settings file.
 pub(crate) fn read_flow_key(path: &Path) -> Result<[u8; 16], Failure> {
     read(path).map(|file| file.flow_key)
 }
 
 /// Reads the settings file of a balancer or an agent.
 ///
-/// Errors: [`codes::FILE_UNREADABLE`] if it is neither.
+/// Errors: [`codes::FILE_UNREADABLE`] if the file cannot be read or is neither.
 pub(super) fn read(path: &Path) -> Result<ProcessFile, Failure> {
     let unreadable = |error: &dyn std::fmt::Display| {
         Failure::new(codes::FILE_UNREADABLE, Exit::File, format!("{}: {error}", path.display()))
     };
     let yaml = std::fs::read_to_string(path).map_err(|error| unreadable(&error))?;
     if let Ok(agent) = agent::parse(&yaml) {
-        let known = [agent.peers, vec![agent.control_address]].concat();
+        let control_addresses = [agent.peers, vec![agent.control_address]].concat();
         return Ok(ProcessFile {
             platform: agent.platform_address,
-            known,
+            control_addresses,
             flow_key: agent.flow_key,
         });
     }
     let balancer = balancer::parse(&yaml).map_err(|fault| unreadable(&fault))?;
-    let known = [balancer.peers, vec![balancer.control_address]].concat();
-    Ok(ProcessFile { platform: balancer.platform_address, known, flow_key: balancer.flow_key })
+    let control_addresses = [balancer.peers, vec![balancer.control_address]].concat();
+    Ok(ProcessFile {
+        platform: balancer.platform_address,
+        control_addresses,
+        flow_key: balancer.flow_key,
+    })
 }
 
-/// A flow's id in hexadecimal.
+/// Parses a hexadecimal flow id.
 ///
 /// Errors: [`codes::BAD_TUPLE`].
 pub(crate) fn parse_flow(text: &str) -> Result<FlowId, Failure> {
     let bad = |_| {
-        Failure::new(codes::BAD_TUPLE, Exit::Usage, format!("`{text}` is no hexadecimal flow id"))
+        Failure::new(
+            codes::BAD_TUPLE,
+            Exit::Usage,
+            format!("`{text}` is not a hexadecimal flow id"),
+        )
     };
     u64::from_str_radix(text, 16).map(FlowId).map_err(bad)
 }
