--- a/crates/agent/src/http.rs
+++ b/crates/agent/src/http.rs
@@ -8,7 +8,7 @@
 use shell::http::routes::Request as HttpRequest;
 use shell::http::routes::{Reply, Routes};
 use shell::settings_sync::{Keyrings, serve};
-use shell::status::{self, Shown};
+use shell::status::{self, StatusSource};
 
 use crate::explain::ExplainResponse;
 use crate::plane::{FlowEntry, FlowList, FlowQuery, Request};
@@ -42,12 +42,12 @@
 
 /// Returns all routes of an agent.
 pub(crate) fn routes(
-    shown: &Shown,
+    status_source: &StatusSource,
     keyrings: &Keyrings,
     requests: mpsc::Sender<Request>,
 ) -> Routes {
-    let routes = status::routes(Routes::default(), shown);
-    let instance = shown.instance.clone();
+    let routes = status::routes(Routes::default(), status_source);
+    let instance = status_source.instance.clone();
     let (explain_requests, explain_instance) = (requests.clone(), instance.clone());
     let flows = move |request: &HttpRequest| {
         let Some(query) = flow_query(request) else {
@@ -58,7 +58,7 @@
             None => Reply::error(503, "not serving yet"),
         }
     };
-    let routes = serve::routes(routes, &shown.store, keyrings).get("/flows", flows);
+    let routes = serve::routes(routes, &status_source.store, keyrings).get("/flows", flows);
     routes.get("/explain", move |request| explain(&explain_requests, &explain_instance, request))
 }
 
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -17,7 +17,7 @@
 use shell::settings_sync::platform::Reader;
 use shell::settings_sync::{Keyrings, Scope, Store};
 use shell::signals::Shutdown;
-use shell::status::Shown;
+use shell::status::StatusSource;
 use shell::{boottime, http};
 use telemetry::clock;
 use telemetry::metrics::Metrics;
@@ -72,7 +72,7 @@
     let socket = plane::bind(address).map_err(|e| StartFault::bind(address, &e))?;
     let (requests, inbox) = mpsc::channel();
     let keyrings = process.keyrings()?;
-    let routes = crate::http::routes(&process.shown(), &keyrings, requests.clone());
+    let routes = crate::http::routes(&process.status_source(), &keyrings, requests.clone());
     http::start(process.settings.control_address, routes)?;
     process.serve(socket, &requests, inbox)
 }
@@ -250,13 +250,13 @@
         }
     }
 
-    fn shown(&self) -> Shown {
+    fn status_source(&self) -> StatusSource {
         let (serving, shutdown) = (self.serving.clone(), self.shutdown.clone());
         let (store, counters) = (self.store.clone(), self.counters.clone());
         let is_ready = move || {
             serving.load(Ordering::Acquire) && store.is_current() && !shutdown.is_requested()
         };
-        Shown {
+        StatusSource {
             instance: self.settings.instance.clone(),
             kind: "agent",
             store: self.store.clone(),
--- a/crates/balancer/src/http.rs
+++ b/crates/balancer/src/http.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use shell::http::routes::{Reply, Request, Routes};
 use shell::settings_sync::{Keyrings, serve};
-use shell::status::{self, Shown};
+use shell::status::{self, StatusSource};
 
 use crate::snapshot::PublishedSnapshot;
 
@@ -23,10 +23,14 @@
 
 /// All routes of a balancer. `/explain?service=ID&flow=ID` returns the home of a flow by the
 /// snapshot in `published`.
-pub fn routes(shown: &Shown, keyrings: &Keyrings, published: Arc<PublishedSnapshot>) -> Routes {
-    let routes = status::routes(Routes::default(), shown);
-    let instance = shown.instance.clone();
-    serve::routes(routes, &shown.store, keyrings)
+pub fn routes(
+    status_source: &StatusSource,
+    keyrings: &Keyrings,
+    published: Arc<PublishedSnapshot>,
+) -> Routes {
+    let routes = status::routes(Routes::default(), status_source);
+    let instance = status_source.instance.clone();
+    serve::routes(routes, &status_source.store, keyrings)
         .get("/explain", move |request| explain(&instance, &published, request))
 }
 
--- a/crates/balancer/src/run.rs
+++ b/crates/balancer/src/run.rs
@@ -17,7 +17,7 @@
 use shell::settings_sync::platform::Reader;
 use shell::settings_sync::{Keyrings, Scope, Store};
 use shell::signals::Shutdown;
-use shell::status::Shown;
+use shell::status::StatusSource;
 use shell::{boottime, http};
 use telemetry::metrics::Metrics;
 use telemetry::timeline::{Fields, Timeline};
@@ -77,7 +77,8 @@
     let (notices, inbox) = mpsc::channel();
     let workers = balancer.start_workers(&stop, &notices)?;
     let published = balancer.published.clone();
-    let routes = crate::http::routes(&balancer.shown(metrics), &balancer.keyrings(), published);
+    let routes =
+        crate::http::routes(&balancer.status_source(metrics), &balancer.keyrings(), published);
     http::start(balancer.settings.control_address, routes)?;
     let (members, observed_members) = mpsc::channel();
     let fetches = balancer.start_readers()?;
@@ -179,10 +180,10 @@
         spawn("spread", move || spreading.run(&shutdown)).map(|_| ())
     }
 
-    fn shown(&self, metrics: Arc<Metrics>) -> Shown {
+    fn status_source(&self, metrics: Arc<Metrics>) -> StatusSource {
         let (published, shutdown) = (self.published.clone(), self.shutdown.clone());
         let counters = self.counters.clone();
-        Shown {
+        StatusSource {
             instance: self.settings.instance.clone(),
             kind: "balancer",
             store: self.store.clone(),
--- a/crates/balancer/tests/explain.rs
+++ b/crates/balancer/tests/explain.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use shell::http::client::{Client, ClientError};
 use shell::settings_sync::{Scope, Source, Store};
-use shell::status::Shown;
+use shell::status::StatusSource;
 use telemetry::metrics::Metrics;
 use telemetry::timeline::Timeline;
 use wire::sealed::KeyId;
@@ -40,7 +40,7 @@
     let down = down.iter().map(|name| UpstreamId::of("cascadia", "shelf", name)).collect();
     let published: Arc<PublishedSnapshot> = Arc::default();
     published.publish(Snapshot::build(&store.view(), down, &[(KeyId(1), [7; 32])]).unwrap());
-    let shown = Shown {
+    let status_source = StatusSource {
         instance: "bal-1".into(),
         kind: "balancer",
         store,
@@ -49,7 +49,7 @@
         is_ready: Arc::new(|| true),
         counters: Arc::new(Vec::new),
     };
-    let routes = http::routes(&shown, &(Arc::new(|_: &str| None) as _), published);
+    let routes = http::routes(&status_source, &(Arc::new(|_: &str| None) as _), published);
     let address = shell::http::start("127.0.0.1:0".parse().unwrap(), routes).unwrap();
     let body = Client::new(Duration::from_secs(10)).get(address, path)?;
     Ok(String::from_utf8(body).unwrap())
--- a/crates/shell/src/status.rs
+++ b/crates/shell/src/status.rs
@@ -39,7 +39,7 @@
 
 /// What the common routes show.
 #[derive(Clone)]
-pub struct Shown {
+pub struct StatusSource {
     /// Name of the instance.
     pub instance: Arc<str>,
     /// `balancer` or `agent`.
@@ -57,15 +57,15 @@
 }
 
 /// Adds the common routes to an endpoint.
-pub fn routes(routes: Routes, shown: &Shown) -> Routes {
-    scrape::register(&shown.metrics, &shown.store);
-    let (is_ready, metrics) = (shown.is_ready.clone(), shown.metrics.clone());
-    let (timeline, shown) = (shown.timeline.clone(), shown.clone());
+pub fn routes(routes: Routes, status_source: &StatusSource) -> Routes {
+    scrape::register(&status_source.metrics, &status_source.store);
+    let (is_ready, metrics) = (status_source.is_ready.clone(), status_source.metrics.clone());
+    let (timeline, status_source) = (status_source.timeline.clone(), status_source.clone());
     routes
         .get("/healthz", |_| Reply::text("ok\n"))
         .get("/readyz", move |_| readiness(is_ready()))
         .get("/metrics", move |_| render(&metrics))
-        .get("/status", move |_| Reply::json(&status(&shown)))
+        .get("/status", move |_| Reply::json(&status(&status_source)))
         .get("/timeline", move |request| events(&timeline, request))
 }
 
@@ -80,17 +80,17 @@
     }
 }
 
-fn status(shown: &Shown) -> Status {
+fn status(status_source: &StatusSource) -> Status {
     let entry = |(account, version): (Arc<str>, decision::keys::Version)| AccountVersion {
         account,
         version: version.0,
     };
     Status {
-        instance: shown.instance.clone(),
-        kind: shown.kind,
-        ready: (shown.is_ready)(),
-        settings: shown.store.versions().into_iter().map(entry).collect(),
-        counters: (shown.counters)(),
+        instance: status_source.instance.clone(),
+        kind: status_source.kind,
+        ready: (status_source.is_ready)(),
+        settings: status_source.store.versions().into_iter().map(entry).collect(),
+        counters: (status_source.counters)(),
     }
 }
 
--- a/crates/shell/tests/status.rs
+++ b/crates/shell/tests/status.rs
@@ -11,15 +11,15 @@
 use shell::http::client::{Client, ClientError};
 use shell::http::routes::Routes;
 use shell::settings_sync::Scope;
-use shell::status::{self, Shown};
+use shell::status::{self, StatusSource};
 use telemetry::metrics::Metrics;
 use telemetry::timeline::{Fields, Timeline};
 
-fn shown(ready: &Arc<AtomicBool>) -> Shown {
+fn status_source(ready: &Arc<AtomicBool>) -> StatusSource {
     let timeline = Arc::new(Timeline::new("bal-c1".into(), 8));
     timeline.record("cascadia", "tested", Fields::default());
     let ready = ready.clone();
-    Shown {
+    StatusSource {
         instance: "bal-c1".into(),
         kind: "balancer",
         store: store(Scope::All, &[("cascadia", 7)]),
@@ -32,7 +32,7 @@
 
 fn get(path: &str, ready: bool) -> Result<String, ClientError> {
     let ready = Arc::new(AtomicBool::new(ready));
-    let address = serve(status::routes(Routes::default(), &shown(&ready)));
+    let address = serve(status::routes(Routes::default(), &status_source(&ready)));
     let body = Client::new(Duration::from_secs(10)).get(address, path)?;
     Ok(String::from_utf8(body).unwrap())
 }
