--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -14,7 +14,7 @@
 use shell::fault::StartFault;
 use shell::settings_sync::instances::Instances;
 use shell::settings_sync::peers::PeerReader;
-use shell::settings_sync::platform::Reader;
+use shell::settings_sync::platform::PlatformReader;
 use shell::settings_sync::{Keyrings, Scope, Store};
 use shell::signals::Shutdown;
 use shell::status::StatusSource;
@@ -135,7 +135,7 @@
     fn start_readers(&self, requests: mpsc::Receiver<Version>) -> Result<(), StartFault> {
         let platform = self.settings.platform_address;
         let instances: Arc<Instances> = Arc::default();
-        let reader = Reader::new(platform, self.store.clone(), instances);
+        let reader = PlatformReader::new(platform, self.store.clone(), instances);
         let peers = PeerReader::new(self.store.clone(), self.candidates(), self.keyrings()?);
         let (fetcher, fetch_peers) = (reader.clone(), peers.clone());
         let (shutdown, peer_shutdown) = (self.shutdown.clone(), self.shutdown.clone());
@@ -297,7 +297,7 @@
     requests: &mpsc::Receiver<Version>,
     store: &Store,
     account: &str,
-    platform: &Reader,
+    platform: &PlatformReader,
     peers: &PeerReader,
 ) {
     let current_version = || {
@@ -307,7 +307,7 @@
     };
     while let Ok(at_least) = requests.recv() {
         if current_version() < at_least {
-            peers.compare_some(PEERS_PER_FETCH);
+            peers.compare_with_random_peers(PEERS_PER_FETCH);
         }
         if current_version() < at_least {
             platform.fetch(account);
--- a/crates/balancer/src/run.rs
+++ b/crates/balancer/src/run.rs
@@ -14,7 +14,7 @@
 use shell::fault::StartFault;
 use shell::settings_sync::instances::{Instances, Kind};
 use shell::settings_sync::peers::PeerReader;
-use shell::settings_sync::platform::Reader;
+use shell::settings_sync::platform::PlatformReader;
 use shell::settings_sync::{Keyrings, Scope, Store};
 use shell::signals::Shutdown;
 use shell::status::StatusSource;
@@ -124,7 +124,7 @@
     /// returned channel takes requests for further fetches.
     fn start_readers(&self) -> Result<mpsc::Sender<Fetch>, StartFault> {
         let platform = self.settings.platform_address;
-        let reader = Reader::new(platform, self.store.clone(), self.instances.clone());
+        let reader = PlatformReader::new(platform, self.store.clone(), self.instances.clone());
         let list_reader = reader.clone();
         let (configured, own) = (self.settings.peers.clone(), self.settings.control_address);
         let instances = self.instances.clone();
@@ -143,7 +143,7 @@
         let should_read = move || spreading_status.is_reader() || !store.is_current();
         spawn("platform", move || reader.run(&shutdown, should_read))?;
         let shutdown = self.shutdown.clone();
-        spawn("instances", move || list_reader.run_list(&shutdown))?;
+        spawn("instances", move || list_reader.run_instance_list(&shutdown))?;
         let shutdown = self.shutdown.clone();
         spawn("peers", move || peers.run(&shutdown))?;
         spawn("fetch", move || fetcher.run())?;
--- a/crates/balancer/src/spreading/fetch.rs
+++ b/crates/balancer/src/spreading/fetch.rs
@@ -8,7 +8,7 @@
 use settings::codes;
 use shell::settings_sync::Store;
 use shell::settings_sync::peers::{PeerError, PeerReader};
-use shell::settings_sync::platform::Reader;
+use shell::settings_sync::platform::PlatformReader;
 
 /// A request to fetch settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 pub(crate) struct Fetcher {
     pub(crate) store: Arc<Store>,
     pub(crate) peers: PeerReader,
-    pub(crate) platform: Reader,
+    pub(crate) platform: PlatformReader,
     pub(crate) inbox: mpsc::Receiver<Fetch>,
 }
 
--- a/crates/shell/src/settings_sync/peers.rs
+++ b/crates/shell/src/settings_sync/peers.rs
@@ -25,13 +25,13 @@
 /// Mean pause of a balancer, which hears of changes by spreading; for what that may miss.
 pub const BALANCER_INTERVAL: Duration = Duration::from_millis(30_000);
 /// Pause while they are not: the process cannot serve before.
-const STARTING_INTERVAL: Duration = Duration::from_millis(200);
+const INITIAL_INTERVAL: Duration = Duration::from_millis(200);
 /// Longest wait for a peer, which may be paused.
-const TIMEOUT: Duration = Duration::from_millis(1_000);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Peers heard before settings count as current. Eight that all missed a change of some seconds ago
 /// are as good as none in a fleet where it spreads within that time.
-const PEERS_AT_START: usize = 8;
+const INITIAL_PEERS: usize = 8;
 
 /// Gives the peers that may be asked now.
 pub type Candidates = Arc<dyn Fn() -> Vec<SocketAddr> + Send + Sync>;
@@ -67,12 +67,12 @@
             Scope::All => BALANCER_INTERVAL,
             Scope::Account(_) => AGENT_INTERVAL,
         };
-        Self { client: Client::new(TIMEOUT), store, candidates, keyrings, interval }
+        Self { client: Client::new(REQUEST_TIMEOUT), store, candidates, keyrings, interval }
     }
 
     /// Compares with some peers, then with one random peer at a time until the shutdown.
     pub fn run(&self, shutdown: &Shutdown) {
-        self.compare_some(PEERS_AT_START);
+        self.compare_with_random_peers(INITIAL_PEERS);
         self.store.mark_peers_asked();
         while !shutdown.is_requested() {
             let peers = (self.candidates)();
@@ -80,13 +80,13 @@
                 let peer = peers[rand::random_range(0..peers.len())];
                 self.compare_or_log(peer);
             }
-            let interval = if self.store.is_current() { self.interval } else { STARTING_INTERVAL };
+            let interval = if self.store.is_current() { self.interval } else { INITIAL_INTERVAL };
             thread::sleep(interval.mul_f64(rand::random_range(0.5..1.5)));
         }
     }
 
     /// Compares with up to `count` random peers at once, each in a thread, and waits for all.
-    pub fn compare_some(&self, count: usize) {
+    pub fn compare_with_random_peers(&self, count: usize) {
         let mut peers = (self.candidates)();
         thread::scope(|scope| {
             for _ in 0..count.min(peers.len()) {
@@ -109,10 +109,10 @@
             Scope::All => FLEET,
             Scope::Account(account) => account,
         };
-        let digest: Digest = self.ask(peer, Kind::Digest, own_name)?;
+        let digest: Digest = self.request(peer, Kind::Digest, own_name)?;
         let own_root = self.store.root().map_or(0, |(version, _)| version.0);
         if digest.root_version > own_root {
-            let document: Document = self.ask(peer, Kind::Root, own_name)?;
+            let document: Document = self.request(peer, Kind::Root, own_name)?;
             self.store.offer_root(&document.yaml, Source::Peer);
         }
         let own = self.store.versions();
@@ -132,23 +132,23 @@
     /// Fetches one account's subtree from `peer`, as a change to our own where that fits.
     pub fn fetch(&self, peer: SocketAddr, account: &str) -> Result<(), PeerError> {
         let have = self.version(account).0.to_string();
-        let update: Update = self.ask_having(peer, Kind::Subtree, account, &have)?;
+        let update: Update = self.request_with_have(peer, Kind::Subtree, account, &have)?;
         if self.offer(account, &update) {
             return Ok(());
         }
         // Ours was replaced while we asked, so the change does not fit: take the whole.
-        let whole: Update = self.ask(peer, Kind::Subtree, account)?;
+        let whole: Update = self.request(peer, Kind::Subtree, account)?;
         self.offer(account, &whole).then_some(()).ok_or(ExchangeError.into())
     }
 
     /// Fetches several accounts' subtrees from `peer`, many in one exchange: a storm of changes would
     /// otherwise cost an exchange each. Only a balancer may ask for accounts of its choice.
     pub fn fetch_all(&self, peer: SocketAddr, accounts: &[Arc<str>]) -> Result<(), PeerError> {
-        for some in accounts.chunks(SUBTREES_MAX) {
+        for chunk in accounts.chunks(SUBTREES_MAX) {
             let wanted: Vec<_> =
-                some.iter().map(|name| (name.clone(), self.version(name))).collect();
+                chunk.iter().map(|name| (name.clone(), self.version(name))).collect();
             let have = format_wanted(&wanted);
-            let Updates(updates) = self.ask_having(peer, Kind::Subtrees, FLEET, &have)?;
+            let Updates(updates) = self.request_with_have(peer, Kind::Subtrees, FLEET, &have)?;
             for (name, update) in &updates {
                 if !self.offer(name, update) {
                     self.fetch(peer, name)?;
@@ -172,16 +172,16 @@
         true
     }
 
-    fn ask<T: DeserializeOwned>(
+    fn request<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
         kind: Kind,
         account: &str,
     ) -> Result<T, PeerError> {
-        self.ask_having(peer, kind, account, "")
+        self.request_with_have(peer, kind, account, "")
     }
 
-    fn ask_having<T: DeserializeOwned>(
+    fn request_with_have<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
         kind: Kind,
--- a/crates/shell/src/settings_sync/platform.rs
+++ b/crates/shell/src/settings_sync/platform.rs
@@ -18,22 +18,22 @@
 /// it waits.
 const WATCH_WAIT_MS: u64 = 10_000;
 /// Time for the answer beyond the wait.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Pause between reads of the instance list, which lags by seconds anyway. About 250 bytes an
 /// instance: at today's 27 instances 1.4 KB/s.
-const LIST_INTERVAL: Duration = Duration::from_millis(5_000);
+const LIST_INTERVAL_MIN: Duration = Duration::from_millis(5_000);
 /// Most bytes of the list a second, of the 10,000 that control may take. The list can only be read
 /// whole: with 11,600 instances it is 2.4 MB, and is read every 20 minutes. What happens in between
 /// the agents report, and new balancers bring along by comparing.
 const LIST_BYTES_PER_SECOND: u64 = 2_000;
 /// Pause between two looks whether this instance is to watch.
-const WANTED_POLL: Duration = Duration::from_millis(100);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Name of the root in the answer of a watch.
-const ROOT: &str = "root";
+const ROOT_NAME: &str = "root";
 
 /// Reads the platform for one process.
 #[derive(Clone)]
-pub struct Reader {
+pub struct PlatformReader {
     client: Client,
     watcher: Client,
     address: SocketAddr,
@@ -58,23 +58,23 @@
     Decode,
 }
 
-impl Reader {
+impl PlatformReader {
     /// A reader of the platform at `address` that feeds `store` and `instances`.
     pub fn new(address: SocketAddr, store: Arc<Store>, instances: Arc<Instances>) -> Self {
         let wait = Duration::from_millis(WATCH_WAIT_MS);
-        let client = Client::new(ANSWER_TIMEOUT);
-        let watcher = Client::new(wait + ANSWER_TIMEOUT);
+        let client = Client::new(RESPONSE_TIMEOUT);
+        let watcher = Client::new(wait + RESPONSE_TIMEOUT);
         Self { client, watcher, address, store, instances }
     }
 
-    /// Watches until the shutdown, whenever `wanted` says so: the service could not bear it if
+    /// Watches until the shutdown, whenever `should_watch` says so: the service could not bear it if
     /// every instance of a large fleet watched all the time.
-    pub fn run(&self, shutdown: &Shutdown, wanted: impl Fn() -> bool) {
+    pub fn run(&self, shutdown: &Shutdown, should_watch: impl Fn() -> bool) {
         let mut backoff = Backoff::default();
         let mut index = 0;
         while !shutdown.is_requested() {
-            if !wanted() {
-                thread::sleep(WANTED_POLL);
+            if !should_watch() {
+                thread::sleep(IDLE_POLL_INTERVAL);
                 continue;
             }
             match self.poll(index) {
@@ -83,7 +83,7 @@
                     backoff.reset();
                 }
                 Err(error) => {
-                    log_unreachable(self.address, &error);
+                    log_read_error(self.address, &error);
                     thread::sleep(backoff.next(retry_after(&error)));
                 }
             }
@@ -91,32 +91,32 @@
     }
 
     /// Reads the list of instances until the shutdown, the more rarely the longer it is.
-    pub fn run_list(&self, shutdown: &Shutdown) {
+    pub fn run_instance_list(&self, shutdown: &Shutdown) {
         let mut backoff = Backoff::default();
         while !shutdown.is_requested() {
             let started = Instant::now();
-            let pause = match self.read_list() {
+            let pause = match self.read_instance_list() {
                 Ok(list_bytes) => {
                     backoff.reset();
                     list_interval(list_bytes).saturating_sub(started.elapsed())
                 }
-                Err(error) => backoff.next(retry_after(&error)).max(LIST_INTERVAL),
+                Err(error) => backoff.next(retry_after(&error)).max(LIST_INTERVAL_MIN),
             };
-            wait(pause, shutdown);
+            sleep_or_shutdown(pause, shutdown);
         }
     }
 
     /// Reads everything once.
     pub fn read_all(&self) {
         if let Err(error) = self.poll(0) {
-            log_unreachable(self.address, &error);
+            log_read_error(self.address, &error);
         }
     }
 
     /// Fetches one account (and the root if its subtree needs a newer one) at once.
     pub fn fetch(&self, account: &str) {
         if let Err(error) = self.read_account(account) {
-            log_unreachable(self.address, &error);
+            log_read_error(self.address, &error);
         }
     }
 
@@ -127,10 +127,10 @@
         let path = format!("/v1/watch?after={after}&wait_ms={WATCH_WAIT_MS}");
         let body = self.watcher.get(self.address, &path)?;
         let reply: WatchReply = serde_json::from_slice(&body).map_err(|_| ReadError::Decode)?;
-        if reply.changed.iter().any(|name| name == ROOT) {
+        if reply.changed.iter().any(|name| name == ROOT_NAME) {
             self.read_root()?;
         }
-        for name in reply.changed.iter().filter(|name| *name != ROOT) {
+        for name in reply.changed.iter().filter(|name| *name != ROOT_NAME) {
             if self.store.scope().contains(name) {
                 self.read_account(name)?;
             }
@@ -140,7 +140,7 @@
     }
 
     fn read_root(&self) -> Result<(), ReadError> {
-        let yaml = text(self.client.get(self.address, "/v1/root")?)?;
+        let yaml = decode_utf8(self.client.get(self.address, "/v1/root")?)?;
         self.store.offer_root(&yaml, Source::Platform);
         Ok(())
     }
@@ -148,7 +148,7 @@
     fn read_account(&self, name: &str) -> Result<(), ReadError> {
         match self.client.get(self.address, &format!("/v1/accounts/{name}")) {
             Ok(body) => {
-                self.store.offer_account(name, &text(body)?, Source::Platform);
+                self.store.offer_account(name, &decode_utf8(body)?, Source::Platform);
                 Ok(())
             }
             // The account was withdrawn between the watch and the read.
@@ -158,7 +158,7 @@
     }
 
     /// Reads the list of instances once; returns its size in bytes.
-    pub fn read_list(&self) -> Result<usize, ReadError> {
+    pub fn read_instance_list(&self) -> Result<usize, ReadError> {
         let body = self.client.get(self.address, "/v1/instances")?;
         let list: InstanceList = serde_json::from_slice(&body).map_err(|_| ReadError::Decode)?;
         self.instances.replace(list);
@@ -175,19 +175,19 @@
 /// assert_eq!(list_interval(2_400_000), Duration::from_secs(1_200));
 /// ```
 pub fn list_interval(list_bytes: usize) -> Duration {
-    let paced = Duration::from_millis(list_bytes as u64 * 1_000 / LIST_BYTES_PER_SECOND);
-    paced.max(LIST_INTERVAL)
+    let interval = Duration::from_millis(list_bytes as u64 * 1_000 / LIST_BYTES_PER_SECOND);
+    interval.max(LIST_INTERVAL_MIN)
 }
 
 /// Sleeps in short steps, so that a long pause does not hold up the shutdown.
-fn wait(pause: Duration, shutdown: &Shutdown) {
+fn sleep_or_shutdown(pause: Duration, shutdown: &Shutdown) {
     let end = Instant::now() + pause;
     while Instant::now() < end && !shutdown.is_requested() {
-        thread::sleep(WANTED_POLL.min(end.saturating_duration_since(Instant::now())));
+        thread::sleep(IDLE_POLL_INTERVAL.min(end.saturating_duration_since(Instant::now())));
     }
 }
 
-fn text(body: Vec<u8>) -> Result<String, ReadError> {
+fn decode_utf8(body: Vec<u8>) -> Result<String, ReadError> {
     String::from_utf8(body).map_err(|_| ReadError::Decode)
 }
 
@@ -200,7 +200,7 @@
     }
 }
 
-fn log_unreachable(address: SocketAddr, error: &ReadError) {
+fn log_read_error(address: SocketAddr, error: &ReadError) {
     let code = match error {
         ReadError::Client(ClientError::Busy { status: 429, .. }) => codes::OVER_READ_BUDGET,
         _ => codes::PLATFORM_UNREACHABLE,
--- a/crates/shell/src/settings_sync/serve.rs
+++ b/crates/shell/src/settings_sync/serve.rs
@@ -19,30 +19,30 @@
 pub fn routes(routes: Routes, store: &Arc<Store>, keyrings: &Keyrings) -> Routes {
     let add = |routes: Routes, kind: Kind| {
         let (store, keyrings) = (store.clone(), keyrings.clone());
-        routes.get(kind.path(), move |request| answer(&store, &keyrings, kind, request))
+        routes.get(kind.path(), move |request| handle(&store, &keyrings, kind, request))
     };
     [Kind::Digest, Kind::Root, Kind::Subtree, Kind::Subtrees].into_iter().fold(routes, add)
 }
 
-fn answer(store: &Store, keyrings: &Keyrings, kind: Kind, request: &Request) -> Reply {
+fn handle(store: &Store, keyrings: &Keyrings, kind: Kind, request: &Request) -> Reply {
     let keyring = |account: &str| keyrings(account);
     let checked = Question::verify(kind, |name| request.parameter(name), keyring);
     let Some((question, ring)) = checked else {
         return Reply::error(403, "the question is not proven");
     };
     match kind {
-        Kind::Digest => sealed(&question, &ring, &digest(store, &question.account)),
-        Kind::Root => document(&question, &ring, store.root()),
+        Kind::Digest => sealed_reply(&question, &ring, &digest(store, &question.account)),
+        Kind::Root => document_reply(&question, &ring, store.root()),
         Kind::Subtree => {
             let have = request.parameter("have").and_then(|text| text.parse().ok()).map(Version);
             match update(store, &question.account, have) {
-                Some(update) => sealed(&question, &ring, &update),
+                Some(update) => sealed_reply(&question, &ring, &update),
                 None => Reply::error(404, "no such document here"),
             }
         }
         Kind::Subtrees if &*question.account != FLEET => Reply::error(403, "only for the fleet"),
         Kind::Subtrees => match request.parameter("have").and_then(parse_wanted) {
-            Some(wanted) => sealed(&question, &ring, &updates(store, wanted)),
+            Some(wanted) => sealed_reply(&question, &ring, &updates(store, wanted)),
             None => Reply::error(400, "no list of accounts"),
         },
     }
@@ -50,11 +50,11 @@
 
 /// The wanted subtrees that are in force here.
 fn updates(store: &Store, wanted: Vec<(Arc<str>, Version)>) -> Updates {
-    let found = wanted.into_iter().filter_map(|(account, have)| {
+    let subtrees = wanted.into_iter().filter_map(|(account, have)| {
         let update = update(store, &account, Some(have))?;
         Some((account, update))
     });
-    Updates(found.collect())
+    Updates(subtrees.collect())
 }
 
 /// The subtree in force, as a change if the asker is one version behind and says so. What it has
@@ -62,7 +62,7 @@
 fn update(store: &Store, account: &str, have: Option<Version>) -> Option<Update> {
     let (version, yaml) = store.subtree(account)?;
     let changed = have.and_then(|base| {
-        let old = store.replaced(account, base)?;
+        let old = store.replaced_subtree(account, base)?;
         Some(Update::Changed { version: version.0, delta: Delta::between(base, &old, &yaml) })
     });
     Some(changed.unwrap_or(Update::Whole(Document { version: version.0, yaml })))
@@ -82,18 +82,20 @@
     }
 }
 
-fn document(
+fn document_reply(
     question: &Question,
     ring: &AccountKeyring,
     found: Option<(Version, Arc<str>)>,
 ) -> Reply {
     match found {
-        Some((version, yaml)) => sealed(question, ring, &Document { version: version.0, yaml }),
+        Some((version, yaml)) => {
+            sealed_reply(question, ring, &Document { version: version.0, yaml })
+        }
         None => Reply::error(404, "no such document here"),
     }
 }
 
-fn sealed(question: &Question, ring: &AccountKeyring, value: &impl Serialize) -> Reply {
+fn sealed_reply(question: &Question, ring: &AccountKeyring, value: &impl Serialize) -> Reply {
     match question.seal_answer(ring, value) {
         Some(body) => Reply { status: 200, content_type: "application/msgpack", body },
         None => Reply::error(500, "the answer cannot be sealed"),
--- a/crates/shell/src/settings_sync/store.rs
+++ b/crates/shell/src/settings_sync/store.rs
@@ -39,7 +39,7 @@
     view: Mutex<Arc<View>>,
     /// For each account the text that the one in force has replaced, sorted by account. Peers that
     /// are one version behind get the lines that differ.
-    replaced: Mutex<Vec<Replaced>>,
+    replaced: Mutex<Vec<ReplacedSubtree>>,
     generation: AtomicU64,
     source_read: AtomicBool,
     /// When the configuration service last confirmed what is in force, in milliseconds since boot.
@@ -48,7 +48,7 @@
 }
 
 #[derive(Debug)]
-struct Replaced {
+struct ReplacedSubtree {
     account: Arc<str>,
     version: Version,
     yaml: Arc<str>,
@@ -65,7 +65,7 @@
 }
 
 impl Source {
-    fn word(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Self::Platform => "platform",
             Self::Peer => "peer",
@@ -185,20 +185,20 @@
         let outcome = active.accept_account(account, yaml);
         self.report(account, &outcome, source);
         if let (Outcome::Accepted(_), Some((version, yaml))) = (&outcome, before) {
-            self.keep_replaced(Replaced { account: account.into(), version, yaml });
+            self.keep_replaced_subtree(ReplacedSubtree { account: account.into(), version, yaml });
         }
         self.publish(&active, &outcome);
         Some(outcome)
     }
 
     /// The text of `version`, if it is the one that was last replaced.
-    pub fn replaced(&self, account: &str, version: Version) -> Option<Arc<str>> {
+    pub fn replaced_subtree(&self, account: &str, version: Version) -> Option<Arc<str>> {
         let replaced = lock(&self.replaced);
         let index = replaced.binary_search_by(|entry| (*entry.account).cmp(account)).ok()?;
         Some(&replaced[index]).filter(|entry| entry.version == version).map(|e| e.yaml.clone())
     }
 
-    fn keep_replaced(&self, entry: Replaced) {
+    fn keep_replaced_subtree(&self, entry: ReplacedSubtree) {
         let mut replaced = lock(&self.replaced);
         match replaced.binary_search_by(|known| known.account.cmp(&entry.account)) {
             Ok(index) => replaced[index] = entry,
@@ -219,15 +219,15 @@
     fn report(&self, account: &str, outcome: &Outcome, source: Source) {
         match outcome {
             Outcome::Accepted(version) => {
-                log::info!(account, version = version.0, source = source.word(); "settings accepted");
+                log::info!(account, version = version.0, source = source.label(); "settings accepted");
                 let fields = Fields::default().with("version", Value::Number(version.0));
-                let fields = fields.with("source", Value::Static(source.word()));
+                let fields = fields.with("source", Value::Static(source.label()));
                 self.timeline.record(account, "settings_accepted", fields);
             }
             Outcome::Refused(faults) => {
                 let first = faults.first().map(ToString::to_string).unwrap_or_default();
                 let code = codes::SETTINGS_REJECTED;
-                log::warn!(account, code = code.0, source = source.word(); "settings refused: {first}");
+                log::warn!(account, code = code.0, source = source.label(); "settings refused: {first}");
                 let fields = Fields::default().with("fault", Value::Text(first.into()));
                 self.timeline.record(account, "settings_refused", fields);
             }
--- a/crates/shell/tests/peers.rs
+++ b/crates/shell/tests/peers.rs
@@ -69,7 +69,7 @@
     peer.offer_account("cascadia", &common::subtree("cascadia", 7), Source::Platform);
     reader(&own, vec![]).fetch(serve_store(&peer), "cascadia").unwrap();
     assert_eq!(own.subtree("cascadia"), peer.subtree("cascadia"));
-    assert!(peer.replaced("cascadia", Version(6)).is_some());
+    assert!(peer.replaced_subtree("cascadia", Version(6)).is_some());
 }
 
 /// A storm of changes: several accounts come in one exchange, each as a change or whole as fits. An
@@ -164,6 +164,6 @@
 fn compare_some_passes_over_dead_peers() {
     let (peer, own) = (store(Scope::All, &[("cascadia", 7)]), store(Scope::All, &[]));
     let address = serve_store(&peer);
-    reader(&own, vec![nobody(), address, nobody()]).compare_some(3);
+    reader(&own, vec![nobody(), address, nobody()]).compare_with_random_peers(3);
     assert_eq!(versions(&own), [("cascadia".to_owned(), 7)]);
 }
--- a/crates/shell/tests/platform.rs
+++ b/crates/shell/tests/platform.rs
@@ -10,7 +10,7 @@
 use shell::http::routes::{Reply, Routes};
 use shell::settings_sync::Scope;
 use shell::settings_sync::instances::Instances;
-use shell::settings_sync::platform::{ReadError, Reader};
+use shell::settings_sync::platform::{PlatformReader, ReadError};
 
 /// Answers of the fake; an empty body means status 404.
 #[derive(Clone, Default)]
@@ -106,7 +106,7 @@
     #[case] expected: &[(&str, u64)],
 ) {
     let store = store(scope, held);
-    let reader = Reader::new(serve(routes(fake)), store.clone(), Arc::default());
+    let reader = PlatformReader::new(serve(routes(fake)), store.clone(), Arc::default());
     assert_eq!(reader.poll(4), result);
     let expected: Vec<(String, u64)> =
         expected.iter().map(|(name, version)| ((*name).to_owned(), *version)).collect();
@@ -118,7 +118,7 @@
 #[test]
 fn poll_nobody() {
     let store = store(Scope::All, &[]);
-    let reader = Reader::new(nobody(), store.clone(), Arc::default());
+    let reader = PlatformReader::new(nobody(), store.clone(), Arc::default());
     assert!(matches!(reader.poll(0), Err(ReadError::Client(ClientError::Transport(_)))));
     store.mark_peers_asked();
     assert!(!store.is_current());
@@ -137,8 +137,8 @@
 ) {
     let instances: Arc<Instances> = Arc::default();
     let address = serve(Routes::default().get("/v1/instances", move |_| reply(body, 200)));
-    let reader = Reader::new(address, store(Scope::All, &[]), instances.clone());
-    assert_eq!(reader.read_list(), result);
+    let reader = PlatformReader::new(address, store(Scope::All, &[]), instances.clone());
+    assert_eq!(reader.read_instance_list(), result);
     assert_eq!(instances.list().len(), entries);
     assert_eq!(instances.generation(), entries as u64);
 }
