--- a/crates/shell/src/boottime.rs
+++ b/crates/shell/src/boottime.rs
@@ -11,11 +11,11 @@
 /// ```
 pub fn now() -> Millis {
     // The call fails only for clocks that the kernel lacks; Linux has had this one since 2.6.39.
-    let time = clock_gettime(ClockId::CLOCK_BOOTTIME).unwrap_or_else(|_| unreachable_clock());
+    let time = clock_gettime(ClockId::CLOCK_BOOTTIME).unwrap_or_else(|_| abort_without_clock());
     Millis(time.tv_sec() as u64 * 1_000 + time.tv_nsec() as u64 / 1_000_000)
 }
 
-fn unreachable_clock() -> nix::sys::time::TimeSpec {
+fn abort_without_clock() -> nix::sys::time::TimeSpec {
     // Without a clock no lease can be kept: stop rather than run a request twice.
     log::error!("the kernel has no CLOCK_BOOTTIME");
     std::process::abort()
--- a/crates/shell/src/http/client.rs
+++ b/crates/shell/src/http/client.rs
@@ -58,7 +58,7 @@
     /// Fetches a path.
     pub fn get(&self, address: SocketAddr, path: &str) -> Result<Vec<u8>, ClientError> {
         let response = self.agent.get(format!("http://{address}{path}")).call();
-        read(response.map_err(transport)?)
+        read_body(response.map_err(transport_error)?)
     }
 
     /// Sends a body to a path and returns the answer's body.
@@ -69,11 +69,11 @@
         body: &[u8],
     ) -> Result<Vec<u8>, ClientError> {
         let response = self.agent.post(format!("http://{address}{path}")).send(body);
-        read(response.map_err(transport)?)
+        read_body(response.map_err(transport_error)?)
     }
 }
 
-fn read(mut response: ureq::http::Response<ureq::Body>) -> Result<Vec<u8>, ClientError> {
+fn read_body(mut response: ureq::http::Response<ureq::Body>) -> Result<Vec<u8>, ClientError> {
     let status = response.status().as_u16();
     if status == 429 || status >= 500 {
         let header = response.headers().get("retry-after");
@@ -85,9 +85,9 @@
         return Err(ClientError::Status(status));
     }
     let body = response.body_mut().with_config().limit(REPLY_BYTES_MAX);
-    body.read_to_vec().map_err(transport)
+    body.read_to_vec().map_err(transport_error)
 }
 
-fn transport(error: ureq::Error) -> ClientError {
+fn transport_error(error: ureq::Error) -> ClientError {
     ClientError::Transport(error.to_string())
 }
--- a/crates/shell/src/http/server.rs
+++ b/crates/shell/src/http/server.rs
@@ -21,7 +21,7 @@
 use crate::fault::StartFault;
 
 /// Threads that answer. Two, so that one slow answer does not keep a probe of `/healthz` waiting.
-const WORKERS: usize = 2;
+const WORKER_THREADS: usize = 2;
 
 /// Binds `address`, serves `routes` until the process ends and returns the address bound.
 ///
@@ -56,23 +56,24 @@
 
 fn serve(listeners: Vec<TcpListener>, routes: Routes) -> Result<(), StartFault> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(WORKERS)
+        .worker_threads(WORKER_THREADS)
         .thread_name("http")
         .enable_all()
         .build()
         .map_err(|e| StartFault::thread(&e))?;
     let router = router(routes);
-    let serve = move || {
+    let run = move || {
         runtime.block_on(async move {
-            let servers = listeners.into_iter().map(|listener| accept(listener, router.clone()));
+            let servers =
+                listeners.into_iter().map(|listener| serve_listener(listener, router.clone()));
             future::join_all(servers).await;
         });
     };
-    let spawned = thread::Builder::new().name("http-accept".into()).spawn(serve);
+    let spawned = thread::Builder::new().name("http-accept".into()).spawn(run);
     spawned.map(|_| ()).map_err(|e| StartFault::thread(&e))
 }
 
-async fn accept(listener: TcpListener, router: Router) {
+async fn serve_listener(listener: TcpListener, router: Router) {
     match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => gotham::bind_server(listener, router, future::ok).await,
         Err(error) => log::error!("cannot serve HTTP: {error}"),
@@ -87,7 +88,7 @@
             let handler = AssertUnwindSafe(handler);
             let new_handler = move || {
                 let handler = Arc::clone(&handler);
-                Ok(move |state: State| answer(state, method, handler))
+                Ok(move |state: State| handle(state, method, handler))
             };
             match method {
                 Method::Get => builder.get(path).to_new_handler(new_handler),
@@ -97,7 +98,7 @@
     })
 }
 
-fn answer(mut state: State, method: Method, handler: Handler) -> Pin<Box<HandlerFuture>> {
+fn handle(mut state: State, method: Method, handler: Handler) -> Pin<Box<HandlerFuture>> {
     Box::pin(async move {
         let query = state.borrow::<Uri>().query().unwrap_or_default().to_owned();
         let body = match method {
--- a/crates/shell/src/process.rs
+++ b/crates/shell/src/process.rs
@@ -73,15 +73,15 @@
     A::Item: Into<std::ffi::OsString>,
     A::IntoIter: 'static,
 {
-    let bad = |error: lexopt::Error| StartFault::new(codes::BAD_ARGUMENTS, error);
+    let invalid = |error: lexopt::Error| StartFault::new(codes::BAD_ARGUMENTS, error);
     let mut parser = lexopt::Parser::from_args(arguments);
     let mut path = None;
-    while let Some(argument) = parser.next().map_err(bad)? {
+    while let Some(argument) = parser.next().map_err(invalid)? {
         match argument {
-            lexopt::Arg::Long("settings") => path = Some(parser.value().map_err(bad)?.into()),
+            lexopt::Arg::Long("settings") => path = Some(parser.value().map_err(invalid)?.into()),
             lexopt::Arg::Long("help") | lexopt::Arg::Short('h') => return Ok(Command::Help),
             lexopt::Arg::Long("version") | lexopt::Arg::Short('V') => return Ok(Command::Version),
-            other => return Err(bad(other.unexpected())),
+            other => return Err(invalid(other.unexpected())),
         }
     }
     let missing = || StartFault::new(codes::BAD_ARGUMENTS, "--settings FILE is missing");
@@ -93,13 +93,13 @@
 /// Errors: [`codes::SETTINGS_UNREADABLE`], [`codes::KEY_MISSING`] where the fault lies in the keys,
 /// [`codes::SETTINGS_REFUSED`] otherwise.
 pub fn load<S>(path: &Path, parse: fn(&str) -> Result<S, Fault>) -> Result<S, StartFault> {
-    let shown = path.display();
+    let display = path.display();
     let yaml = fs::read_to_string(path).map_err(|error| {
-        StartFault::new(codes::SETTINGS_UNREADABLE, format_args!("cannot read {shown}: {error}"))
+        StartFault::new(codes::SETTINGS_UNREADABLE, format_args!("cannot read {display}: {error}"))
     })?;
     parse(&yaml).map_err(|fault| {
         let in_keys = fault.path.starts_with("keys") || fault.path.starts_with("flow_key");
         let code = if in_keys { codes::KEY_MISSING } else { codes::SETTINGS_REFUSED };
-        StartFault::new(code, format_args!("{shown}: {fault}"))
+        StartFault::new(code, format_args!("{display}: {fault}"))
     })
 }
--- a/crates/shell/src/settings_sync/platform.rs
+++ b/crates/shell/src/settings_sync/platform.rs
@@ -84,7 +84,7 @@
                 }
                 Err(error) => {
                     log_read_error(self.address, &error);
-                    thread::sleep(backoff.next(retry_after(&error)));
+                    thread::sleep(backoff.next_pause(retry_after(&error)));
                 }
             }
         }
@@ -100,7 +100,7 @@
                     backoff.reset();
                     list_interval(list_bytes).saturating_sub(started.elapsed())
                 }
-                Err(error) => backoff.next(retry_after(&error)).max(LIST_INTERVAL_MIN),
+                Err(error) => backoff.next_pause(retry_after(&error)).max(LIST_INTERVAL_MIN),
             };
             sleep_or_shutdown(pause, shutdown);
         }
--- a/crates/shell/src/udp/receive.rs
+++ b/crates/shell/src/udp/receive.rs
@@ -72,8 +72,8 @@
         let results = recvmmsg(fd, &mut self.headers, slices.iter_mut(), flags, None)?;
         let mut count = 0;
         for message in results {
-            let whole = !message.flags.contains(MsgFlags::MSG_TRUNC);
-            self.lengths[count] = if whole { message.bytes } else { 0 };
+            let complete = !message.flags.contains(MsgFlags::MSG_TRUNC);
+            self.lengths[count] = if complete { message.bytes } else { 0 };
             self.sources[count] = message.address;
             count += 1;
         }
--- a/crates/shell/src/udp/send.rs
+++ b/crates/shell/src/udp/send.rs
@@ -38,7 +38,7 @@
     headers: MultiHeaders<SockaddrStorage>,
     prefixes: Box<[Prefix]>,
     payloads: Box<[PayloadRef]>,
-    receivers: Box<[Option<SockaddrStorage>]>,
+    destinations: Box<[Option<SockaddrStorage>]>,
     count: usize,
 }
 
@@ -93,7 +93,7 @@
             headers: MultiHeaders::preallocate(BATCH, None),
             prefixes: vec![Prefix::new([0; HEADER_BYTES], &[]); SLOTS].into_boxed_slice(),
             payloads: vec![payload; SLOTS].into_boxed_slice(),
-            receivers: vec![None; SLOTS].into_boxed_slice(),
+            destinations: vec![None; SLOTS].into_boxed_slice(),
             count: 0,
         }
     }
@@ -110,7 +110,7 @@
     /// of the last.
     pub fn queue_next(&mut self, payload: PayloadRef, to: SocketAddr) {
         self.payloads[self.count] = payload;
-        self.receivers[self.count] = Some(SockaddrStorage::from(to));
+        self.destinations[self.count] = Some(SockaddrStorage::from(to));
         self.count = BATCH.min(self.count + 1);
     }
 
@@ -152,14 +152,14 @@
             [IoSlice::new(prefixes[index].as_bytes()), IoSlice::new(payload)]
         });
         let count = self.count - start;
-        let receivers = &self.receivers[start..self.count];
+        let destinations = &self.destinations[start..self.count];
         let no_control: [ControlMessage<'_>; 0] = [];
         let flags = MsgFlags::empty();
         let results = sendmmsg(
             socket.as_raw_fd(),
             &mut self.headers,
             slices[..count].iter(),
-            receivers,
+            destinations,
             no_control,
             flags,
         )?;
