--- a/crates/shell/tests/common/mod.rs
+++ b/crates/shell/tests/common/mod.rs
@@ -46,8 +46,8 @@
     http::start("127.0.0.1:0".parse().unwrap(), routes).unwrap()
 }
 
-/// An address at which nobody listens.
-pub(crate) fn nobody() -> SocketAddr {
+/// An address on which nothing listens.
+pub(crate) fn unused_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
--- a/crates/shell/tests/peers.rs
+++ b/crates/shell/tests/peers.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use common::{nobody, serve, store, versions};
+use common::{serve, store, unused_address, versions};
 use decision::keys::{AccountId, Version};
 use rstest::rstest;
 use shell::http::client::ClientError;
@@ -40,7 +40,7 @@
 )]
 #[case::peer_behind(Scope::All, &[("cascadia", 5)], &[("cascadia", 6)], &[("cascadia", 6)])]
 #[case::peer_empty(Scope::All, &[], &[("cascadia", 6)], &[("cascadia", 6)])]
-#[case::agent_takes_its_own(
+#[case::agent_fetches_own_account(
     Scope::Account("cascadia".into()), &[("bajio", 2), ("cascadia", 7)], &[], &[("cascadia", 7)],
 )]
 fn compare_with_peer(
@@ -78,16 +78,16 @@
 #[case::balancer("", Ok(()), &[("bajio", 4), ("cascadia", 7)])]
 #[case::agent("bajio", Err(PeerError::Client(ClientError::Status(403))), &[("bajio", 3), ("cascadia", 5)])]
 fn fetch_all_in_one_exchange(
-    #[case] asker: &'static str,
+    #[case] requester: &'static str,
     #[case] expected: Result<(), PeerError>,
     #[case] in_force: &[(&str, u64)],
 ) {
     let peer = store(Scope::All, &[("bajio", 3), ("cascadia", 7)]);
     peer.offer_account("bajio", &common::subtree("bajio", 4), Source::Platform);
     let own = store(Scope::All, &[("bajio", 3), ("cascadia", 5)]);
-    // Every question of this asker is sealed with its own key.
-    let as_asker: Keyrings = Arc::new(move |_| keyrings()(asker));
-    let reader = PeerReader::new(own.clone(), Arc::new(Vec::new), as_asker);
+    // Every question of this requester is sealed with its own key.
+    let keyrings_of_requester: Keyrings = Arc::new(move |_| keyrings()(requester));
+    let reader = PeerReader::new(own.clone(), Arc::new(Vec::new), keyrings_of_requester);
     let names = ["bajio".into(), "cascadia".into(), "ghost".into()];
     let result = reader.fetch_all(serve_store(&peer), &names);
     assert_eq!(result, expected);
@@ -101,7 +101,7 @@
 #[rstest]
 #[case::current(true)]
 #[case::not_current(false)]
-fn compare_passes_on_currency(#[case] current: bool) {
+fn compare_confirms_only_if_peer_is_current(#[case] current: bool) {
     let (peer, own) = (store(Scope::All, &[("cascadia", 7)]), store(Scope::All, &[]));
     peer.mark_peers_asked();
     own.mark_peers_asked();
@@ -116,7 +116,7 @@
 #[rstest]
 #[case::not_message_pack(Reply::text("\u{1}\u{2}\u{3}"))]
 #[case::html(Reply::text("<html>"))]
-fn compare_with_garbage(#[case] reply: Reply) {
+fn compare_with_undecodable_reply(#[case] reply: Reply) {
     let own = store(Scope::All, &[("cascadia", 6)]);
     let address = serve(Routes::default().get("/v1/settings/digest", move |_| reply.clone()));
     assert!(matches!(reader(&own, vec![]).compare(address), Err(PeerError::Decode(_))));
@@ -125,7 +125,7 @@
 
 /// A peer that offers a version and then does not deliver it changes nothing.
 #[test]
-fn compare_with_peer_that_lost_document() {
+fn compare_with_peer_missing_document() {
     let own = store(Scope::All, &[]);
     own.mark_peers_asked();
     let accounts = vec![DigestEntry { account: "cascadia".into(), version: 7 }];
@@ -145,7 +145,7 @@
 /// refused, and what it is told by such an agent it does not believe.
 #[rstest]
 #[case::same_account("cascadia", Ok(()))]
-#[case::rival("bajio", Err(PeerError::Client(ClientError::Status(403))))]
+#[case::other_account("bajio", Err(PeerError::Client(ClientError::Status(403))))]
 fn compare_between_agents(#[case] peer_account: &str, #[case] expected: Result<(), PeerError>) {
     let only = |account: &str| -> Keyrings {
         let (name, all) = (account.to_owned(), keyrings());
@@ -161,9 +161,9 @@
 }
 
 #[test]
-fn compare_some_passes_over_dead_peers() {
+fn compare_with_random_peers_skips_unreachable() {
     let (peer, own) = (store(Scope::All, &[("cascadia", 7)]), store(Scope::All, &[]));
     let address = serve_store(&peer);
-    reader(&own, vec![nobody(), address, nobody()]).compare_with_random_peers(3);
+    reader(&own, vec![unused_address(), address, unused_address()]).compare_with_random_peers(3);
     assert_eq!(versions(&own), [("cascadia".to_owned(), 7)]);
 }
--- a/crates/shell/tests/platform.rs
+++ b/crates/shell/tests/platform.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use common::{nobody, root, serve, store, subtree, versions};
+use common::{root, serve, store, subtree, unused_address, versions};
 use rstest::rstest;
 use shell::http::client::ClientError;
 use shell::http::routes::{Reply, Routes};
@@ -22,11 +22,11 @@
     status: u16,
 }
 
-const ALL: &str = r#"{"index":5,"changed":["root","cascadia","bajio"]}"#;
+const ALL_CHANGED: &str = r#"{"index":5,"changed":["root","cascadia","bajio"]}"#;
 
 fn fake() -> Fake {
     Fake {
-        watch: ALL,
+        watch: ALL_CHANGED,
         root: root(3),
         cascadia: subtree("cascadia", 7),
         bajio: subtree("bajio", 2),
@@ -66,14 +66,14 @@
 #[case::only_own_account(
     fake(), Scope::Account("cascadia".into()), &[], Ok(5), &[("cascadia", 7)],
 )]
-#[case::platform_went_back(
+#[case::platform_has_older_version(
     Fake { cascadia: subtree("cascadia", 5), watch: r#"{"index":2,"changed":["cascadia"]}"#, ..fake() },
     Scope::All, &[("cascadia", 6)], Ok(2), &[("cascadia", 6)],
 )]
 #[case::over_budget(
     Fake { status: 429, ..fake() }, Scope::All, &[("cascadia", 6)], Err(busy(429)), &[("cascadia", 6)],
 )]
-#[case::broken_server(
+#[case::server_error(
     Fake { status: 503, ..fake() }, Scope::All, &[], Err(busy(503)), &[],
 )]
 #[case::account_withdrawn(
@@ -91,14 +91,14 @@
     Fake { root: "version: 4\naccounts: {}\n".into(), ..fake() },
     Scope::All, &[("cascadia", 6)], Ok(5), &[("bajio", 2), ("cascadia", 7)],
 )]
-#[case::watch_is_no_json(
+#[case::watch_not_json(
     Fake { watch: "<html>", ..fake() }, Scope::All, &[], Err(ReadError::Decode), &[],
 )]
 #[case::watch_missing(
     Fake { watch: "", ..fake() }, Scope::All, &[],
     Err(ReadError::Client(ClientError::Status(404))), &[],
 )]
-fn poll_fake(
+fn poll_once(
     #[case] fake: Fake,
     #[case] scope: Scope,
     #[case] held: &[(&str, u64)],
@@ -116,9 +116,9 @@
 }
 
 #[test]
-fn poll_nobody() {
+fn poll_unreachable_platform() {
     let store = store(Scope::All, &[]);
-    let reader = PlatformReader::new(nobody(), store.clone(), Arc::default());
+    let reader = PlatformReader::new(unused_address(), store.clone(), Arc::default());
     assert!(matches!(reader.poll(0), Err(ReadError::Client(ClientError::Transport(_)))));
     store.mark_peers_asked();
     assert!(!store.is_current());
@@ -130,7 +130,7 @@
 #[case::one_balancer(BALANCER, Ok(BALANCER.len()), 1)]
 #[case::unknown_state(r#"{"instances":[{"state":"odd"}]}"#, Err(ReadError::Decode), 0)]
 #[case::no_list("", Err(ReadError::Client(ClientError::Status(404))), 0)]
-fn read_list_fake(
+fn read_instance_list_once(
     #[case] body: &'static str,
     #[case] result: Result<usize, ReadError>,
     #[case] entries: usize,
--- a/crates/shell/tests/udp.rs
+++ b/crates/shell/tests/udp.rs
@@ -42,7 +42,7 @@
 
 #[rstest]
 #[case::largest(DATAGRAM_BYTES_MAX, DATAGRAM_BYTES_MAX)]
-#[case::cut_off(DATAGRAM_BYTES_MAX + 1, 0)]
+#[case::too_long(DATAGRAM_BYTES_MAX + 1, 0)]
 fn receive_large(#[case] sent: usize, #[case] expected: usize) {
     let (socket, address) = socket();
     UdpSocket::bind("127.0.0.1:0").unwrap().send_to(&vec![1; sent], address).unwrap();
@@ -51,7 +51,7 @@
 
 /// Each datagram of a batch goes to its own receiver, with new headers before the old payload.
 #[test]
-fn flush_to_many() {
+fn flush_to_several_destinations() {
     let (relay, relay_address) = socket();
     let (one, two) = (socket(), socket());
     let caller = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -77,7 +77,7 @@
 /// One agent has an address that the kernel refuses. The packets for the others behind it in the
 /// batch must still be sent, or one account's settings would stop the traffic of all.
 #[test]
-fn flush_passes_over_bad_receiver() {
+fn flush_skips_unreachable_destination() {
     let (relay, relay_address) = socket();
     let good = socket();
     let caller = UdpSocket::bind("127.0.0.1:0").unwrap();
