--- a/crates/shell/src/settings_sync/instances.rs
+++ b/crates/shell/src/settings_sync/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's list of instances: a hint that lags.
+//! The platform's list of instances. It lags behind the real state and serves as a hint only.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,7 +16,7 @@
     Agent,
 }
 
-/// State of an instance as the platform believes it.
+/// State of an instance as last reported by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
@@ -26,22 +26,22 @@
     Leaving,
 }
 
-/// One entry of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Instance {
     /// Name.
     pub name: Arc<str>,
     /// Kind.
     pub kind: Kind,
-    /// Account of an agent.
+    /// Account, for an agent.
     pub account: Option<Arc<str>>,
-    /// Service of an agent.
+    /// Service, for an agent.
     pub service: Option<Arc<str>>,
-    /// Upstream of an agent.
+    /// Upstream, for an agent.
     pub upstream: Option<Arc<str>>,
-    /// Where it takes packets.
+    /// Address on which it receives packets.
     pub data_address: SocketAddr,
-    /// Where its HTTP endpoint listens.
+    /// Address of its HTTP endpoint.
     pub control_address: SocketAddr,
     /// Availability zone.
     pub zone: Arc<str>,
@@ -51,14 +51,14 @@
     pub state: State,
 }
 
-/// The answer of `GET /v1/instances`.
+/// The response of `GET /v1/instances`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct InstanceList {
-    /// All instances in any order.
+    /// All instances, in no particular order.
     pub instances: Vec<Instance>,
 }
 
-/// The latest list that was heard; shared by the threads of a process.
+/// The latest list received, shared by the threads of a process.
 #[derive(Debug, Default)]
 pub struct Instances {
     list: Mutex<Arc<Vec<Instance>>>,
@@ -66,7 +66,7 @@
 }
 
 impl Instances {
-    /// The latest list, empty before the first one was heard.
+    /// Returns the latest list, empty until the first one is received.
     ///
     /// ```
     /// assert!(shell::settings_sync::instances::Instances::default().list().is_empty());
@@ -75,12 +75,12 @@
         self.lock().clone()
     }
 
-    /// Number that grows with each change of the list.
+    /// Returns a number that grows with each change of the list.
     pub fn generation(&self) -> u64 {
         self.generation.load(Ordering::Acquire)
     }
 
-    /// Replaces the list.
+    /// Replaces the list. The generation grows only if the list differs.
     pub fn replace(&self, list: InstanceList) {
         let mut held = self.lock();
         if **held != list.instances {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Control addresses of all instances of a kind.
+    /// Returns the control addresses of all instances of a kind.
     pub fn control_addresses(&self, kind: Kind) -> Vec<SocketAddr> {
         let list = self.list();
         list.iter().filter(|entry| entry.kind == kind).map(|entry| entry.control_address).collect()
--- a/crates/shell/src/settings_sync/mod.rs
+++ b/crates/shell/src/settings_sync/mod.rs
@@ -1,8 +1,9 @@
-//! How a daemon gets the published settings and keeps them current.
+//! Synchronization of the published settings.
 //!
-//! [`Store`] holds what is in force. Two sources feed it and the highest version wins: [`platform`]
-//! watches the configuration service, [`peers`] compares digests with other instances, so that
-//! settings spread while the platform is down or overloaded. [`serve`] answers such peers.
+//! [`Store`] holds the settings in force. It has two sources, and the highest version wins:
+//! [`platform`] watches the configuration service, and [`peers`] compares digests with other
+//! instances, so that settings spread even while the platform is down or overloaded. [`serve`]
+//! handles the requests of such peers.
 
 pub mod instances;
 pub mod peers;
@@ -15,6 +16,6 @@
 pub use store::{Scope, Source, Store};
 use wire::sealed::AccountKeyring;
 
-/// Gives the keyring of an account, or of the fleet ([`wire::exchange::FLEET`]): a balancer derives
-/// any, an agent has its own account's only.
+/// Returns the keyring of an account or of the fleet ([`wire::exchange::FLEET`]). A balancer can
+/// derive any keyring, while an agent has only that of its own account.
 pub type Keyrings = Arc<dyn Fn(&str) -> Option<AccountKeyring> + Send + Sync>;
--- a/crates/shell/src/settings_sync/peers.rs
+++ b/crates/shell/src/settings_sync/peers.rs
@@ -1,7 +1,8 @@
-//! Comparing settings with other instances.
+//! Settings synchronization with other instances.
 //!
-//! Every few seconds a process asks a random peer for its digest (account and version) and fetches
-//! what is newer there. A change thus reaches everybody in a few rounds without the platform.
+//! At regular intervals, a process requests the digest (the version of each account) of a random
+//! peer and fetches what is newer there. A change thus reaches all instances within a few rounds,
+//! without the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,23 +21,24 @@
 use crate::http::client::{Client, ClientError};
 use crate::signals::Shutdown;
 
-/// Mean pause of an agent between two comparisons once its settings are current.
+/// Mean pause between two comparisons of an agent whose settings are current.
 pub const AGENT_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Mean pause of a balancer, which hears of changes by spreading; for what that may miss.
+/// Mean pause between two comparisons of a balancer whose settings are current. Balancers learn of
+/// changes by spreading, so the comparison only has to find what that missed.
 pub const BALANCER_INTERVAL: Duration = Duration::from_millis(30_000);
-/// Pause while they are not: the process cannot serve before.
+/// Mean pause while the settings are not current. The process cannot serve until they are.
 const INITIAL_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest wait for a peer, which may be paused.
+/// Time limit of a request to a peer, which may be paused.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Peers heard before settings count as current. Eight that all missed a change of some seconds ago
-/// are as good as none in a fleet where it spreads within that time.
+/// Number of peers to compare with before the settings count as current. A change spreads through
+/// the fleet within seconds, so it is very unlikely that eight peers all missed one that is older.
 const INITIAL_PEERS: usize = 8;
 
-/// Gives the peers that may be asked now.
+/// Returns the peers that may be queried now.
 pub type Candidates = Arc<dyn Fn() -> Vec<SocketAddr> + Send + Sync>;
 
-/// Compares settings with peers for one process.
+/// Compares the settings of this process with those of its peers.
 #[derive(Clone)]
 pub struct PeerReader {
     client: Client,
@@ -46,13 +48,13 @@
     interval: Duration,
 }
 
-/// Why a comparison was not completed.
+/// The reason why a comparison failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// No answer, or not the one asked for.
+    /// The peer sent no response, or one with an error status.
     #[error(transparent)]
     Client(#[from] ClientError),
-    /// An answer that is not what the interface says.
+    /// The response does not conform to the protocol.
     #[error(transparent)]
     Decode(#[from] ExchangeError),
     /// This process has no key for the account.
@@ -61,7 +63,7 @@
 }
 
 impl PeerReader {
-    /// A reader that feeds `store` from the peers that `candidates` names.
+    /// Creates a reader that updates `store` from the peers that `candidates` returns.
     pub fn new(store: Arc<Store>, candidates: Candidates, keyrings: Keyrings) -> Self {
         let interval = match store.scope() {
             Scope::All => BALANCER_INTERVAL,
@@ -70,7 +72,7 @@
         Self { client: Client::new(REQUEST_TIMEOUT), store, candidates, keyrings, interval }
     }
 
-    /// Compares with some peers, then with one random peer at a time until the shutdown.
+    /// Compares with several peers first, then with one random peer at a time until the shutdown.
     pub fn run(&self, shutdown: &Shutdown) {
         self.compare_with_random_peers(INITIAL_PEERS);
         self.store.mark_peers_asked();
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Compares with up to `count` random peers at once, each in a thread, and waits for all.
+    /// Compares with up to `count` random peers in parallel, each in its own thread, and waits for
+    /// all of them.
     pub fn compare_with_random_peers(&self, count: usize) {
         let mut peers = (self.candidates)();
         thread::scope(|scope| {
@@ -103,7 +106,8 @@
         }
     }
 
-    /// Fetches what is newer at `peer`. If the peer's own settings are current, ours are then.
+    /// Fetches what is newer at `peer`. If the peer's settings are current, those of this process
+    /// are confirmed as current too.
     pub fn compare(&self, peer: SocketAddr) -> Result<(), PeerError> {
         let own_name = match self.store.scope() {
             Scope::All => FLEET,
@@ -129,20 +133,22 @@
         Ok(())
     }
 
-    /// Fetches one account's subtree from `peer`, as a change to our own where that fits.
+    /// Fetches one account's subtree from `peer`, as a delta to the one in force where possible.
     pub fn fetch(&self, peer: SocketAddr, account: &str) -> Result<(), PeerError> {
         let have = self.version(account).0.to_string();
         let update: Update = self.request_with_have(peer, Kind::Subtree, account, &have)?;
         if self.offer(account, &update) {
             return Ok(());
         }
-        // Ours was replaced while we asked, so the change does not fit: take the whole.
+        // The subtree in force was replaced during the request, so the delta does not apply. Fetch
+        // the whole document.
         let whole: Update = self.request(peer, Kind::Subtree, account)?;
         self.offer(account, &whole).then_some(()).ok_or(ExchangeError.into())
     }
 
-    /// Fetches several accounts' subtrees from `peer`, many in one exchange: a storm of changes would
-    /// otherwise cost an exchange each. Only a balancer may ask for accounts of its choice.
+    /// Fetches the subtrees of several accounts from `peer`, many of them per request, so that a
+    /// burst of changes does not cost a request each. Only a balancer may request arbitrary
+    /// accounts.
     pub fn fetch_all(&self, peer: SocketAddr, accounts: &[Arc<str>]) -> Result<(), PeerError> {
         for chunk in accounts.chunks(SUBTREES_MAX) {
             let wanted: Vec<_> =
@@ -158,12 +164,13 @@
         Ok(())
     }
 
-    /// Version in force here, zero if there is none.
+    /// Returns the version in force in this process, zero if there is none.
     fn version(&self, account: &str) -> Version {
         self.store.subtree(account).map_or(Version(0), |(version, _)| version)
     }
 
-    /// Offers an update to the store; false if it is a change that does not fit what is in force.
+    /// Offers an update to the store. Returns false if it is a delta that does not apply to the
+    /// subtree in force.
     fn offer(&self, account: &str, update: &Update) -> bool {
         let own = self.store.subtree(account);
         let own_text = own.as_ref().map(|(version, yaml)| (*version, &**yaml));
--- a/crates/shell/src/settings_sync/platform.rs
+++ b/crates/shell/src/settings_sync/platform.rs
@@ -1,4 +1,5 @@
-//! Reading the platform's configuration service: a long poll, then the documents that changed.
+//! Client of the platform's configuration service: a long poll returns the names of the documents
+//! that changed, which are then read.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,24 +15,25 @@
 use crate::http::client::{Client, ClientError};
 use crate::signals::Shutdown;
 
-/// How long the platform may hold a watch. Each call counts against the read budget, however long
-/// it waits.
+/// How long the platform may hold a watch request open. Each request counts against the read
+/// budget, regardless of its duration.
 const WATCH_WAIT_MS: u64 = 10_000;
-/// Time for the answer beyond the wait.
+/// Time limit of a response, beyond the time that a watch is held open.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Pause between reads of the instance list, which lags by seconds anyway. About 250 bytes an
-/// instance: at today's 27 instances 1.4 KB/s.
+/// Shortest interval between reads of the instance list, which lags by seconds in any case. An
+/// entry takes about 250 bytes, which makes 1.4 KB/s with 27 instances.
 const LIST_INTERVAL_MIN: Duration = Duration::from_millis(5_000);
-/// Most bytes of the list a second, of the 10,000 that control may take. The list can only be read
-/// whole: with 11,600 instances it is 2.4 MB, and is read every 20 minutes. What happens in between
-/// the agents report, and new balancers bring along by comparing.
+/// Maximum mean rate for reads of the list, out of the 10,000 bytes per second that control traffic
+/// may use. The list can only be read as a whole: with 11,600 instances it has 2.4 MB and is read
+/// every 20 minutes. In between, agents report changes themselves, and new balancers start
+/// comparisons of their own.
 const LIST_BYTES_PER_SECOND: u64 = 2_000;
-/// Pause between two looks whether this instance is to watch.
+/// Interval at which an idle thread checks whether it has to watch or to shut down.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Name of the root in the answer of a watch.
+/// Name of the root document in the response to a watch.
 const ROOT_NAME: &str = "root";
 
-/// Reads the platform for one process.
+/// Reads settings and the instance list from the platform for this process.
 #[derive(Clone)]
 pub struct PlatformReader {
     client: Client,
@@ -47,19 +49,19 @@
     changed: Vec<String>,
 }
 
-/// Why a pass over the platform's documents was not completed.
+/// The reason why a read from the platform failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
-    /// No answer, or not the one asked for.
+    /// The platform sent no response, or one with an error status.
     #[error(transparent)]
     Client(#[from] ClientError),
-    /// An answer that is not what the interface says.
+    /// The response does not conform to the interface.
     #[error("answer cannot be decoded")]
     Decode,
 }
 
 impl PlatformReader {
-    /// A reader of the platform at `address` that feeds `store` and `instances`.
+    /// Creates a reader that updates `store` and `instances` from the platform at `address`.
     pub fn new(address: SocketAddr, store: Arc<Store>, instances: Arc<Instances>) -> Self {
         let wait = Duration::from_millis(WATCH_WAIT_MS);
         let client = Client::new(RESPONSE_TIMEOUT);
@@ -67,8 +69,9 @@
         Self { client, watcher, address, store, instances }
     }
 
-    /// Watches until the shutdown, whenever `should_watch` says so: the service could not bear it if
-    /// every instance of a large fleet watched all the time.
+    /// Watches the platform until the shutdown, while `should_watch` returns true.
+    ///
+    /// The service could not handle the load if all instances of a large fleet watched at once.
     pub fn run(&self, shutdown: &Shutdown, should_watch: impl Fn() -> bool) {
         let mut backoff = Backoff::default();
         let mut index = 0;
@@ -90,7 +93,8 @@
         }
     }
 
-    /// Reads the list of instances until the shutdown, the more rarely the longer it is.
+    /// Reads the instance list repeatedly until the shutdown. The longer the list, the less often
+    /// it is read.
     pub fn run_instance_list(&self, shutdown: &Shutdown) {
         let mut backoff = Backoff::default();
         while !shutdown.is_requested() {
@@ -106,23 +110,25 @@
         }
     }
 
-    /// Reads everything once.
+    /// Reads all documents once and logs a failure.
     pub fn read_all(&self) {
         if let Err(error) = self.poll(0) {
             log_read_error(self.address, &error);
         }
     }
 
-    /// Fetches one account (and the root if its subtree needs a newer one) at once.
+    /// Reads the subtree of one account immediately and logs a failure.
     pub fn fetch(&self, account: &str) {
         if let Err(error) = self.read_account(account) {
             log_read_error(self.address, &error);
         }
     }
 
-    /// One long poll and the documents that it names; returns the index to go on from. The index
-    /// moves on only after all of them were read: a document missed by a failed read would
-    /// otherwise never be fetched.
+    /// Sends one long poll, reads the documents that it lists and returns the index for the next
+    /// poll.
+    ///
+    /// If any read fails, the poll fails and its index has to be used again. A document whose read
+    /// failed would otherwise never be fetched.
     pub fn poll(&self, after: u64) -> Result<u64, ReadError> {
         let path = format!("/v1/watch?after={after}&wait_ms={WATCH_WAIT_MS}");
         let body = self.watcher.get(self.address, &path)?;
@@ -151,13 +157,13 @@
                 self.store.offer_account(name, &decode_utf8(body)?, Source::Platform);
                 Ok(())
             }
-            // The account was withdrawn between the watch and the read.
+            // The account was removed between the watch and the read.
             Err(ClientError::Status(404)) => Ok(()),
             Err(error) => Err(error.into()),
         }
     }
 
-    /// Reads the list of instances once; returns its size in bytes.
+    /// Reads the instance list once and returns its size in bytes.
     pub fn read_instance_list(&self) -> Result<usize, ReadError> {
         let body = self.client.get(self.address, "/v1/instances")?;
         let list: InstanceList = serde_json::from_slice(&body).map_err(|_| ReadError::Decode)?;
@@ -166,7 +172,7 @@
     }
 }
 
-/// Time between two reads of a list of `list_bytes`.
+/// Returns the interval between two reads of a list that has `list_bytes` bytes.
 ///
 /// ```
 /// use std::time::Duration;
@@ -179,7 +185,7 @@
     interval.max(LIST_INTERVAL_MIN)
 }
 
-/// Sleeps in short steps, so that a long pause does not hold up the shutdown.
+/// Sleeps in short steps, so that a long pause does not delay the shutdown.
 fn sleep_or_shutdown(pause: Duration, shutdown: &Shutdown) {
     let end = Instant::now() + pause;
     while Instant::now() < end && !shutdown.is_requested() {
--- a/crates/shell/src/settings_sync/serve.rs
+++ b/crates/shell/src/settings_sync/serve.rs
@@ -1,4 +1,4 @@
-//! Answering peers that compare their settings with ours.
+//! HTTP routes for peers that synchronize their settings with this process.
 
 use std::sync::Arc;
 
@@ -13,9 +13,10 @@
 use super::{Keyrings, Store};
 use crate::http::routes::{Reply, Request, Routes};
 
-/// Adds the routes of the exchange to an endpoint.
+/// Adds the routes of the settings exchange to an endpoint.
 ///
-/// Status 403 answers a question without a right proof, 404 one for a document not in force here.
+/// A request without a valid proof gets status 403. A request for a document that is not in force
+/// here gets status 404.
 pub fn routes(routes: Routes, store: &Arc<Store>, keyrings: &Keyrings) -> Routes {
     let add = |routes: Routes, kind: Kind| {
         let (store, keyrings) = (store.clone(), keyrings.clone());
@@ -48,7 +49,7 @@
     }
 }
 
-/// The wanted subtrees that are in force here.
+/// Returns updates for those of the requested subtrees that are in force here.
 fn updates(store: &Store, wanted: Vec<(Arc<str>, Version)>) -> Updates {
     let subtrees = wanted.into_iter().filter_map(|(account, have)| {
         let update = update(store, &account, Some(have))?;
@@ -57,8 +58,10 @@
     Updates(subtrees.collect())
 }
 
-/// The subtree in force, as a change if the asker is one version behind and says so. What it has
-/// needs no proof: a wrong base yields a change that does not fit.
+/// Returns the subtree in force, as a delta if the requester states that it is one version behind.
+///
+/// The stated version needs no proof. A wrong base only yields a delta that the requester cannot
+/// apply.
 fn update(store: &Store, account: &str, have: Option<Version>) -> Option<Update> {
     let (version, yaml) = store.subtree(account)?;
     let changed = have.and_then(|base| {
@@ -68,7 +71,7 @@
     Some(changed.unwrap_or(Update::Whole(Document { version: version.0, yaml })))
 }
 
-/// Versions that the asking account may know of: its own, or all for the fleet.
+/// Returns the versions that the requesting account may see: its own, or all for the fleet.
 fn digest(store: &Store, account: &str) -> Digest {
     let mut versions = store.versions();
     versions.retain(|(name, _)| account == FLEET || **name == *account);
--- a/crates/shell/src/settings_sync/store.rs
+++ b/crates/shell/src/settings_sync/store.rs
@@ -1,4 +1,4 @@
-//! The settings in force in this process, shared by all its threads.
+//! Store of the settings in force, shared by all threads of the process.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,16 +10,16 @@
 
 use crate::boottime;
 
-/// Which accounts a process keeps.
+/// The accounts whose settings a process keeps.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All: a balancer.
+    /// All accounts, in a balancer.
     All,
-    /// One: an agent.
+    /// A single account, in an agent.
     Account(Arc<str>),
 }
 
-/// Where a document came from.
+/// The source of a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The platform's configuration service.
@@ -28,21 +28,23 @@
     Peer,
 }
 
-/// Settings in force. Readers on the packet path look at [`Store::generation`] only.
+/// The settings in force. Threads on the packet path only read [`Store::generation`], until it
+/// changes.
 #[derive(Debug)]
 pub struct Store {
     scope: Scope,
     timeline: Arc<Timeline>,
     active: Mutex<ActiveSettings>,
-    /// Built ahead for a single account, so that an agent's data thread never waits for a build or
-    /// for a document that is being parsed.
+    /// Built in advance if only one account is kept, so that an agent's data thread never waits for
+    /// a build or for the parsing of a document.
     view: Mutex<Arc<View>>,
-    /// For each account the text that the one in force has replaced, sorted by account. Peers that
-    /// are one version behind get the lines that differ.
+    /// The subtree of each account that was replaced by the one in force, sorted by account. Serves
+    /// to send only the lines that differ to peers that are one version behind.
     replaced: Mutex<Vec<ReplacedSubtree>>,
     generation: AtomicU64,
     source_read: AtomicBool,
-    /// When the configuration service last confirmed what is in force, in milliseconds since boot.
+    /// When the configuration service last confirmed the settings in force, in milliseconds since
+    /// boot.
     confirmed_at: AtomicU64,
     peers_asked: AtomicBool,
 }
@@ -55,7 +57,7 @@
 }
 
 impl Scope {
-    /// Whether an account is kept.
+    /// Returns whether the account is in the scope.
     pub fn contains(&self, account: &str) -> bool {
         match self {
             Self::All => true,
@@ -74,7 +76,7 @@
 }
 
 impl Store {
-    /// An empty store that notes what it accepts in `timeline`.
+    /// Creates an empty store that records accepted and refused settings in `timeline`.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -97,18 +99,18 @@
         }
     }
 
-    /// Accounts that this process keeps.
+    /// Returns the accounts that this process keeps.
     pub fn scope(&self) -> &Scope {
         &self.scope
     }
 
-    /// Number that grows with each change of the view.
+    /// Returns a number that grows with each change of the view.
     pub fn generation(&self) -> u64 {
         self.generation.load(Ordering::Acquire)
     }
 
-    /// The view in force. Where all accounts are kept, the first call after a change builds it,
-    /// which takes long with thousands of services.
+    /// Returns the view in force. If all accounts are kept, the first call after a change builds
+    /// the view, which is slow with thousands of services.
     pub fn view(&self) -> Arc<View> {
         match self.scope {
             Scope::All => lock(&self.active).view(),
@@ -116,51 +118,53 @@
         }
     }
 
-    /// Whether the settings are known to be current enough: a source that was itself current has
-    /// been read completely, and peers have been asked once.
+    /// Returns whether the settings count as current: a source that was itself current has been
+    /// read completely, and peers have been queried once.
     ///
-    /// The platform may serve an instance that starts an older tree than the fleet already runs.
-    /// To open flows by it would bring back upstreams and addresses that are gone, so the peers are
-    /// heard first; one that does not answer within its time-out is not waited for.
+    /// The platform may serve an older tree to a starting instance than the fleet already uses.
+    /// Flows opened with such a tree could go to upstreams and addresses that no longer exist.
+    /// Therefore, peers are queried first. A peer that does not reply within its timeout is
+    /// ignored.
     pub fn is_current(&self) -> bool {
         self.source_read.load(Ordering::Acquire) && self.peers_asked.load(Ordering::Acquire)
     }
 
-    /// Notes that a current source has been read completely, whose own confirmation by the
-    /// configuration service is `age_ms` old.
+    /// Records that a current source has been read completely. `age_ms` is the time since the
+    /// configuration service confirmed the settings of that source.
     pub fn confirm(&self, age_ms: u64) {
         let at = boottime::now().0.saturating_sub(age_ms);
         self.confirmed_at.fetch_max(at, Ordering::AcqRel);
         self.source_read.store(true, Ordering::Release);
     }
 
-    /// Milliseconds since the configuration service confirmed what is in force, directly or through
-    /// other instances; since boot if it never did.
+    /// Returns the milliseconds since the configuration service confirmed the settings in force,
+    /// directly or through other instances, or since boot if it never did.
     pub fn confirmed_age_ms(&self) -> u64 {
         boottime::now().0.saturating_sub(self.confirmed_at.load(Ordering::Acquire))
     }
 
-    /// Notes that peers have been asked, whether they answered or not.
+    /// Records that peers have been queried, whether they replied or not.
     pub fn mark_peers_asked(&self) {
         self.peers_asked.store(true, Ordering::Release);
     }
 
-    /// Versions in force, sorted by account.
+    /// Returns the versions in force, sorted by account.
     pub fn versions(&self) -> Vec<(Arc<str>, Version)> {
         lock(&self.active).versions()
     }
 
-    /// Version and text of the root in force.
+    /// Returns the version and text of the root in force.
     pub fn root(&self) -> Option<(Version, Arc<str>)> {
         lock(&self.active).root()
     }
 
-    /// Version and text of an account's subtree in force.
+    /// Returns the version and text of an account's subtree in force.
     pub fn subtree(&self, account: &str) -> Option<(Version, Arc<str>)> {
         lock(&self.active).subtree(account)
     }
 
-    /// Takes in a root; subtrees that waited for it may come into force with it.
+    /// Offers a root to the settings in force. Subtrees that were deferred until this root may come
+    /// into force with it.
     pub fn offer_root(&self, yaml: &str, source: Source) -> Outcome {
         let mut active = lock(&self.active);
         let before = active.versions();
@@ -175,7 +179,8 @@
         outcome
     }
 
-    /// Takes in an account's subtree; one outside the scope is ignored.
+    /// Offers an account's subtree to the settings in force. Returns `None` if the account is
+    /// outside the scope.
     pub fn offer_account(&self, account: &str, yaml: &str, source: Source) -> Option<Outcome> {
         if !self.scope.contains(account) {
             return None;
@@ -191,7 +196,7 @@
         Some(outcome)
     }
 
-    /// The text of `version`, if it is the one that was last replaced.
+    /// Returns the text of `version` if that is the version replaced last.
     pub fn replaced_subtree(&self, account: &str, version: Version) -> Option<Arc<str>> {
         let replaced = lock(&self.replaced);
         let index = replaced.binary_search_by(|entry| (*entry.account).cmp(account)).ok()?;
@@ -236,7 +241,7 @@
     }
 }
 
-/// A thread that panicked while it held a lock left whole values behind.
+/// Locks a mutex, even if poisoned: a thread that panics under a lock leaves consistent values.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
