--- a/crates/shell/src/udp/receive.rs
+++ b/crates/shell/src/udp/receive.rs
@@ -1,4 +1,4 @@
-//! Receiving in batches.
+//! Batched receive.
 
 use std::io::{self, IoSliceMut};
 use std::net::{SocketAddr, UdpSocket};
@@ -10,8 +10,8 @@
 use super::send::PayloadRef;
 use super::{BATCH, DATAGRAM_BYTES_MAX};
 
-/// Buffers for one batch of datagrams. `S` is `()` where nobody asks who sent them, or
-/// [`SockaddrStorage`] to keep the sources.
+/// Buffers for one batch of datagrams. `S` is [`SockaddrStorage`] to record the source addresses,
+/// or `()` where they are not needed.
 pub struct Receiver<S = ()> {
     headers: MultiHeaders<S>,
     buffer: Box<[u8]>,
@@ -33,30 +33,30 @@
 }
 
 impl<S: SockaddrLike + Copy> Receiver<S> {
-    /// Waits for a datagram until the socket's time-out and takes what else is there. Returns how
-    /// many came, zero after a time-out.
+    /// Waits for a datagram until the socket's timeout, then also receives those already queued.
+    /// Returns the number of datagrams, zero after a timeout.
     ///
-    /// Errors: those of the system call, except time-outs and interruptions.
+    /// Errors: those of the system call, except timeouts, interruptions and refused connections.
     pub fn receive(&mut self, socket: &UdpSocket) -> io::Result<usize> {
         self.count = 0;
         match self.receive_batch(socket) {
             Ok(count) => self.count = count,
-            // A send to a closed port of a local receiver is reported here (ECONNREFUSED): it
-            // concerns that packet, not this socket.
+            // ECONNREFUSED reports an earlier send to a closed port on this machine. It concerns
+            // that packet, not this socket.
             Err(Errno::EAGAIN | Errno::EINTR | Errno::ECONNREFUSED) => {}
             Err(errno) => return Err(errno.into()),
         }
         Ok(self.count)
     }
 
-    /// The datagrams of the last batch; one longer than [`DATAGRAM_BYTES_MAX`] comes out empty,
-    /// since half a packet must not be passed on.
+    /// Returns the datagrams of the last batch. One that is longer than [`DATAGRAM_BYTES_MAX`] is
+    /// empty, since a truncated packet must not be forwarded.
     pub fn datagrams(&self) -> impl Iterator<Item = &[u8]> {
         let slots = self.buffer.chunks_exact(DATAGRAM_BYTES_MAX);
         slots.zip(&self.lengths).take(self.count).map(|(slot, length)| &slot[..*length])
     }
 
-    /// A part of a datagram of the last batch; empty if it does not exist.
+    /// Returns a payload within the last batch, empty if it does not exist.
     pub fn payload(&self, payload: PayloadRef) -> &[u8] {
         let Some(length) = self.lengths.get(payload.slot) else { return &[] };
         let first = payload.slot * DATAGRAM_BYTES_MAX;
@@ -82,7 +82,7 @@
 }
 
 impl Receiver<SockaddrStorage> {
-    /// Who sent a datagram of the last batch.
+    /// Returns the source address of a datagram of the last batch.
     pub fn source(&self, slot: usize) -> Option<SocketAddr> {
         let source = self.sources.get(slot)?.as_ref()?;
         let v4 = source.as_sockaddr_in().map(|v4| SocketAddr::V4((*v4).into()));
--- a/crates/shell/src/udp/send.rs
+++ b/crates/shell/src/udp/send.rs
@@ -1,4 +1,4 @@
-//! Sending in batches.
+//! Batched send.
 
 use std::io::{self, IoSlice};
 use std::net::{SocketAddr, UdpSocket};
@@ -14,26 +14,27 @@
 use super::{BATCH, Receiver};
 
 const PREFIX_BYTES_MAX: usize = HEADER_BYTES + PRIVATE_BYTES_MAX;
-/// One slot more than a batch, so that there always is a next prefix to write to.
+/// One slot more than a batch, so that [`Sender::next_prefix`] always has a slot to write to.
 const SLOTS: usize = BATCH + 1;
 
-/// Headers that go before a payload: GUE header and private data.
+/// Headers that precede a payload: the GUE header and its private data.
 #[derive(Clone, Copy, Debug)]
 pub struct Prefix {
     bytes: [u8; PREFIX_BYTES_MAX],
     length: usize,
 }
 
-/// A payload inside the last received batch.
+/// Reference to a payload within the last received batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PayloadRef {
-    /// Which datagram of the batch.
+    /// Index of the datagram in the batch.
     pub slot: usize,
-    /// Where in the datagram the payload starts.
+    /// Offset of the payload in the datagram.
     pub start: usize,
 }
 
-/// Datagrams that wait to be sent with the batch in which their payloads were received.
+/// Queue of datagrams to be sent together. Their payloads stay in the buffers of the batch in which
+/// they were received.
 pub struct Sender {
     headers: MultiHeaders<SockaddrStorage>,
     prefixes: Box<[Prefix]>,
@@ -43,7 +44,7 @@
 }
 
 impl Prefix {
-    /// A prefix of a GUE header and private data.
+    /// Creates a prefix from a GUE header and private data.
     ///
     /// ```
     /// use shell::udp::Prefix;
@@ -58,13 +59,13 @@
         Self { bytes, length }
     }
 
-    /// Makes this the prefix of a plain frame, without private data.
+    /// Makes this the prefix of a plain frame, which has no private data.
     pub fn start_plain(&mut self, content: Content) {
         self.length = HEADER_BYTES;
         self.bytes[..HEADER_BYTES].copy_from_slice(&gue::header(content, 0));
     }
 
-    /// Makes this the prefix of a sealed frame and returns the place for its private data.
+    /// Makes this the prefix of a sealed frame and returns the buffer for its private data.
     ///
     /// ```
     /// use shell::udp::Prefix;
@@ -80,7 +81,7 @@
         private.first_chunk_mut().expect("private data has room for the sealed layout")
     }
 
-    /// The bytes to be sent.
+    /// Returns the bytes of the headers.
     pub fn as_bytes(&self) -> &[u8] {
         &self.bytes[..self.length]
     }
@@ -100,22 +101,25 @@
 }
 
 impl Sender {
-    /// The prefix of the next datagram, to be written where it will be sent from.
+    /// Returns the prefix of the next datagram, to be written in place without a copy.
     pub fn next_prefix(&mut self) -> &mut Prefix {
         &mut self.prefixes[self.count]
     }
 
-    /// Queues the datagram whose prefix was written last. A batch has at most [`BATCH`] datagrams
-    /// and each leads to one at most, so the queue never overflows; one more would take the place
-    /// of the last.
+    /// Queues the datagram whose prefix was written last.
+    ///
+    /// A batch has at most [`BATCH`] datagrams and each is forwarded at most once, so the queue
+    /// does not overflow. A further datagram would go to the extra slot and not be sent.
     pub fn queue_next(&mut self, payload: PayloadRef, to: SocketAddr) {
         self.payloads[self.count] = payload;
         self.destinations[self.count] = Some(SockaddrStorage::from(to));
         self.count = BATCH.min(self.count + 1);
     }
 
-    /// Sends what is queued; payloads come out of `received`. Returns how many could not be sent:
-    /// a receiver that cannot be reached must not hold up the others, so it is passed over.
+    /// Sends the queued datagrams, with payloads from `received`, and empties the queue.
+    ///
+    /// Returns the number of datagrams that could not be sent. A failed datagram is skipped, so
+    /// that one unreachable destination does not block the others.
     pub fn flush<S>(&mut self, socket: &UdpSocket, received: &Receiver<S>) -> usize
     where
         S: SockaddrLike + Copy,
@@ -167,7 +171,7 @@
     }
 }
 
-/// Sends one datagram outside a batch, assembled in `scratch`.
+/// Sends a single datagram outside of a batch. `scratch` is the buffer that it is assembled in.
 ///
 /// Errors: those of the system call.
 pub fn send_one(
