--- a/crates/shell/tests/common/mod.rs
+++ b/crates/shell/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Documents and a store for the contract tests.
-#![allow(dead_code)] // Each test file uses a part of them.
+//! Documents, stores and servers for the contract tests.
+#![allow(dead_code)] // Each test file uses only some of them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use shell::settings_sync::{Scope, Source, Store};
 use telemetry::timeline::Timeline;
 
-/// A root that owns addresses for two accounts.
+/// Returns a root that assigns addresses to two accounts.
 pub(crate) fn root(version: u64) -> String {
     format!(
         "version: {version}\naccounts:\n\
@@ -18,12 +18,13 @@
     )
 }
 
-/// A subtree without services.
+/// Returns a subtree without services.
 pub(crate) fn subtree(account: &str, version: u64) -> String {
     format!("account: {account}\nversion: {version}\nservices: []\n")
 }
 
-/// A store that holds root 3 and the subtrees given as (account, version).
+/// Creates a store that holds the given subtrees, as (account, version), and root version 3 if
+/// there are any.
 pub(crate) fn store(scope: Scope, held: &[(&str, u64)]) -> Arc<Store> {
     let timeline = Arc::new(Timeline::new("test".into(), 64));
     let store = Arc::new(Store::new(scope, timeline));
@@ -36,17 +37,17 @@
     store
 }
 
-/// Versions in force as pairs.
+/// Returns the versions in force as (account, version).
 pub(crate) fn versions(store: &Store) -> Vec<(String, u64)> {
     store.versions().into_iter().map(|(name, version)| (name.to_string(), version.0)).collect()
 }
 
-/// Serves routes on a free port of the loopback.
+/// Serves routes on a free loopback port.
 pub(crate) fn serve(routes: Routes) -> SocketAddr {
     http::start("127.0.0.1:0".parse().unwrap(), routes).unwrap()
 }
 
-/// An address on which nothing listens.
+/// Returns a loopback address on which nothing listens.
 pub(crate) fn unused_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
--- a/crates/shell/tests/http.rs
+++ b/crates/shell/tests/http.rs
@@ -47,7 +47,7 @@
     assert_eq!(answer.map(|body| body.len()), expected);
 }
 
-/// The second process finds the port taken before it has served anything.
+/// A port that is in use is reported at start-up, before the process serves anything.
 #[test]
 fn start_port_taken() {
     let address = serve(routes());
--- a/crates/shell/tests/peers.rs
+++ b/crates/shell/tests/peers.rs
@@ -1,4 +1,5 @@
-//! Contract of the exchange between instances: a real store serves, another one asks.
+//! Contract of the settings exchange between instances: one real store serves the requests of
+//! another.
 
 mod common;
 
@@ -17,7 +18,7 @@
 
 const MASTERS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
 
-/// The keyrings of a balancer.
+/// Returns the keyrings of a balancer, which can derive those of all accounts.
 fn keyrings() -> Keyrings {
     Arc::new(|account| AccountKeyring::derive(&MASTERS, AccountId::of(account)))
 }
@@ -26,12 +27,13 @@
     PeerReader::new(store.clone(), Arc::new(move || peers.clone()), keyrings())
 }
 
-/// An instance that serves what `store` holds.
+/// Serves the contents of `store` to peers.
 fn serve_store(store: &Arc<Store>) -> SocketAddr {
     serve(exchange::routes(Routes::default(), store, &keyrings()))
 }
 
-/// `theirs` and `ours` are versions in force at the peer and here before the comparison.
+/// `theirs` and `ours` are the versions in force at the peer and at the requester before the
+/// comparison.
 #[rstest]
 #[case::all_new(Scope::All, &[("bajio", 2), ("cascadia", 7)], &[], &[("bajio", 2), ("cascadia", 7)])]
 #[case::one_newer(
@@ -57,8 +59,8 @@
     assert_eq!(versions(&own), expected);
 }
 
-/// The peer replaced version 6 by 7. Who has 6 gets the lines that differ, who has another version,
-/// or none, gets the whole; both end with the peer's text.
+/// The peer has replaced version 6 with version 7. A requester with version 6 gets the lines that
+/// differ, and one with another version or none gets the whole text. All end with the peer's text.
 #[rstest]
 #[case::one_behind(&[("cascadia", 6)])]
 #[case::two_behind(&[("cascadia", 5)])]
@@ -72,8 +74,9 @@
     assert!(peer.replaced_subtree("cascadia", Version(6)).is_some());
 }
 
-/// A storm of changes: several accounts come in one exchange, each as a change or whole as fits. An
-/// account that the peer does not have is left out. An agent may not ask for others' accounts.
+/// In a burst of changes, one exchange transfers several accounts, each as a delta if that applies
+/// and whole otherwise. An account that the peer does not have is omitted. An agent may not request
+/// other accounts.
 #[rstest]
 #[case::balancer("", Ok(()), &[("bajio", 4), ("cascadia", 7)])]
 #[case::agent("bajio", Err(PeerError::Client(ClientError::Status(403))), &[("bajio", 3), ("cascadia", 5)])]
@@ -85,7 +88,7 @@
     let peer = store(Scope::All, &[("bajio", 3), ("cascadia", 7)]);
     peer.offer_account("bajio", &common::subtree("bajio", 4), Source::Platform);
     let own = store(Scope::All, &[("bajio", 3), ("cascadia", 5)]);
-    // Every question of this requester is sealed with its own key.
+    // All questions of this requester are signed with its own key, also those for other accounts.
     let keyrings_of_requester: Keyrings = Arc::new(move |_| keyrings()(requester));
     let reader = PeerReader::new(own.clone(), Arc::new(Vec::new), keyrings_of_requester);
     let names = ["bajio".into(), "cascadia".into(), "ghost".into()];
@@ -96,8 +99,8 @@
     assert_eq!(versions(&own), expected);
 }
 
-/// A peer that is itself not current must not make us believe that we are: two instances that
-/// start together would otherwise confirm each other with nothing in hand.
+/// A peer whose settings are not current must not confirm those of the requester. Otherwise, two
+/// instances that start together would confirm each other without any settings.
 #[rstest]
 #[case::current(true)]
 #[case::not_current(false)]
@@ -123,7 +126,7 @@
     assert_eq!(versions(&own), [("cascadia".to_owned(), 6)]);
 }
 
-/// A peer that offers a version and then does not deliver it changes nothing.
+/// A peer that lists a version in its digest but does not return the document changes nothing.
 #[test]
 fn compare_with_peer_missing_document() {
     let own = store(Scope::All, &[]);
@@ -141,8 +144,8 @@
     assert!(!own.is_current());
 }
 
-/// An agent of one account asks an agent of another, whose address it got from somewhere. It is
-/// refused, and what it is told by such an agent it does not believe.
+/// An agent that has obtained the address of an agent of another account queries it. The request is
+/// refused, and no reply from that agent is trusted, so the settings of the requester do not change.
 #[rstest]
 #[case::same_account("cascadia", Ok(()))]
 #[case::other_account("bajio", Err(PeerError::Client(ClientError::Status(403))))]
--- a/crates/shell/tests/platform.rs
+++ b/crates/shell/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Contract with the platform's configuration service, played by a fake.
+//! Contract with the platform's configuration service, which a fake server stands in for.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use shell::settings_sync::instances::Instances;
 use shell::settings_sync::platform::{PlatformReader, ReadError};
 
-/// Answers of the fake; an empty body means status 404.
+/// Responses of the fake server. An empty body stands for status 404.
 #[derive(Clone, Default)]
 struct Fake {
     watch: &'static str,
@@ -55,8 +55,8 @@
     ReadError::Client(ClientError::Busy { status, retry_after_ms: 0 })
 }
 
-/// `held` and `expected` are versions in force before and after one poll. Where a read fails the
-/// poll fails, so that its index is asked for again.
+/// `held` and `expected` are the versions in force before and after one poll. If a read fails, the
+/// poll fails, so that the same index is polled again.
 #[rstest]
 #[case::first_read(fake(), Scope::All, &[], Ok(5), &[("bajio", 2), ("cascadia", 7)])]
 #[case::nothing_changed(
--- a/crates/shell/tests/status.rs
+++ b/crates/shell/tests/status.rs
@@ -1,4 +1,4 @@
-//! Contract of the routes that every daemon has.
+//! Contract of the routes that every daemon serves.
 
 mod common;
 
--- a/crates/shell/tests/udp.rs
+++ b/crates/shell/tests/udp.rs
@@ -1,4 +1,4 @@
-//! Contract of the batched sockets, over the loopback.
+//! Contract of the batched sockets, tested over loopback.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -16,7 +16,7 @@
     (socket, address)
 }
 
-/// Receives until `count` datagrams have come; they may be spread over several batches.
+/// Receives until `count` datagrams have arrived, possibly in several batches.
 fn receive(receiver: &mut Receiver, socket: &UdpSocket, count: usize) -> Vec<Vec<u8>> {
     let mut all = Vec::new();
     while all.len() < count {
@@ -49,7 +49,8 @@
     assert_eq!(receive(&mut Receiver::default(), &socket, 1)[0].len(), expected);
 }
 
-/// Each datagram of a batch goes to its own receiver, with new headers before the old payload.
+/// Each datagram of a batch goes to its own destination, with new headers before the received
+/// payload.
 #[test]
 fn flush_to_several_destinations() {
     let (relay, relay_address) = socket();
@@ -74,8 +75,8 @@
     assert_eq!(receive(&mut Receiver::default(), &two.0, 1), [b"headprivsecond"]);
 }
 
-/// One agent has an address that the kernel refuses. The packets for the others behind it in the
-/// batch must still be sent, or one account's settings would stop the traffic of all.
+/// The kernel refuses the address of one agent. The later packets of the batch must still be sent.
+/// Otherwise, the settings of one account could stop the traffic of all accounts.
 #[test]
 fn flush_skips_unreachable_destination() {
     let (relay, relay_address) = socket();
