--- a/crates/shell/src/backoff.rs
+++ b/crates/shell/src/backoff.rs
@@ -1,14 +1,15 @@
-//! Growing pauses between retries.
+//! Exponential backoff between retries.
 
 use std::time::Duration;
 
-/// First pause.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause; bounds how late a reader notices that the platform is back.
+/// Default upper bound, which limits how late a reader notices that the platform has recovered.
 const LONGEST_PAUSE: Duration = Duration::from_millis(5_000);
 
-/// Exponential backoff with jitter: after an outage the readers would otherwise all come back in
-/// the same moment and be over budget together, again and again.
+/// Exponential backoff with jitter.
+///
+/// Without jitter, all readers would retry at the same moment after an outage and exceed the read
+/// budget together each time.
 #[derive(Debug)]
 pub struct Backoff {
     failures: u32,
@@ -22,17 +23,19 @@
 }
 
 impl Backoff {
-    /// Pauses that grow up to `max_pause`.
+    /// Creates a backoff whose pauses grow up to `max_pause`.
     pub fn up_to(max_pause: Duration) -> Self {
         Self { failures: 0, max_pause }
     }
 
-    /// Forgets the failures.
+    /// Resets the failure count after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// The pause after one more failure, at least `floor` if the server named one.
+    /// Counts a failure and returns the pause before the next attempt.
+    ///
+    /// `floor` is the retry delay that the server asked for, or zero. The pause is at least that.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/shell/src/fault.rs
+++ b/crates/shell/src/fault.rs
@@ -1,4 +1,5 @@
-//! Faults that keep a daemon from starting: one line with a numbered code, a non-zero exit.
+//! Errors that prevent a daemon from starting. They are printed as one line with a numbered code,
+//! and the process exits with a non-zero status.
 
 use std::fmt;
 use std::io;
@@ -6,17 +7,17 @@
 
 use settings::{Code, codes};
 
-/// Why a daemon does not start.
+/// The reason why a daemon cannot start.
 #[derive(Debug)]
 pub struct StartFault {
-    /// Number, see `docs/result-codes.md`.
+    /// Result code, listed in `docs/result-codes.md`.
     pub code: Code,
-    /// Explanation for people, one line.
+    /// Human-readable explanation on a single line.
     pub text: String,
 }
 
 impl StartFault {
-    /// A fault with its explanation; line breaks in the text are flattened.
+    /// Creates a fault from a code and an explanation. Line breaks in the text become spaces.
     ///
     /// ```
     /// use settings::codes;
@@ -29,12 +30,12 @@
         Self { code, text }
     }
 
-    /// An address that cannot be bound.
+    /// Creates the fault for an address that cannot be bound.
     pub fn bind(address: SocketAddr, error: &io::Error) -> Self {
         Self::new(codes::PORT_TAKEN, format_args!("cannot listen on {address}: {error}"))
     }
 
-    /// A thread that cannot be started.
+    /// Creates the fault for a thread that cannot be started.
     pub fn thread(error: &io::Error) -> Self {
         Self::new(codes::THREAD_FAILED, format_args!("cannot start a thread: {error}"))
     }
--- a/crates/shell/src/http/client.rs
+++ b/crates/shell/src/http/client.rs
@@ -1,42 +1,42 @@
-//! Asking other processes over HTTP, with a bound on time and size.
+//! HTTP client with limits on the duration of a request and the size of a response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use ureq::Agent;
 
-/// Largest body that is read: a value of the platform is at most a megabyte.
+/// Largest response body that is read. A value of the platform is at most a megabyte.
 const REPLY_BYTES_MAX: u64 = 4 << 20;
-/// Longest wait for a connection; a paused peer accepts none.
+/// Connection timeout. A paused peer does not accept connections.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why there is no answer.
+/// The reason why a request failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
-    /// The server refused for now and says when to come back.
+    /// The server is temporarily unable to serve the request and may say when to retry.
     #[error("refused with status {status}, retry after {retry_after_ms} ms")]
     Busy {
         /// 429 or 5xx.
         status: u16,
-        /// Time to wait, zero if the server did not say.
+        /// Retry delay from the `Retry-After` header, zero if there is none.
         retry_after_ms: u64,
     },
-    /// The server answered with an error that a retry does not mend.
+    /// The server returned an error that a retry does not resolve.
     #[error("status {0}")]
     Status(u16),
-    /// No connection, a time-out, or an answer that is not HTTP.
+    /// No connection, a timeout, or a response that is not HTTP.
     #[error("no answer: {0}")]
     Transport(String),
 }
 
-/// A client with its own pool of connections. Clones share the pool.
+/// A client with its own connection pool. Clones share the pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     agent: Agent,
 }
 
 impl Client {
-    /// A client whose calls take at most `timeout`.
+    /// Creates a client whose requests take at most `timeout`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -55,13 +55,13 @@
         Self { agent: config.into() }
     }
 
-    /// Fetches a path.
+    /// Sends a GET request and returns the body of the response.
     pub fn get(&self, address: SocketAddr, path: &str) -> Result<Vec<u8>, ClientError> {
         let response = self.agent.get(format!("http://{address}{path}")).call();
         read_body(response.map_err(transport_error)?)
     }
 
-    /// Sends a body to a path and returns the answer's body.
+    /// Sends a POST request and returns the body of the response.
     pub fn post(
         &self,
         address: SocketAddr,
--- a/crates/shell/src/http/mod.rs
+++ b/crates/shell/src/http/mod.rs
@@ -1,4 +1,5 @@
-//! The HTTP endpoint of a daemon, on gotham, and the client with which it asks others.
+//! The HTTP endpoint of a daemon, built on gotham, and the HTTP client for requests to other
+//! processes.
 
 pub mod client;
 pub mod routes;
--- a/crates/shell/src/http/routes.rs
+++ b/crates/shell/src/http/routes.rs
@@ -1,41 +1,40 @@
-//! Paths of an endpoint and the functions that answer on them.
+//! Routes of an endpoint, with their requests, replies and handlers.
 
 use std::sync::Arc;
 
-/// Largest body that a request may have.
+/// Largest request body that is accepted.
 pub const REQUEST_BYTES_MAX: usize = 256 << 10;
 
-/// A request, reduced to what our handlers look at.
+/// The parts of a request that handlers need.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Part of the address after the question mark.
+    /// Query string, without the question mark.
     pub query: String,
-    /// Body, empty for GET.
+    /// Request body, empty for GET.
     pub body: Vec<u8>,
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Media type of the body.
     pub content_type: &'static str,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-/// Answers a request. It runs on the server's thread and must not block.
+/// Handles a request. Runs on a thread of the server and must not block.
 pub type Handler = Arc<dyn Fn(&Request) -> Reply + Send + Sync>;
 
-/// Method of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Method {
     Get,
     Post,
 }
 
-/// One path with its handler.
+/// A method and path with their handler.
 #[derive(Clone)]
 pub(super) struct Route {
     pub(super) method: Method,
@@ -43,7 +42,7 @@
     pub(super) handler: Handler,
 }
 
-/// Routes of an endpoint, added one by one.
+/// Routes of an endpoint, in builder style.
 #[derive(Clone, Default)]
 pub struct Routes {
     pub(super) routes: Vec<Route>,
@@ -83,7 +82,9 @@
 }
 
 impl Request {
-    /// Value of a parameter of the query, not percent-decoded: our names need no escapes.
+    /// Returns the value of a query parameter.
+    ///
+    /// The value is not percent-decoded, since valid names contain no characters that need escapes.
     ///
     /// ```
     /// use shell::http::routes::Request;
@@ -96,7 +97,7 @@
         pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 
-    /// A parameter as a number, zero if absent or malformed.
+    /// Returns a query parameter as a number, zero if it is absent or malformed.
     ///
     /// ```
     /// use shell::http::routes::Request;
@@ -109,23 +110,23 @@
 }
 
 impl Reply {
-    /// Plain text with status 200.
+    /// Creates a plain-text reply with status 200.
     pub fn text(text: impl Into<String>) -> Self {
         let body = text.into().into_bytes();
         Self { status: 200, content_type: "text/plain; charset=utf-8", body }
     }
 
-    /// Bytes of our own protocols.
+    /// Creates a binary reply with status 200, for the project's own protocols.
     pub fn bytes(body: Vec<u8>) -> Self {
         Self { status: 200, content_type: "application/octet-stream", body }
     }
 
-    /// An error with a line of text.
+    /// Creates a plain-text reply with an error status.
     pub fn error(status: u16, text: impl Into<String>) -> Self {
         Self { status, ..Self::text(text) }
     }
 
-    /// A value as JSON.
+    /// Creates a JSON reply with status 200, or 500 if the value cannot be serialized.
     pub fn json(value: &impl serde::Serialize) -> Self {
         match serde_json::to_vec(value) {
             Ok(body) => Self { status: 200, content_type: "application/json", body },
--- a/crates/shell/src/http/server.rs
+++ b/crates/shell/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Serving [`Routes`] by gotham on a thread of its own.
+//! HTTP server that serves [`Routes`] with gotham on threads of its own.
 
 use std::net::{SocketAddr, TcpListener};
 use std::panic::AssertUnwindSafe;
@@ -20,12 +20,14 @@
 use super::routes::{Handler, Method, REQUEST_BYTES_MAX, Reply, Request, Route, Routes};
 use crate::fault::StartFault;
 
-/// Threads that answer. Two, so that one slow answer does not keep a probe of `/healthz` waiting.
+/// Threads that run handlers. There are two, so that one slow request does not delay a probe of
+/// `/healthz`.
 const WORKER_THREADS: usize = 2;
 
-/// Binds `address`, serves `routes` until the process ends and returns the address bound.
+/// Binds `address`, serves `routes` in the background until the process ends, and returns the bound
+/// address.
 ///
-/// The socket is bound before this returns, so that a taken port is known at the start.
+/// The socket is bound before this returns, so that a port in use is reported at start-up.
 ///
 /// ```
 /// use std::time::Duration;
@@ -41,7 +43,7 @@
     Ok(bound)
 }
 
-/// Binds several addresses and serves `routes` on all of them with the threads of one endpoint.
+/// Binds several addresses and serves `routes` on all of them with one set of threads.
 pub fn start_all(addresses: &[SocketAddr], routes: Routes) -> Result<(), StartFault> {
     let listeners: Result<Vec<TcpListener>, StartFault> =
         addresses.iter().map(|address| listen(*address)).collect();
@@ -84,7 +86,7 @@
     build_simple_router(|builder| {
         for route in routes.routes {
             let Route { method, path, handler } = route;
-            // A handler that panics leaves its locks poisoned, which every lock of ours tolerates.
+            // A handler that panics poisons its locks. All users of these locks tolerate that.
             let handler = AssertUnwindSafe(handler);
             let new_handler = move || {
                 let handler = Arc::clone(&handler);
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -1,5 +1,5 @@
-//! What both daemons share: the HTTP endpoint, the exchange of settings, signals, start-up faults
-//! and UDP sockets that move datagrams in batches.
+//! Code shared by both daemons: the HTTP endpoint, settings synchronization, signal handling,
+//! start-up errors and UDP sockets that send and receive in batches.
 
 pub mod backoff;
 pub mod boottime;
--- a/crates/shell/src/process.rs
+++ b/crates/shell/src/process.rs
@@ -1,4 +1,4 @@
-//! The start of a daemon: command line, settings file, exit code.
+//! Entry point shared by the daemons: command line, settings file and exit code.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,21 +8,21 @@
 
 use crate::fault::StartFault;
 
-/// What a program says about itself.
+/// Name, version and help text of a program.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
     /// Name of the binary.
     pub name: &'static str,
-    /// Version.
+    /// Version, printed by `--version`.
     pub version: &'static str,
-    /// Text of `--help`.
+    /// Text printed by `--help`.
     pub help: &'static str,
 }
 
-/// What the command line asks for.
+/// The action that the command line selects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Run with this settings file.
+    /// Run the daemon with this settings file.
     Run(PathBuf),
     /// Print the help.
     Help,
@@ -32,8 +32,8 @@
 
 /// Parses the command line, reads the settings file and runs the daemon.
 ///
-/// A [`StartFault`] becomes one line on standard error and exit code 1, or 2 where the command line
-/// is at fault.
+/// A [`StartFault`] is printed as one line on standard error. The exit code is then 2 for an
+/// invalid command line and 1 otherwise.
 pub fn main<S>(
     program: &Program,
     parse_settings: fn(&str) -> Result<S, Fault>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Parses the arguments after the program's name.
+/// Parses the arguments that follow the program's name.
 ///
 /// ```
 /// use shell::process::{Command, parse_arguments};
@@ -88,10 +88,10 @@
     path.map(Command::Run).ok_or_else(missing)
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
-/// Errors: [`codes::SETTINGS_UNREADABLE`], [`codes::KEY_MISSING`] where the fault lies in the keys,
-/// [`codes::SETTINGS_REFUSED`] otherwise.
+/// Errors: [`codes::SETTINGS_UNREADABLE`] if the file cannot be read, [`codes::KEY_MISSING`] if the
+/// keys are missing or invalid, [`codes::SETTINGS_REFUSED`] for any other invalid setting.
 pub fn load<S>(path: &Path, parse: fn(&str) -> Result<S, Fault>) -> Result<S, StartFault> {
     let display = path.display();
     let yaml = fs::read_to_string(path).map_err(|error| {
--- a/crates/shell/src/scrape.rs
+++ b/crates/shell/src/scrape.rs
@@ -1,4 +1,4 @@
-//! Metrics that are read when they are asked for: settings in force, processor time and memory.
+//! Metrics that are collected on each scrape: settings in force, processor time and memory.
 
 use std::fmt;
 use std::fs;
@@ -14,13 +14,13 @@
 
 use crate::settings_sync::Store;
 
-/// Reads its metrics from the store and the kernel at each scrape.
+/// Collects its metrics from the store and the kernel on each scrape.
 #[derive(Debug)]
 struct ProcessCollector {
     store: Arc<Store>,
 }
 
-/// Registers `gooseberrysill_settings_version` by account, `gooseberrysill_settings_current`,
+/// Registers `gooseberrysill_settings_version` per account, `gooseberrysill_settings_current`,
 /// `gooseberrysill_process_cpu_seconds_total` and `gooseberrysill_process_resident_memory_bytes`.
 pub fn register(metrics: &Metrics, store: &Arc<Store>) {
     let collector = Box::new(ProcessCollector { store: store.clone() });
@@ -63,7 +63,7 @@
     time.map_or(0.0, |time| time.tv_sec() as f64 + time.tv_nsec() as f64 / 1e9)
 }
 
-/// The kernel's line reads `VmRSS:     5300 kB`.
+/// Parses the line `VmRSS:     5300 kB` of `/proc/self/status`.
 fn resident_memory_bytes() -> Option<i64> {
     let status = fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
--- a/crates/shell/src/signals.rs
+++ b/crates/shell/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals as flags.
+//! Process signals, exposed as flags that threads poll.
 
 use std::io;
 use std::sync::Arc;
@@ -7,14 +7,14 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::flag;
 
-/// Whether the process was told to shut down. Clones share one flag.
+/// Flag that requests the shutdown of the process. Clones share the flag.
 #[derive(Clone, Debug, Default)]
 pub struct Shutdown {
     flag: Arc<AtomicBool>,
 }
 
 impl Shutdown {
-    /// A flag that SIGTERM and SIGINT raise. A second signal ends the process at once, for an
+    /// Returns a flag that SIGTERM and SIGINT set. A second signal ends the process at once, for an
     /// operator who does not want to wait.
     ///
     /// Errors: those of the system call.
@@ -27,7 +27,7 @@
         Ok(shutdown)
     }
 
-    /// Raises the flag.
+    /// Sets the flag.
     ///
     /// ```
     /// let shutdown = shell::signals::Shutdown::default();
@@ -38,20 +38,20 @@
         self.flag.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the flag is raised.
+    /// Returns whether the flag is set.
     pub fn is_requested(&self) -> bool {
         self.flag.load(Ordering::Relaxed)
     }
 }
 
-/// Whether the process was told that its settings have changed. Clones share one flag.
+/// Flag that requests a reload of the settings. Clones share the flag.
 #[derive(Clone, Debug, Default)]
 pub struct Reload {
     flag: Arc<AtomicBool>,
 }
 
 impl Reload {
-    /// A flag that SIGHUP raises; without it, the signal would end the process.
+    /// Returns a flag that SIGHUP sets. Without a handler, the signal would end the process.
     ///
     /// Errors: those of the system call.
     pub fn on_signal() -> io::Result<Self> {
@@ -60,12 +60,12 @@
         Ok(reload)
     }
 
-    /// Raises the flag.
+    /// Sets the flag.
     pub fn request(&self) {
         self.flag.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the flag was raised since the last call.
+    /// Clears the flag and returns whether it was set.
     ///
     /// ```
     /// let reload = shell::signals::Reload::default();
--- a/crates/shell/src/status.rs
+++ b/crates/shell/src/status.rs
@@ -1,4 +1,4 @@
-//! The routes that every daemon has: health, readiness, metrics, status and time line.
+//! HTTP routes that every daemon serves: health, readiness, metrics, status and time line.
 
 use std::sync::Arc;
 
@@ -12,51 +12,51 @@
 use crate::scrape;
 use crate::settings_sync::Store;
 
-/// The answer of `/status`.
+/// The response of `/status`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
     /// Name of the instance.
     pub instance: Arc<str>,
     /// `balancer` or `agent`.
     pub kind: &'static str,
-    /// As `/readyz`.
+    /// Whether `/readyz` reports the instance as ready.
     pub ready: bool,
-    /// Versions in force.
+    /// Settings version in force per account.
     pub settings: Vec<AccountVersion>,
-    /// Counters by name.
+    /// Counter values by name.
     #[serde(serialize_with = "as_map")]
     pub counters: Vec<(&'static str, u64)>,
 }
 
-/// One account's version in force.
+/// The settings version in force for one account.
 #[derive(Clone, Debug, Serialize)]
 pub struct AccountVersion {
     /// Name of the account.
     pub account: Arc<str>,
-    /// Version.
+    /// Version of its subtree.
     pub version: u64,
 }
 
-/// What the common routes show.
+/// Data that the common routes report.
 #[derive(Clone)]
 pub struct StatusSource {
     /// Name of the instance.
     pub instance: Arc<str>,
     /// `balancer` or `agent`.
     pub kind: &'static str,
-    /// Settings in force.
+    /// Store of the settings in force.
     pub store: Arc<Store>,
-    /// Metrics.
+    /// Metrics served by `/metrics`.
     pub metrics: Arc<Metrics>,
-    /// Time line.
+    /// Events served by `/timeline`.
     pub timeline: Arc<Timeline>,
-    /// Whether the process may be sent work.
+    /// Returns whether the process is ready for traffic.
     pub is_ready: Arc<dyn Fn() -> bool + Send + Sync>,
-    /// Counters by name.
+    /// Returns the counter values by name.
     pub counters: Arc<dyn Fn() -> Vec<(&'static str, u64)> + Send + Sync>,
 }
 
-/// Adds the common routes to an endpoint.
+/// Adds the common routes to an endpoint and registers the metrics of [`scrape`].
 pub fn routes(routes: Routes, status_source: &StatusSource) -> Routes {
     scrape::register(&status_source.metrics, &status_source.store);
     let (is_ready, metrics) = (status_source.is_ready.clone(), status_source.metrics.clone());
