--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -14,10 +14,10 @@
 use shell::fault::StartFault;
 use shell::settings_sync::instances::Instances;
 use shell::settings_sync::peers::PeerReader;
-use shell::settings_sync::platform::Reader;
+use shell::settings_sync::platform::PlatformReader;
 use shell::settings_sync::{Keyrings, Scope, Store};
 use shell::signals::Shutdown;
-use shell::status::Shown;
+use shell::status::StatusSource;
 use shell::{boottime, http};
 use telemetry::clock;
 use telemetry::metrics::Metrics;
@@ -72,7 +72,7 @@
     let socket = plane::bind(address).map_err(|e| StartFault::bind(address, &e))?;
     let (requests, inbox) = mpsc::channel();
     let keyrings = process.keyrings()?;
-    let routes = crate::http::routes(&process.shown(), &keyrings, requests.clone());
+    let routes = crate::http::routes(&process.status_source(), &keyrings, requests.clone());
     http::start(process.settings.control_address, routes)?;
     process.serve(socket, &requests, inbox)
 }
@@ -135,7 +135,7 @@
     fn start_readers(&self, requests: mpsc::Receiver<Version>) -> Result<(), StartFault> {
         let platform = self.settings.platform_address;
         let instances: Arc<Instances> = Arc::default();
-        let reader = Reader::new(platform, self.store.clone(), instances);
+        let reader = PlatformReader::new(platform, self.store.clone(), instances);
         let peers = PeerReader::new(self.store.clone(), self.candidates(), self.keyrings()?);
         let (fetcher, fetch_peers) = (reader.clone(), peers.clone());
         let (shutdown, peer_shutdown) = (self.shutdown.clone(), self.shutdown.clone());
@@ -250,13 +250,13 @@
         }
     }
 
-    fn shown(&self) -> Shown {
+    fn status_source(&self) -> StatusSource {
         let (serving, shutdown) = (self.serving.clone(), self.shutdown.clone());
         let (store, counters) = (self.store.clone(), self.counters.clone());
         let is_ready = move || {
             serving.load(Ordering::Acquire) && store.is_current() && !shutdown.is_requested()
         };
-        Shown {
+        StatusSource {
             instance: self.settings.instance.clone(),
             kind: "agent",
             store: self.store.clone(),
@@ -297,7 +297,7 @@
     requests: &mpsc::Receiver<Version>,
     store: &Store,
     account: &str,
-    platform: &Reader,
+    platform: &PlatformReader,
     peers: &PeerReader,
 ) {
     let current_version = || {
@@ -307,7 +307,7 @@
     };
     while let Ok(at_least) = requests.recv() {
         if current_version() < at_least {
-            peers.compare_some(PEERS_PER_FETCH);
+            peers.compare_with_random_peers(PEERS_PER_FETCH);
         }
         if current_version() < at_least {
             platform.fetch(account);
--- a/crates/balancer/src/run.rs
+++ b/crates/balancer/src/run.rs
@@ -14,10 +14,10 @@
 use shell::fault::StartFault;
 use shell::settings_sync::instances::{Instances, Kind};
 use shell::settings_sync::peers::PeerReader;
-use shell::settings_sync::platform::Reader;
+use shell::settings_sync::platform::PlatformReader;
 use shell::settings_sync::{Keyrings, Scope, Store};
 use shell::signals::Shutdown;
-use shell::status::Shown;
+use shell::status::StatusSource;
 use shell::{boottime, http};
 use telemetry::metrics::Metrics;
 use telemetry::timeline::{Fields, Timeline};
@@ -77,7 +77,8 @@
     let (notices, inbox) = mpsc::channel();
     let workers = balancer.start_workers(&stop, &notices)?;
     let published = balancer.published.clone();
-    let routes = crate::http::routes(&balancer.shown(metrics), &balancer.keyrings(), published);
+    let routes =
+        crate::http::routes(&balancer.status_source(metrics), &balancer.keyrings(), published);
     http::start(balancer.settings.control_address, routes)?;
     let (members, observed_members) = mpsc::channel();
     let fetches = balancer.start_readers()?;
@@ -123,7 +124,7 @@
     /// returned channel takes requests for further fetches.
     fn start_readers(&self) -> Result<mpsc::Sender<Fetch>, StartFault> {
         let platform = self.settings.platform_address;
-        let reader = Reader::new(platform, self.store.clone(), self.instances.clone());
+        let reader = PlatformReader::new(platform, self.store.clone(), self.instances.clone());
         let list_reader = reader.clone();
         let (configured, own) = (self.settings.peers.clone(), self.settings.control_address);
         let instances = self.instances.clone();
@@ -142,7 +143,7 @@
         let should_read = move || spreading_status.is_reader() || !store.is_current();
         spawn("platform", move || reader.run(&shutdown, should_read))?;
         let shutdown = self.shutdown.clone();
-        spawn("instances", move || list_reader.run_list(&shutdown))?;
+        spawn("instances", move || list_reader.run_instance_list(&shutdown))?;
         let shutdown = self.shutdown.clone();
         spawn("peers", move || peers.run(&shutdown))?;
         spawn("fetch", move || fetcher.run())?;
@@ -179,10 +180,10 @@
         spawn("spread", move || spreading.run(&shutdown)).map(|_| ())
     }
 
-    fn shown(&self, metrics: Arc<Metrics>) -> Shown {
+    fn status_source(&self, metrics: Arc<Metrics>) -> StatusSource {
         let (published, shutdown) = (self.published.clone(), self.shutdown.clone());
         let counters = self.counters.clone();
-        Shown {
+        StatusSource {
             instance: self.settings.instance.clone(),
             kind: "balancer",
             store: self.store.clone(),
--- a/crates/shell/src/http/server.rs
+++ b/crates/shell/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Serving [`Routes`] by gotham on a thread of its own.
+//! HTTP server that serves [`Routes`] with gotham on threads of its own.
 
 use std::net::{SocketAddr, TcpListener};
 use std::panic::AssertUnwindSafe;
@@ -20,12 +20,14 @@
 use super::routes::{Handler, Method, REQUEST_BYTES_MAX, Reply, Request, Route, Routes};
 use crate::fault::StartFault;
 
-/// Threads that answer. Two, so that one slow answer does not keep a probe of `/healthz` waiting.
-const WORKERS: usize = 2;
+/// Threads that run handlers. There are two, so that one slow request does not delay a probe of
+/// `/healthz`.
+const WORKER_THREADS: usize = 2;
 
-/// Binds `address`, serves `routes` until the process ends and returns the address bound.
+/// Binds `address`, serves `routes` in the background until the process ends, and returns the bound
+/// address.
 ///
-/// The socket is bound before this returns, so that a taken port is known at the start.
+/// The socket is bound before this returns, so that a port in use is reported at start-up.
 ///
 /// ```
 /// use std::time::Duration;
@@ -41,7 +43,7 @@
     Ok(bound)
 }
 
-/// Binds several addresses and serves `routes` on all of them with the threads of one endpoint.
+/// Binds several addresses and serves `routes` on all of them with one set of threads.
 pub fn start_all(addresses: &[SocketAddr], routes: Routes) -> Result<(), StartFault> {
     let listeners: Result<Vec<TcpListener>, StartFault> =
         addresses.iter().map(|address| listen(*address)).collect();
@@ -56,23 +58,24 @@
 
 fn serve(listeners: Vec<TcpListener>, routes: Routes) -> Result<(), StartFault> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(WORKERS)
+        .worker_threads(WORKER_THREADS)
         .thread_name("http")
         .enable_all()
         .build()
         .map_err(|e| StartFault::thread(&e))?;
     let router = router(routes);
-    let serve = move || {
+    let run = move || {
         runtime.block_on(async move {
-            let servers = listeners.into_iter().map(|listener| accept(listener, router.clone()));
+            let servers =
+                listeners.into_iter().map(|listener| serve_listener(listener, router.clone()));
             future::join_all(servers).await;
         });
     };
-    let spawned = thread::Builder::new().name("http-accept".into()).spawn(serve);
+    let spawned = thread::Builder::new().name("http-accept".into()).spawn(run);
     spawned.map(|_| ()).map_err(|e| StartFault::thread(&e))
 }
 
-async fn accept(listener: TcpListener, router: Router) {
+async fn serve_listener(listener: TcpListener, router: Router) {
     match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => gotham::bind_server(listener, router, future::ok).await,
         Err(error) => log::error!("cannot serve HTTP: {error}"),
@@ -83,11 +86,11 @@
     build_simple_router(|builder| {
         for route in routes.routes {
             let Route { method, path, handler } = route;
-            // A handler that panics leaves its locks poisoned, which every lock of ours tolerates.
+            // A handler that panics poisons its locks. All users of these locks tolerate that.
             let handler = AssertUnwindSafe(handler);
             let new_handler = move || {
                 let handler = Arc::clone(&handler);
-                Ok(move |state: State| answer(state, method, handler))
+                Ok(move |state: State| handle(state, method, handler))
             };
             match method {
                 Method::Get => builder.get(path).to_new_handler(new_handler),
@@ -97,7 +100,7 @@
     })
 }
 
-fn answer(mut state: State, method: Method, handler: Handler) -> Pin<Box<HandlerFuture>> {
+fn handle(mut state: State, method: Method, handler: Handler) -> Pin<Box<HandlerFuture>> {
     Box::pin(async move {
         let query = state.borrow::<Uri>().query().unwrap_or_default().to_owned();
         let body = match method {
--- a/crates/shell/src/settings_sync/peers.rs
+++ b/crates/shell/src/settings_sync/peers.rs
@@ -1,7 +1,8 @@
-//! Comparing settings with other instances.
+//! Settings synchronization with other instances.
 //!
-//! Every few seconds a process asks a random peer for its digest (account and version) and fetches
-//! what is newer there. A change thus reaches everybody in a few rounds without the platform.
+//! At regular intervals, a process requests the digest (the version of each account) of a random
+//! peer and fetches what is newer there. A change thus reaches all instances within a few rounds,
+//! without the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,23 +21,24 @@
 use crate::http::client::{Client, ClientError};
 use crate::signals::Shutdown;
 
-/// Mean pause of an agent between two comparisons once its settings are current.
+/// Mean pause between two comparisons of an agent whose settings are current.
 pub const AGENT_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Mean pause of a balancer, which hears of changes by spreading; for what that may miss.
+/// Mean pause between two comparisons of a balancer whose settings are current. Balancers learn of
+/// changes by spreading, so the comparison only has to find what that missed.
 pub const BALANCER_INTERVAL: Duration = Duration::from_millis(30_000);
-/// Pause while they are not: the process cannot serve before.
-const STARTING_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest wait for a peer, which may be paused.
-const TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Mean pause while the settings are not current. The process cannot serve until they are.
+const INITIAL_INTERVAL: Duration = Duration::from_millis(200);
+/// Time limit of a request to a peer, which may be paused.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Peers heard before settings count as current. Eight that all missed a change of some seconds ago
-/// are as good as none in a fleet where it spreads within that time.
-const PEERS_AT_START: usize = 8;
+/// Number of peers to compare with before the settings count as current. A change spreads through
+/// the fleet within seconds, so it is very unlikely that eight peers all missed one that is older.
+const INITIAL_PEERS: usize = 8;
 
-/// Gives the peers that may be asked now.
+/// Returns the peers that may be queried now.
 pub type Candidates = Arc<dyn Fn() -> Vec<SocketAddr> + Send + Sync>;
 
-/// Compares settings with peers for one process.
+/// Compares the settings of this process with those of its peers.
 #[derive(Clone)]
 pub struct PeerReader {
     client: Client,
@@ -46,13 +48,13 @@
     interval: Duration,
 }
 
-/// Why a comparison was not completed.
+/// The reason why a comparison failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// No answer, or not the one asked for.
+    /// The peer sent no response, or one with an error status.
     #[error(transparent)]
     Client(#[from] ClientError),
-    /// An answer that is not what the interface says.
+    /// The response does not conform to the protocol.
     #[error(transparent)]
     Decode(#[from] ExchangeError),
     /// This process has no key for the account.
@@ -61,18 +63,18 @@
 }
 
 impl PeerReader {
-    /// A reader that feeds `store` from the peers that `candidates` names.
+    /// Creates a reader that updates `store` from the peers that `candidates` returns.
     pub fn new(store: Arc<Store>, candidates: Candidates, keyrings: Keyrings) -> Self {
         let interval = match store.scope() {
             Scope::All => BALANCER_INTERVAL,
             Scope::Account(_) => AGENT_INTERVAL,
         };
-        Self { client: Client::new(TIMEOUT), store, candidates, keyrings, interval }
+        Self { client: Client::new(REQUEST_TIMEOUT), store, candidates, keyrings, interval }
     }
 
-    /// Compares with some peers, then with one random peer at a time until the shutdown.
+    /// Compares with several peers first, then with one random peer at a time until the shutdown.
     pub fn run(&self, shutdown: &Shutdown) {
-        self.compare_some(PEERS_AT_START);
+        self.compare_with_random_peers(INITIAL_PEERS);
         self.store.mark_peers_asked();
         while !shutdown.is_requested() {
             let peers = (self.candidates)();
@@ -80,13 +82,14 @@
                 let peer = peers[rand::random_range(0..peers.len())];
                 self.compare_or_log(peer);
             }
-            let interval = if self.store.is_current() { self.interval } else { STARTING_INTERVAL };
+            let interval = if self.store.is_current() { self.interval } else { INITIAL_INTERVAL };
             thread::sleep(interval.mul_f64(rand::random_range(0.5..1.5)));
         }
     }
 
-    /// Compares with up to `count` random peers at once, each in a thread, and waits for all.
-    pub fn compare_some(&self, count: usize) {
+    /// Compares with up to `count` random peers in parallel, each in its own thread, and waits for
+    /// all of them.
+    pub fn compare_with_random_peers(&self, count: usize) {
         let mut peers = (self.candidates)();
         thread::scope(|scope| {
             for _ in 0..count.min(peers.len()) {
@@ -103,16 +106,17 @@
         }
     }
 
-    /// Fetches what is newer at `peer`. If the peer's own settings are current, ours are then.
+    /// Fetches what is newer at `peer`. If the peer's settings are current, those of this process
+    /// are confirmed as current too.
     pub fn compare(&self, peer: SocketAddr) -> Result<(), PeerError> {
         let own_name = match self.store.scope() {
             Scope::All => FLEET,
             Scope::Account(account) => account,
         };
-        let digest: Digest = self.ask(peer, Kind::Digest, own_name)?;
+        let digest: Digest = self.request(peer, Kind::Digest, own_name)?;
         let own_root = self.store.root().map_or(0, |(version, _)| version.0);
         if digest.root_version > own_root {
-            let document: Document = self.ask(peer, Kind::Root, own_name)?;
+            let document: Document = self.request(peer, Kind::Root, own_name)?;
             self.store.offer_root(&document.yaml, Source::Peer);
         }
         let own = self.store.versions();
@@ -129,26 +133,28 @@
         Ok(())
     }
 
-    /// Fetches one account's subtree from `peer`, as a change to our own where that fits.
+    /// Fetches one account's subtree from `peer`, as a delta to the one in force where possible.
     pub fn fetch(&self, peer: SocketAddr, account: &str) -> Result<(), PeerError> {
         let have = self.version(account).0.to_string();
-        let update: Update = self.ask_having(peer, Kind::Subtree, account, &have)?;
+        let update: Update = self.request_with_have(peer, Kind::Subtree, account, &have)?;
         if self.offer(account, &update) {
             return Ok(());
         }
-        // Ours was replaced while we asked, so the change does not fit: take the whole.
-        let whole: Update = self.ask(peer, Kind::Subtree, account)?;
+        // The subtree in force was replaced during the request, so the delta does not apply. Fetch
+        // the whole document.
+        let whole: Update = self.request(peer, Kind::Subtree, account)?;
         self.offer(account, &whole).then_some(()).ok_or(ExchangeError.into())
     }
 
-    /// Fetches several accounts' subtrees from `peer`, many in one exchange: a storm of changes would
-    /// otherwise cost an exchange each. Only a balancer may ask for accounts of its choice.
+    /// Fetches the subtrees of several accounts from `peer`, many of them per request, so that a
+    /// burst of changes does not cost a request each. Only a balancer may request arbitrary
+    /// accounts.
     pub fn fetch_all(&self, peer: SocketAddr, accounts: &[Arc<str>]) -> Result<(), PeerError> {
-        for some in accounts.chunks(SUBTREES_MAX) {
+        for chunk in accounts.chunks(SUBTREES_MAX) {
             let wanted: Vec<_> =
-                some.iter().map(|name| (name.clone(), self.version(name))).collect();
+                chunk.iter().map(|name| (name.clone(), self.version(name))).collect();
             let have = format_wanted(&wanted);
-            let Updates(updates) = self.ask_having(peer, Kind::Subtrees, FLEET, &have)?;
+            let Updates(updates) = self.request_with_have(peer, Kind::Subtrees, FLEET, &have)?;
             for (name, update) in &updates {
                 if !self.offer(name, update) {
                     self.fetch(peer, name)?;
@@ -158,12 +164,13 @@
         Ok(())
     }
 
-    /// Version in force here, zero if there is none.
+    /// Returns the version in force in this process, zero if there is none.
     fn version(&self, account: &str) -> Version {
         self.store.subtree(account).map_or(Version(0), |(version, _)| version)
     }
 
-    /// Offers an update to the store; false if it is a change that does not fit what is in force.
+    /// Offers an update to the store. Returns false if it is a delta that does not apply to the
+    /// subtree in force.
     fn offer(&self, account: &str, update: &Update) -> bool {
         let own = self.store.subtree(account);
         let own_text = own.as_ref().map(|(version, yaml)| (*version, &**yaml));
@@ -172,16 +179,16 @@
         true
     }
 
-    fn ask<T: DeserializeOwned>(
+    fn request<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
         kind: Kind,
         account: &str,
     ) -> Result<T, PeerError> {
-        self.ask_having(peer, kind, account, "")
+        self.request_with_have(peer, kind, account, "")
     }
 
-    fn ask_having<T: DeserializeOwned>(
+    fn request_with_have<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
         kind: Kind,
--- a/crates/shell/src/settings_sync/platform.rs
+++ b/crates/shell/src/settings_sync/platform.rs
@@ -1,4 +1,5 @@
-//! Reading the platform's configuration service: a long poll, then the documents that changed.
+//! Client of the platform's configuration service: a long poll returns the names of the documents
+//! that changed, which are then read.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,26 +15,27 @@
 use crate::http::client::{Client, ClientError};
 use crate::signals::Shutdown;
 
-/// How long the platform may hold a watch. Each call counts against the read budget, however long
-/// it waits.
+/// How long the platform may hold a watch request open. Each request counts against the read
+/// budget, regardless of its duration.
 const WATCH_WAIT_MS: u64 = 10_000;
-/// Time for the answer beyond the wait.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Pause between reads of the instance list, which lags by seconds anyway. About 250 bytes an
-/// instance: at today's 27 instances 1.4 KB/s.
-const LIST_INTERVAL: Duration = Duration::from_millis(5_000);
-/// Most bytes of the list a second, of the 10,000 that control may take. The list can only be read
-/// whole: with 11,600 instances it is 2.4 MB, and is read every 20 minutes. What happens in between
-/// the agents report, and new balancers bring along by comparing.
+/// Time limit of a response, beyond the time that a watch is held open.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Shortest interval between reads of the instance list, which lags by seconds in any case. An
+/// entry takes about 250 bytes, which makes 1.4 KB/s with 27 instances.
+const LIST_INTERVAL_MIN: Duration = Duration::from_millis(5_000);
+/// Maximum mean rate for reads of the list, out of the 10,000 bytes per second that control traffic
+/// may use. The list can only be read as a whole: with 11,600 instances it has 2.4 MB and is read
+/// every 20 minutes. In between, agents report changes themselves, and new balancers start
+/// comparisons of their own.
 const LIST_BYTES_PER_SECOND: u64 = 2_000;
-/// Pause between two looks whether this instance is to watch.
-const WANTED_POLL: Duration = Duration::from_millis(100);
-/// Name of the root in the answer of a watch.
-const ROOT: &str = "root";
+/// Interval at which an idle thread checks whether it has to watch or to shut down.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Name of the root document in the response to a watch.
+const ROOT_NAME: &str = "root";
 
-/// Reads the platform for one process.
+/// Reads settings and the instance list from the platform for this process.
 #[derive(Clone)]
-pub struct Reader {
+pub struct PlatformReader {
     client: Client,
     watcher: Client,
     address: SocketAddr,
@@ -47,34 +49,35 @@
     changed: Vec<String>,
 }
 
-/// Why a pass over the platform's documents was not completed.
+/// The reason why a read from the platform failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
-    /// No answer, or not the one asked for.
+    /// The platform sent no response, or one with an error status.
     #[error(transparent)]
     Client(#[from] ClientError),
-    /// An answer that is not what the interface says.
+    /// The response does not conform to the interface.
     #[error("answer cannot be decoded")]
     Decode,
 }
 
-impl Reader {
-    /// A reader of the platform at `address` that feeds `store` and `instances`.
+impl PlatformReader {
+    /// Creates a reader that updates `store` and `instances` from the platform at `address`.
     pub fn new(address: SocketAddr, store: Arc<Store>, instances: Arc<Instances>) -> Self {
         let wait = Duration::from_millis(WATCH_WAIT_MS);
-        let client = Client::new(ANSWER_TIMEOUT);
-        let watcher = Client::new(wait + ANSWER_TIMEOUT);
+        let client = Client::new(RESPONSE_TIMEOUT);
+        let watcher = Client::new(wait + RESPONSE_TIMEOUT);
         Self { client, watcher, address, store, instances }
     }
 
-    /// Watches until the shutdown, whenever `wanted` says so: the service could not bear it if
-    /// every instance of a large fleet watched all the time.
-    pub fn run(&self, shutdown: &Shutdown, wanted: impl Fn() -> bool) {
+    /// Watches the platform until the shutdown, while `should_watch` returns true.
+    ///
+    /// The service could not handle the load if all instances of a large fleet watched at once.
+    pub fn run(&self, shutdown: &Shutdown, should_watch: impl Fn() -> bool) {
         let mut backoff = Backoff::default();
         let mut index = 0;
         while !shutdown.is_requested() {
-            if !wanted() {
-                thread::sleep(WANTED_POLL);
+            if !should_watch() {
+                thread::sleep(IDLE_POLL_INTERVAL);
                 continue;
             }
             match self.poll(index) {
@@ -83,54 +86,57 @@
                     backoff.reset();
                 }
                 Err(error) => {
-                    log_unreachable(self.address, &error);
-                    thread::sleep(backoff.next(retry_after(&error)));
+                    log_read_error(self.address, &error);
+                    thread::sleep(backoff.next_pause(retry_after(&error)));
                 }
             }
         }
     }
 
-    /// Reads the list of instances until the shutdown, the more rarely the longer it is.
-    pub fn run_list(&self, shutdown: &Shutdown) {
+    /// Reads the instance list repeatedly until the shutdown. The longer the list, the less often
+    /// it is read.
+    pub fn run_instance_list(&self, shutdown: &Shutdown) {
         let mut backoff = Backoff::default();
         while !shutdown.is_requested() {
             let started = Instant::now();
-            let pause = match self.read_list() {
+            let pause = match self.read_instance_list() {
                 Ok(list_bytes) => {
                     backoff.reset();
                     list_interval(list_bytes).saturating_sub(started.elapsed())
                 }
-                Err(error) => backoff.next(retry_after(&error)).max(LIST_INTERVAL),
+                Err(error) => backoff.next_pause(retry_after(&error)).max(LIST_INTERVAL_MIN),
             };
-            wait(pause, shutdown);
+            sleep_or_shutdown(pause, shutdown);
         }
     }
 
-    /// Reads everything once.
+    /// Reads all documents once and logs a failure.
     pub fn read_all(&self) {
         if let Err(error) = self.poll(0) {
-            log_unreachable(self.address, &error);
+            log_read_error(self.address, &error);
         }
     }
 
-    /// Fetches one account (and the root if its subtree needs a newer one) at once.
+    /// Reads the subtree of one account immediately and logs a failure.
     pub fn fetch(&self, account: &str) {
         if let Err(error) = self.read_account(account) {
-            log_unreachable(self.address, &error);
+            log_read_error(self.address, &error);
         }
     }
 
-    /// One long poll and the documents that it names; returns the index to go on from. The index
-    /// moves on only after all of them were read: a document missed by a failed read would
-    /// otherwise never be fetched.
+    /// Sends one long poll, reads the documents that it lists and returns the index for the next
+    /// poll.
+    ///
+    /// If any read fails, the poll fails and its index has to be used again. A document whose read
+    /// failed would otherwise never be fetched.
     pub fn poll(&self, after: u64) -> Result<u64, ReadError> {
         let path = format!("/v1/watch?after={after}&wait_ms={WATCH_WAIT_MS}");
         let body = self.watcher.get(self.address, &path)?;
         let reply: WatchReply = serde_json::from_slice(&body).map_err(|_| ReadError::Decode)?;
-        if reply.changed.iter().any(|name| name == ROOT) {
+        if reply.changed.iter().any(|name| name == ROOT_NAME) {
             self.read_root()?;
         }
-        for name in reply.changed.iter().filter(|name| *name != ROOT) {
+        for name in reply.changed.iter().filter(|name| *name != ROOT_NAME) {
             if self.store.scope().contains(name) {
                 self.read_account(name)?;
             }
@@ -140,7 +146,7 @@
     }
 
     fn read_root(&self) -> Result<(), ReadError> {
-        let yaml = text(self.client.get(self.address, "/v1/root")?)?;
+        let yaml = decode_utf8(self.client.get(self.address, "/v1/root")?)?;
         self.store.offer_root(&yaml, Source::Platform);
         Ok(())
     }
@@ -148,17 +154,17 @@
     fn read_account(&self, name: &str) -> Result<(), ReadError> {
         match self.client.get(self.address, &format!("/v1/accounts/{name}")) {
             Ok(body) => {
-                self.store.offer_account(name, &text(body)?, Source::Platform);
+                self.store.offer_account(name, &decode_utf8(body)?, Source::Platform);
                 Ok(())
             }
-            // The account was withdrawn between the watch and the read.
+            // The account was removed between the watch and the read.
             Err(ClientError::Status(404)) => Ok(()),
             Err(error) => Err(error.into()),
         }
     }
 
-    /// Reads the list of instances once; returns its size in bytes.
-    pub fn read_list(&self) -> Result<usize, ReadError> {
+    /// Reads the instance list once and returns its size in bytes.
+    pub fn read_instance_list(&self) -> Result<usize, ReadError> {
         let body = self.client.get(self.address, "/v1/instances")?;
         let list: InstanceList = serde_json::from_slice(&body).map_err(|_| ReadError::Decode)?;
         self.instances.replace(list);
@@ -166,7 +172,7 @@
     }
 }
 
-/// Time between two reads of a list of `list_bytes`.
+/// Returns the interval between two reads of a list that has `list_bytes` bytes.
 ///
 /// ```
 /// use std::time::Duration;
@@ -175,19 +181,19 @@
 /// assert_eq!(list_interval(2_400_000), Duration::from_secs(1_200));
 /// ```
 pub fn list_interval(list_bytes: usize) -> Duration {
-    let paced = Duration::from_millis(list_bytes as u64 * 1_000 / LIST_BYTES_PER_SECOND);
-    paced.max(LIST_INTERVAL)
+    let interval = Duration::from_millis(list_bytes as u64 * 1_000 / LIST_BYTES_PER_SECOND);
+    interval.max(LIST_INTERVAL_MIN)
 }
 
-/// Sleeps in short steps, so that a long pause does not hold up the shutdown.
-fn wait(pause: Duration, shutdown: &Shutdown) {
+/// Sleeps in short steps, so that a long pause does not delay the shutdown.
+fn sleep_or_shutdown(pause: Duration, shutdown: &Shutdown) {
     let end = Instant::now() + pause;
     while Instant::now() < end && !shutdown.is_requested() {
-        thread::sleep(WANTED_POLL.min(end.saturating_duration_since(Instant::now())));
+        thread::sleep(IDLE_POLL_INTERVAL.min(end.saturating_duration_since(Instant::now())));
     }
 }
 
-fn text(body: Vec<u8>) -> Result<String, ReadError> {
+fn decode_utf8(body: Vec<u8>) -> Result<String, ReadError> {
     String::from_utf8(body).map_err(|_| ReadError::Decode)
 }
 
@@ -200,7 +206,7 @@
     }
 }
 
-fn log_unreachable(address: SocketAddr, error: &ReadError) {
+fn log_read_error(address: SocketAddr, error: &ReadError) {
     let code = match error {
         ReadError::Client(ClientError::Busy { status: 429, .. }) => codes::OVER_READ_BUDGET,
         _ => codes::PLATFORM_UNREACHABLE,
--- a/crates/shell/tests/platform.rs
+++ b/crates/shell/tests/platform.rs
@@ -1,18 +1,18 @@
-//! Contract with the platform's configuration service, played by a fake.
+//! Contract with the platform's configuration service, which a fake server stands in for.
 
 mod common;
 
 use std::sync::Arc;
 
-use common::{nobody, root, serve, store, subtree, versions};
+use common::{root, serve, store, subtree, unused_address, versions};
 use rstest::rstest;
 use shell::http::client::ClientError;
 use shell::http::routes::{Reply, Routes};
 use shell::settings_sync::Scope;
 use shell::settings_sync::instances::Instances;
-use shell::settings_sync::platform::{ReadError, Reader};
+use shell::settings_sync::platform::{PlatformReader, ReadError};
 
-/// Answers of the fake; an empty body means status 404.
+/// Responses of the fake server. An empty body stands for status 404.
 #[derive(Clone, Default)]
 struct Fake {
     watch: &'static str,
@@ -22,11 +22,11 @@
     status: u16,
 }
 
-const ALL: &str = r#"{"index":5,"changed":["root","cascadia","bajio"]}"#;
+const ALL_CHANGED: &str = r#"{"index":5,"changed":["root","cascadia","bajio"]}"#;
 
 fn fake() -> Fake {
     Fake {
-        watch: ALL,
+        watch: ALL_CHANGED,
         root: root(3),
         cascadia: subtree("cascadia", 7),
         bajio: subtree("bajio", 2),
@@ -55,8 +55,8 @@
     ReadError::Client(ClientError::Busy { status, retry_after_ms: 0 })
 }
 
-/// `held` and `expected` are versions in force before and after one poll. Where a read fails the
-/// poll fails, so that its index is asked for again.
+/// `held` and `expected` are the versions in force before and after one poll. If a read fails, the
+/// poll fails, so that the same index is polled again.
 #[rstest]
 #[case::first_read(fake(), Scope::All, &[], Ok(5), &[("bajio", 2), ("cascadia", 7)])]
 #[case::nothing_changed(
@@ -66,14 +66,14 @@
 #[case::only_own_account(
     fake(), Scope::Account("cascadia".into()), &[], Ok(5), &[("cascadia", 7)],
 )]
-#[case::platform_went_back(
+#[case::platform_has_older_version(
     Fake { cascadia: subtree("cascadia", 5), watch: r#"{"index":2,"changed":["cascadia"]}"#, ..fake() },
     Scope::All, &[("cascadia", 6)], Ok(2), &[("cascadia", 6)],
 )]
 #[case::over_budget(
     Fake { status: 429, ..fake() }, Scope::All, &[("cascadia", 6)], Err(busy(429)), &[("cascadia", 6)],
 )]
-#[case::broken_server(
+#[case::server_error(
     Fake { status: 503, ..fake() }, Scope::All, &[], Err(busy(503)), &[],
 )]
 #[case::account_withdrawn(
@@ -91,14 +91,14 @@
     Fake { root: "version: 4\naccounts: {}\n".into(), ..fake() },
     Scope::All, &[("cascadia", 6)], Ok(5), &[("bajio", 2), ("cascadia", 7)],
 )]
-#[case::watch_is_no_json(
+#[case::watch_not_json(
     Fake { watch: "<html>", ..fake() }, Scope::All, &[], Err(ReadError::Decode), &[],
 )]
 #[case::watch_missing(
     Fake { watch: "", ..fake() }, Scope::All, &[],
     Err(ReadError::Client(ClientError::Status(404))), &[],
 )]
-fn poll_fake(
+fn poll_once(
     #[case] fake: Fake,
     #[case] scope: Scope,
     #[case] held: &[(&str, u64)],
@@ -106,7 +106,7 @@
     #[case] expected: &[(&str, u64)],
 ) {
     let store = store(scope, held);
-    let reader = Reader::new(serve(routes(fake)), store.clone(), Arc::default());
+    let reader = PlatformReader::new(serve(routes(fake)), store.clone(), Arc::default());
     assert_eq!(reader.poll(4), result);
     let expected: Vec<(String, u64)> =
         expected.iter().map(|(name, version)| ((*name).to_owned(), *version)).collect();
@@ -116,9 +116,9 @@
 }
 
 #[test]
-fn poll_nobody() {
+fn poll_unreachable_platform() {
     let store = store(Scope::All, &[]);
-    let reader = Reader::new(nobody(), store.clone(), Arc::default());
+    let reader = PlatformReader::new(unused_address(), store.clone(), Arc::default());
     assert!(matches!(reader.poll(0), Err(ReadError::Client(ClientError::Transport(_)))));
     store.mark_peers_asked();
     assert!(!store.is_current());
@@ -130,15 +130,15 @@
 #[case::one_balancer(BALANCER, Ok(BALANCER.len()), 1)]
 #[case::unknown_state(r#"{"instances":[{"state":"odd"}]}"#, Err(ReadError::Decode), 0)]
 #[case::no_list("", Err(ReadError::Client(ClientError::Status(404))), 0)]
-fn read_list_fake(
+fn read_instance_list_once(
     #[case] body: &'static str,
     #[case] result: Result<usize, ReadError>,
     #[case] entries: usize,
 ) {
     let instances: Arc<Instances> = Arc::default();
     let address = serve(Routes::default().get("/v1/instances", move |_| reply(body, 200)));
-    let reader = Reader::new(address, store(Scope::All, &[]), instances.clone());
-    assert_eq!(reader.read_list(), result);
+    let reader = PlatformReader::new(address, store(Scope::All, &[]), instances.clone());
+    assert_eq!(reader.read_instance_list(), result);
     assert_eq!(instances.list().len(), entries);
     assert_eq!(instances.generation(), entries as u64);
 }
