--- a/crates/fuzzing/src/campaign.rs
+++ b/crates/fuzzing/src/campaign.rs
@@ -9,7 +9,7 @@
 use crate::oracle::Violation;
 use crate::shrink;
 use crate::step::{FAULTS, Profile, Step, profiles, steps};
-use crate::world::{Balancing, Sabotage, Setup, Tally, World};
+use crate::world::{Balancing, Defects, Setup, Tally, World};
 
 /// A replayable run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
 }
 
 /// Steps of an episode: most are short, since a fresh world reaches more, and some are long.
-const LENGTHS: [usize; 4] = [60, 150, 400, 1_500];
+const EPISODE_LENGTHS: [usize; 4] = [60, 150, 400, 1_500];
 
 /// Draws an episode.
 ///
@@ -50,11 +50,12 @@
     rng.fill(&mut bytes);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &bytes);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
-    let setup = pick(&mut runner, &setups());
-    let profile = pick(&mut runner, &profiles());
-    let length = pick(&mut runner, &(0..LENGTHS.len()).prop_map(|index| LENGTHS[index]));
+    let setup = sample(&mut runner, &setups());
+    let profile = sample(&mut runner, &profiles());
+    let length =
+        sample(&mut runner, &(0..EPISODE_LENGTHS.len()).prop_map(|index| EPISODE_LENGTHS[index]));
     let strategy = steps(profile);
-    let steps = (0..length).map(|_| pick(&mut runner, &strategy)).collect();
+    let steps = (0..length).map(|_| sample(&mut runner, &strategy)).collect();
     Episode { seed, setup, profile, steps }
 }
 
@@ -75,7 +76,7 @@
     )
 }
 
-fn pick<S: Strategy>(runner: &mut TestRunner, strategy: &S) -> S::Value {
+fn sample<S: Strategy>(runner: &mut TestRunner, strategy: &S) -> S::Value {
     match strategy.new_tree(runner) {
         Ok(tree) => tree.current(),
         Err(reason) => unreachable!("strategies without filters never reject: {reason}"),
@@ -83,8 +84,8 @@
 }
 
 /// Plays an episode; `record` keeps a time line.
-pub fn play(episode: &Episode, sabotage: Sabotage, record: bool) -> (Outcome, World) {
-    let mut world = World::new(&episode.setup, Balancing::Core, sabotage);
+pub fn play(episode: &Episode, defects: Defects, record: bool) -> (Outcome, World) {
+    let mut world = World::new(&episode.setup, Balancing::Core, defects);
     if record {
         world.record();
     }
@@ -104,14 +105,15 @@
 }
 
 /// Leaves out what it can while the same promise still breaks.
-pub fn shrunk(episode: &Episode, sabotage: Sabotage, promise: &str) -> Episode {
+pub fn shrink_episode(episode: &Episode, defects: Defects, promise: &str) -> Episode {
     let breaks = |episode: &Episode| {
-        let (outcome, _) = play(episode, sabotage, false);
+        let (outcome, _) = play(episode, defects, false);
         outcome.violation.is_some_and(|violation| violation.promise == promise)
     };
     let mut best = smaller_setup(episode.clone(), &breaks);
-    let weight: u64 = episode.steps.iter().map(|step| 1 + step.takes_ms() / STEP_MS).sum();
-    let tries = SHRINK_STEPS.div_ceil(weight.try_into().unwrap_or(usize::MAX)).max(TRIES_MIN);
+    let weight: u64 = episode.steps.iter().map(|step| 1 + step.takes_ms() / MS_PER_STEP).sum();
+    let tries =
+        SHRINK_STEPS_MAX.div_ceil(weight.try_into().unwrap_or(usize::MAX)).max(SHRINK_RUNS_MIN);
     let with = |steps: &[Step]| Episode { steps: steps.to_vec(), ..best.clone() };
     let steps = shrink::shrink(best.steps.clone(), tries, |steps| breaks(&with(steps)));
     best.steps = steps;
@@ -146,12 +148,12 @@
 
 /// Steps that the runs of a shrinking may take together. Bounding the runs alone is not enough: an
 /// episode that idles for hours takes seconds a run.
-const SHRINK_STEPS: usize = 200_000;
+const SHRINK_STEPS_MAX: usize = 200_000;
 
 /// Time that weighs as much as a step.
-const STEP_MS: u64 = 100;
+const MS_PER_STEP: u64 = 100;
 /// Fewer runs than this don't shrink at all.
-const TRIES_MIN: usize = 200;
+const SHRINK_RUNS_MIN: usize = 200;
 
 /// Result of many episodes.
 #[derive(Clone, Debug, Default)]
@@ -182,11 +184,11 @@
 /// Plays episodes until a limit is reached.
 ///
 /// Seeds of the episodes follow one another from `seed`, so that any one can be drawn again.
-pub fn run(limits: Limits, seed: u64, sabotage: Sabotage) -> Report {
+pub fn run(limits: Limits, seed: u64, defects: Defects) -> Report {
     let mut report = Report::default();
     while report.steps < limits.steps && report.failures.len() < limits.failures {
         let episode = draw(seed.wrapping_add(report.episodes as u64));
-        let (outcome, _) = play(&episode, sabotage, false);
+        let (outcome, _) = play(&episode, defects, false);
         report.episodes += 1;
         report.steps += outcome.steps;
         report.tally.add(&outcome.tally);
--- a/crates/fuzzing/src/command.rs
+++ b/crates/fuzzing/src/command.rs
@@ -10,7 +10,7 @@
 use crate::direct::{self, Size};
 use crate::oracle::Violation;
 use crate::step::{FAULTS, Step};
-use crate::world::Sabotage;
+use crate::world::Defects;
 
 const HELP: &str = "\
 Usage: cargo xtask fuzz [OPTIONS]
@@ -61,7 +61,7 @@
         return replay(path);
     }
     if let Some(seed) = options.episode {
-        return one_episode(seed, &options);
+        return run_episode(seed, &options);
     }
     long_run(&options)
 }
@@ -89,7 +89,7 @@
             lexopt::Arg::Long("replay") => options.replay = Some(parser.value()?.into()),
             lexopt::Arg::Long("trace") => options.trace = parser.value()?.into(),
             lexopt::Arg::Long("direct") => options.direct = Some(parser.value()?.parse()?),
-            lexopt::Arg::Long("world") => options.world = world(&parser.value()?.string()?)?,
+            lexopt::Arg::Long("world") => options.world = parse_world(&parser.value()?.string()?)?,
             lexopt::Arg::Long("list") => options.list = true,
             lexopt::Arg::Long("mutants") => options.mutants = true,
             lexopt::Arg::Long("help") | lexopt::Arg::Short('h') => return Ok(None),
@@ -99,7 +99,7 @@
     Ok(Some(options))
 }
 
-fn world(name: &str) -> anyhow::Result<Size> {
+fn parse_world(name: &str) -> anyhow::Result<Size> {
     Ok(match name {
         "small" => Size::SMALL,
         "moving" => Size::MOVING,
@@ -132,9 +132,9 @@
 
 fn long_run(options: &Options) -> anyhow::Result<bool> {
     let limits = Limits { steps: options.steps, failures: options.failures };
-    let begun = Instant::now();
-    let report = campaign::run(limits, options.seed, Sabotage::default());
-    let seconds = begun.elapsed().as_secs_f64();
+    let started = Instant::now();
+    let report = campaign::run(limits, options.seed, Defects::default());
+    let seconds = started.elapsed().as_secs_f64();
     print_counts(&report);
     println!(
         "{} steps in {} episodes from seed {}, {seconds:.1} s, {:.0} steps/s",
@@ -147,24 +147,24 @@
         println!("result: every promise held");
         return Ok(true);
     };
-    report.failures.iter().for_each(|(episode, violation)| print_broken(episode, violation));
+    report.failures.iter().for_each(|(episode, violation)| print_violation(episode, violation));
     if !options.list {
         print_failure(episode, violation, &options.trace)?;
     }
     Ok(false)
 }
 
-fn print_broken(episode: &Episode, violation: &Violation) {
+fn print_violation(episode: &Episode, violation: &Violation) {
     let planned = episode.steps.iter().all(Step::is_planned);
     let kind = if planned { "planned change only" } else { "with faults" };
     println!("broken: {} (episode {}, {kind})", violation.promise, episode.seed);
 }
 
-fn one_episode(seed: u64, options: &Options) -> anyhow::Result<bool> {
+fn run_episode(seed: u64, options: &Options) -> anyhow::Result<bool> {
     let episode = campaign::draw(seed);
-    let (outcome, _) = campaign::play(&episode, Sabotage::default(), false);
+    let (outcome, _) = campaign::play(&episode, Defects::default(), false);
     match outcome.violation {
-        Some(violation) if options.list => print_broken(&episode, &violation),
+        Some(violation) if options.list => print_violation(&episode, &violation),
         Some(violation) => print_failure(&episode, &violation, &options.trace)?,
         None => println!("result: every promise held in {} steps", outcome.steps),
     }
@@ -190,17 +190,17 @@
 
 fn print_failure(episode: &Episode, violation: &Violation, trace: &Path) -> anyhow::Result<()> {
     println!("result: BROKEN PROMISE {} in episode seed {}", violation.promise, episode.seed);
-    let small = campaign::shrunk(episode, Sabotage::default(), violation.promise);
-    println!("shrunk from {} to {} steps:", episode.steps.len(), small.steps.len());
-    print_timeline(&small, false);
-    let text = serde_json::to_string_pretty(&small)?;
+    let shrunk = campaign::shrink_episode(episode, Defects::default(), violation.promise);
+    println!("shrunk from {} to {} steps:", episode.steps.len(), shrunk.steps.len());
+    print_timeline(&shrunk, false);
+    let text = serde_json::to_string_pretty(&shrunk)?;
     std::fs::write(trace, text).with_context(|| format!("writing {}", trace.display()))?;
     println!("replay: cargo xtask fuzz --replay {}", trace.display());
     Ok(())
 }
 
 fn print_timeline(episode: &Episode, full: bool) -> bool {
-    let (outcome, world) = campaign::play(episode, Sabotage::default(), true);
+    let (outcome, world) = campaign::play(episode, Defects::default(), true);
     for line in world.timeline(full) {
         println!("{line}");
     }
@@ -223,15 +223,18 @@
 fn mutants(steps_max: usize) -> anyhow::Result<bool> {
     let mut all_caught = true;
     println!("{:<24} {:>8} {:>8}  promise", "mutant", "seed", "steps");
-    for prey in crate::mutants::TABLE {
-        let name = format!("{:?}", prey.mutant);
-        match crate::mutants::hunt(prey, steps_max) {
-            Some(catch) => {
-                println!("{name:<24} {:>8} {:>8}  {}", catch.seed, catch.steps, catch.promise);
+    for case in crate::mutants::CASES {
+        let name = format!("{:?}", case.mutant);
+        match crate::mutants::detect(case, steps_max) {
+            Some(detection) => {
+                println!(
+                    "{name:<24} {:>8} {:>8}  {}",
+                    detection.seed, detection.steps, detection.promise
+                );
             }
             None => {
                 all_caught = false;
-                println!("{name:<24} {:>8}  escaped", prey.seed);
+                println!("{name:<24} {:>8}  escaped", case.seed);
             }
         }
     }
--- a/crates/fuzzing/src/step.rs
+++ b/crates/fuzzing/src/step.rs
@@ -128,7 +128,7 @@
 ];
 
 /// How long a change without a duration of its own counts as going on, for pairs of faults.
-const AFTERMATH_MS: u64 = 3_000;
+const RECOVERY_MS: u64 = 3_000;
 
 impl Step {
     /// The kind of fault or planned change that the step starts and how long it lasts.
@@ -153,20 +153,18 @@
             Self::Pause { lasts_ms, .. } | Self::PauseAll { lasts_ms } => {
                 (Fault::Pause, lasts_ms.into())
             }
-            Self::CrashAgent { gap_ms, .. } => {
-                (Fault::CrashAgent, AFTERMATH_MS + u64::from(gap_ms))
-            }
-            Self::CrashHost { gap_ms, .. } => (Fault::CrashHost, AFTERMATH_MS + u64::from(gap_ms)),
+            Self::CrashAgent { gap_ms, .. } => (Fault::CrashAgent, RECOVERY_MS + u64::from(gap_ms)),
+            Self::CrashHost { gap_ms, .. } => (Fault::CrashHost, RECOVERY_MS + u64::from(gap_ms)),
             Self::Outage { lasts_ms } => (Fault::Outage, lasts_ms.into()),
-            Self::StaleRead { .. } | Self::StaleBalancer { .. } => (Fault::StaleRead, AFTERMATH_MS),
-            Self::Lie { .. } => (Fault::Lie, AFTERMATH_MS),
-            Self::Hint { .. } => (Fault::Hint, AFTERMATH_MS),
-            Self::Suspect { .. } => (Fault::Suspect, AFTERMATH_MS),
+            Self::StaleRead { .. } | Self::StaleBalancer { .. } => (Fault::StaleRead, RECOVERY_MS),
+            Self::Lie { .. } => (Fault::Lie, RECOVERY_MS),
+            Self::Hint { .. } => (Fault::Hint, RECOVERY_MS),
+            Self::Suspect { .. } => (Fault::Suspect, RECOVERY_MS),
             Self::RedeployAgent { gap_ms, .. } => {
-                (Fault::Redeploy, AFTERMATH_MS + u64::from(gap_ms))
+                (Fault::Redeploy, RECOVERY_MS + u64::from(gap_ms))
             }
-            Self::Publish { lag_ms, .. } => (Fault::Settings, AFTERMATH_MS + u64::from(lag_ms)),
-            Self::ReplaceBalancer { .. } => (Fault::Balancer, AFTERMATH_MS),
+            Self::Publish { lag_ms, .. } => (Fault::Settings, RECOVERY_MS + u64::from(lag_ms)),
+            Self::ReplaceBalancer { .. } => (Fault::Balancer, RECOVERY_MS),
         };
         Some((fault, lasts_ms))
     }
@@ -284,7 +282,7 @@
 
 /// Strategy over the steps of a profile.
 pub fn steps(profile: Profile) -> BoxedStrategy<Step> {
-    let mut arms: Vec<(u32, BoxedStrategy<Step>)> = load(profile);
+    let mut arms: Vec<(u32, BoxedStrategy<Step>)> = traffic_arms(profile);
     if profile.idles {
         arms.push((1, (1..=95u8).prop_map(|minutes| Step::Idle { minutes }).boxed()));
     }
@@ -294,7 +292,7 @@
     Union::new_weighted(arms).boxed()
 }
 
-fn load(profile: Profile) -> Vec<(u32, BoxedStrategy<Step>)> {
+fn traffic_arms(profile: Profile) -> Vec<(u32, BoxedStrategy<Step>)> {
     vec![
         (40, (0..=profile.advance_ms).prop_map(|ms| Step::Advance { ms }).boxed()),
         (22, any::<u8>().prop_map(|pick| Step::Open { pick }).boxed()),
--- a/crates/fuzzing/src/world/agents.rs
+++ b/crates/fuzzing/src/world/agents.rs
@@ -14,14 +14,14 @@
 use super::fleet::{self, Occupant, SERVICES, Versions};
 use super::network::mix;
 use super::upstreams::Upstream;
-use super::{Carried, Due, Node, World};
-use crate::oracle::{Life, Seen};
+use super::{CallerPacket, Node, QueuedEvent, World};
+use crate::oracle::{IncarnationId, Observation};
 use crate::step::Report;
 
 /// What reaches an agent's process.
 #[derive(Clone, Debug)]
 pub(super) enum Incoming {
-    Packet { packet: Packet, carried: Carried },
+    Packet { packet: Packet, caller_packet: CallerPacket },
     Control { from: UpstreamId, to: UpstreamId, service: ServiceId, message: Message },
     View(Arc<View>),
     Report(Report),
@@ -32,7 +32,7 @@
 impl Incoming {
     pub(super) fn hash(&self) -> u64 {
         match self {
-            Self::Packet { packet, carried } => hash_of(&(packet.hops, carried)),
+            Self::Packet { packet, caller_packet } => hash_of(&(packet.hops, caller_packet)),
             Self::Control { from, message, .. } => {
                 hash_of(&(from, std::mem::discriminant(message)))
             }
@@ -59,7 +59,7 @@
 
 impl<T> Process<T> {
     /// True if the process runs; else the item is kept for later.
-    pub(super) fn takes(&mut self, now_ms: u64, item: T) -> bool {
+    pub(super) fn accept_or_queue(&mut self, now_ms: u64, item: T) -> bool {
         if self.paused_until_ms <= now_ms {
             return true;
         }
@@ -70,7 +70,7 @@
     }
 
     /// What has queued up.
-    pub(super) fn wake(&mut self, now_ms: u64) -> Vec<T> {
+    pub(super) fn take_backlog(&mut self, now_ms: u64) -> Vec<T> {
         if self.paused_until_ms > now_ms {
             return Vec::new();
         }
@@ -91,18 +91,18 @@
 /// One life of an agent with its shell.
 #[derive(Debug)]
 pub(super) struct Shell {
-    pub(super) life: Life,
+    pub(super) incarnation: IncarnationId,
     pub(super) id: UpstreamId,
     pub(super) service: ServiceId,
     pub(super) versions: Versions,
     pub(super) view: Arc<View>,
-    pub(super) held: Vec<(HoldKey, Packet, Carried, u64)>,
+    pub(super) held: Vec<(HoldKey, Packet, CallerPacket, u64)>,
     pub(super) fetching: bool,
     pub(super) agent: Agent,
     clock_offset_ms: u64,
     leaving: bool,
     reported_draining: bool,
-    told: bool,
+    known_draining: bool,
     ticks: u64,
 }
 
@@ -116,7 +116,7 @@
         self.agent.open_flows()
     }
 
-    fn is_told(&self) -> bool {
+    fn knows_draining(&self) -> bool {
         let upstream = self
             .view
             .find_service(self.service)
@@ -136,10 +136,11 @@
     /// Starts a fresh upstream and an agent beside it.
     pub(super) fn start_host(&mut self, host: usize, occupant: Occupant) {
         let Some((service, _)) = occupant else { return };
-        let life = self.new_life();
+        let incarnation = self.new_incarnation();
         self.hosts[host] = Host { occupant, ..Host::default() };
-        self.hosts[host].upstream = Some(Upstream::new(life, SERVICES[service].is_datagram()));
-        self.note(|| format!("host {host}: upstream of {occupant:?} starts as life {life}"));
+        self.hosts[host].upstream =
+            Some(Upstream::new(incarnation, SERVICES[service].is_datagram()));
+        self.note(|| format!("host {host}: upstream of {occupant:?} starts as life {incarnation}"));
         self.start_agent(host, false);
     }
 
@@ -150,29 +151,29 @@
             return;
         }
         if self.now_ms > 0 {
-            self.started_ms = self.now_ms;
+            self.last_agent_start_ms = self.now_ms;
         }
-        let life = self.new_life();
+        let incarnation = self.new_incarnation();
         let versions = self.known_settings();
         let view = self.fleet.view(versions);
         let kind = SERVICES[service];
         let config = AgentConfig {
             upstream: kind.upstream(name),
             service: kind.id(),
-            incarnation: Incarnation(life),
+            incarnation: Incarnation(incarnation),
             may_have_prior_flows,
-            seed: mix(self.seed ^ life),
+            seed: mix(self.seed ^ incarnation),
         };
-        let clock_offset_ms = mix(self.seed ^ life << 20) % CLOCK_SPREAD_MS;
+        let clock_offset_ms = mix(self.seed ^ incarnation << 20) % CLOCK_SPREAD_MS;
         let now = Millis(clock_offset_ms + self.now_ms);
         self.note(|| format!("host {host}: agent starts, {config:?}, settings {versions:?}"));
         #[allow(unused_mut, reason = "only mutants change it")]
         let mut agent = Agent::new(config.clone(), view.clone(), now);
         #[cfg(feature = "mutants")]
-        agent.set_mutant(self.sabotage.mutant);
+        agent.set_mutant(self.defects.mutant);
         self.hosts[host].process = Process::default();
         self.hosts[host].agent = Some(Shell {
-            life,
+            incarnation,
             id: config.upstream,
             service: config.service,
             versions,
@@ -183,27 +184,32 @@
             clock_offset_ms,
             leaving: false,
             reported_draining: false,
-            told: false,
+            known_draining: false,
             ticks: 0,
         });
-        self.tell(host);
-        self.schedule(1 + life % MAX_TICK_INTERVAL_MS, Due::Tick { host, life });
+        self.observe_draining(host);
+        self.schedule(
+            1 + incarnation % MAX_TICK_INTERVAL_MS,
+            QueuedEvent::Tick { host, incarnation },
+        );
     }
 
     /// Hands something to the agent, or keeps it while the process stands still.
     pub(super) fn at_agent(&mut self, host: usize, incoming: Incoming) {
         let now_ms = self.now_ms;
         let target = &mut self.hosts[host];
-        if target.agent.is_some() && target.process.takes(now_ms, incoming.clone()) {
-            self.take_in(host, incoming);
+        if target.agent.is_some() && target.process.accept_or_queue(now_ms, incoming.clone()) {
+            self.handle_incoming(host, incoming);
         }
     }
 
-    pub(super) fn take_in(&mut self, host: usize, incoming: Incoming) {
+    pub(super) fn handle_incoming(&mut self, host: usize, incoming: Incoming) {
         let now_ms = self.now_ms;
         let Some(shell) = &mut self.hosts[host].agent else { return };
         let event = match incoming {
-            Incoming::Packet { packet, carried } => return self.take_packet(host, packet, carried),
+            Incoming::Packet { packet, caller_packet } => {
+                return self.process_packet(host, packet, caller_packet);
+            }
             // The seal on a control message names the service, and the message its receiver.
             Incoming::Control { service, .. } if service != shell.service => return,
             Incoming::Control { to, .. } if to != shell.id => return,
@@ -221,31 +227,33 @@
         };
         let mut actions = Vec::new();
         shell.agent.handle(shell.clock(now_ms), event, &mut actions);
-        self.tell(host);
+        self.observe_draining(host);
         self.perform(host, actions);
     }
 
-    fn take_packet(&mut self, host: usize, packet: Packet, carried: Carried) {
+    fn process_packet(&mut self, host: usize, packet: Packet, caller_packet: CallerPacket) {
         let now_ms = self.now_ms;
-        if carried.is_dead(now_ms) {
+        if caller_packet.is_dead(now_ms) {
             return;
         }
         let Some(shell) = &mut self.hosts[host].agent else { return };
         let mut actions = Vec::new();
         let verdict = shell.agent.handle_packet(shell.clock(now_ms), &packet, &mut actions);
         self.perform(host, actions);
-        self.decide(host, packet, carried, verdict);
+        self.apply_verdict(host, packet, caller_packet, verdict);
     }
 
-    pub(super) fn tick(&mut self, host: usize, life: Life) {
+    pub(super) fn tick(&mut self, host: usize, incarnation: IncarnationId) {
         let now_ms = self.now_ms;
         let paused_until_ms = self.hosts[host].process.paused_until_ms;
-        let Some(shell) = self.hosts[host].agent.as_mut().filter(|shell| shell.life == life) else {
+        let Some(shell) =
+            self.hosts[host].agent.as_mut().filter(|shell| shell.incarnation == incarnation)
+        else {
             return;
         };
         if paused_until_ms > now_ms {
             // Not the end of the pause: the end of the episode may cut it short.
-            self.schedule(MAX_TICK_INTERVAL_MS, Due::Tick { host, life });
+            self.schedule(MAX_TICK_INTERVAL_MS, QueuedEvent::Tick { host, incarnation });
             return;
         }
         shell.ticks += 1;
@@ -255,56 +263,56 @@
         self.perform(host, actions);
         if report {
             self.report(host);
-            self.weigh(host);
+            self.observe_tables(host);
         }
-        self.schedule(MAX_TICK_INTERVAL_MS, Due::Tick { host, life });
+        self.schedule(MAX_TICK_INTERVAL_MS, QueuedEvent::Tick { host, incarnation });
     }
 
     fn report(&mut self, host: usize) {
         let now_ms = self.now_ms;
         let target = &mut self.hosts[host];
         let (Some(shell), Some(upstream)) = (&mut target.agent, &target.upstream) else { return };
-        let lie = target.report.unwrap_or(Report::Honest);
+        let reported = target.report.unwrap_or(Report::Honest);
         let open_flows = upstream.connections.len() as u32;
         let report = UpstreamReport {
-            healthy: lie != Report::Sick,
-            draining: lie == Report::Draining,
-            shedding: lie == Report::Shedding,
-            open_flows: match lie {
+            healthy: reported != Report::Sick,
+            draining: reported == Report::Draining,
+            shedding: reported == Report::Shedding,
+            open_flows: match reported {
                 Report::Empty => 0,
                 Report::Full => u32::MAX,
                 _ => open_flows,
             },
-            age_ms: Some(if lie == Report::Empty { 0 } else { 600_000 }),
+            age_ms: Some(if reported == Report::Empty { 0 } else { 600_000 }),
         };
         shell.reported_draining = report.draining;
         let mut actions = Vec::new();
         shell.agent.handle(shell.clock(now_ms), Event::Upstream(report), &mut actions);
-        self.tell(host);
+        self.observe_draining(host);
         self.perform(host, actions);
     }
 
     /// Shows the oracle whether the agent knows that its upstream takes no openings.
-    fn tell(&mut self, host: usize) {
+    fn observe_draining(&mut self, host: usize) {
         let Some(shell) = &mut self.hosts[host].agent else { return };
-        let told = shell.is_told();
-        if told != shell.told {
-            shell.told = told;
-            let agent = shell.life;
-            self.see(Seen::Told { agent, leaving: told });
+        let known_draining = shell.knows_draining();
+        if known_draining != shell.known_draining {
+            shell.known_draining = known_draining;
+            let agent = shell.incarnation;
+            self.observe(Observation::Told { agent, leaving: known_draining });
         }
     }
 
-    fn weigh(&mut self, host: usize) {
+    fn observe_tables(&mut self, host: usize) {
         let Some(shell) = &self.hosts[host].agent else { return };
         let flows_begun = self.callers.iter().map(|caller| caller.nonce as usize).sum::<usize>();
-        let seen = Seen::Tables {
-            agent: shell.life,
+        let seen = Observation::Tables {
+            agent: shell.incarnation,
             flows: shell.open_flows(),
             flows_begun,
             held: shell.held.len(),
         };
-        self.see(seen);
+        self.observe(seen);
     }
 
     fn perform(&mut self, host: usize, actions: Vec<Action>) {
@@ -315,7 +323,7 @@
                 Action::FetchSettings { .. } => self.fetch(host),
                 // Balancers take agents for down when a step says so, rightly or wrongly.
                 Action::Report(_) => {}
-                Action::Record(note) => self.observe(host, note),
+                Action::Record(note) => self.record_entry(host, note),
             }
         }
     }
@@ -323,10 +331,10 @@
     fn send_control(&mut self, host: usize, to: UpstreamId, message: Message) {
         let Some(shell) = &self.hosts[host].agent else { return };
         let Some(target) = address_of(shell, to) else { return };
-        let (from, service, life) = (shell.id, shell.service, shell.life);
+        let (from, service, incarnation) = (shell.id, shell.service, shell.incarnation);
         self.tally.control += 1;
         if let Message::Heartbeat(heartbeat) = &message {
-            self.see(Seen::InForce { agent: life, version: heartbeat.view.0 });
+            self.observe(Observation::InForce { agent: incarnation, version: heartbeat.view.0 });
         } else {
             self.note(|| format!("host {host} -> host {target}: {message:?}"));
         }
--- a/crates/fuzzing/src/world/balancers.rs
+++ b/crates/fuzzing/src/world/balancers.rs
@@ -12,7 +12,7 @@
 use super::agents::{Incoming, Process};
 use super::callers::Inner;
 use super::fleet::{self, Versions};
-use super::{Carried, Due, Node, World};
+use super::{CallerPacket, Node, QueuedEvent, World};
 use crate::oracle::Request;
 
 /// How packets are spread.
@@ -46,7 +46,7 @@
     pub(super) versions: Versions,
     pub(super) router: Router,
     pub(super) down: Vec<decision::keys::UpstreamId>,
-    pub(super) process: Process<Carried>,
+    pub(super) process: Process<CallerPacket>,
 }
 
 impl Balancer {
@@ -62,29 +62,29 @@
 }
 
 impl World {
-    pub(super) fn at_balancer(&mut self, balancer: usize, carried: Carried) {
+    pub(super) fn at_balancer(&mut self, balancer: usize, caller_packet: CallerPacket) {
         let now_ms = self.now_ms;
-        if !self.balancers[balancer].process.takes(now_ms, carried) {
+        if !self.balancers[balancer].process.accept_or_queue(now_ms, caller_packet) {
             return;
         }
-        self.forward(balancer, carried);
+        self.forward(balancer, caller_packet);
     }
 
-    pub(super) fn forward(&mut self, balancer: usize, carried: Carried) {
-        if carried.is_dead(self.now_ms) {
+    pub(super) fn forward(&mut self, balancer: usize, caller_packet: CallerPacket) {
+        if caller_packet.is_dead(self.now_ms) {
             return;
         }
-        let request = carried.inner.request();
-        let flow = carried.flow;
+        let request = caller_packet.inner.request();
+        let flow = caller_packet.flow;
         let router = &self.balancers[balancer].router;
         let Some(service) = router.service(fleet::endpoint(request.service)) else { return };
         if let Balancing::Direct(policy) = &mut self.balancing {
             let view = router.view();
-            let opening = matches!(carried.inner, Inner::Open(_));
+            let opening = matches!(caller_packet.inner, Inner::Open(_));
             let input = DirectInput { balancer, view, service, flow, opening };
             let Some(upstream) = policy(&input) else { return };
             let host = fleet::host_at(view.upstream(upstream).spec.agent_address);
-            self.deliver(host, carried, Forwarding::Direct);
+            self.deliver(host, caller_packet, Forwarding::Direct);
             return;
         }
         let Some(route) = router.route(service, flow) else { return };
@@ -93,22 +93,26 @@
         let packet = Packet {
             service: view.service(service).id,
             flow,
-            kind: kind(carried.inner),
-            sequence: carried.sequence,
+            kind: kind(caller_packet.inner),
+            sequence: caller_packet.sequence,
             view: view.account(view.service(service).account).version,
             hops: 0,
             forwarding: Forwarding::Direct,
         };
-        self.send(Node::Balancer(balancer), host, Incoming::Packet { packet, carried });
+        self.send(Node::Balancer(balancer), host, Incoming::Packet { packet, caller_packet });
     }
 
     /// Sends from process to process.
     pub(super) fn send(&mut self, from: Node, host: usize, incoming: Incoming) {
-        if self.network.cuts(self.now_ms, from, Node::Host(host)) {
+        if self.network.separates(self.now_ms, from, Node::Host(host)) {
             return;
         }
         let hash = hash_of(&(from, host, incoming.hash()));
-        self.transmit_over(hash, || Due::AtAgent { from, host, incoming: incoming.clone() });
+        self.transmit_over(hash, || QueuedEvent::AtAgent {
+            from,
+            host,
+            incoming: incoming.clone(),
+        });
     }
 }
 
@@ -122,8 +126,8 @@
 /// Initial sequence number of the connection that a request opens: another one for each caller, and far
 /// from that of its last connection.
 pub(super) fn initial_sequence(request: Request) -> u32 {
-    const APART: u32 = 0x9e37_79b1;
-    ((request.caller as u32) << 16 | request.nonce).wrapping_mul(APART)
+    const SPREAD: u32 = 0x9e37_79b1;
+    ((request.caller as u32) << 16 | request.nonce).wrapping_mul(SPREAD)
 }
 
 fn kind(inner: Inner) -> PacketKind {
--- a/crates/fuzzing/src/world/callers.rs
+++ b/crates/fuzzing/src/world/callers.rs
@@ -67,12 +67,12 @@
     Idle,
     /// Waits for the answer to its opening.
     Opening,
-    /// Flow open; `waits` while a packet is not acknowledged.
+    /// Flow open; `unacknowledged` while a packet is not acknowledged.
     Open {
         /// Connection that it knows.
         token: Token,
         /// Whether a packet of it is not acknowledged.
-        waits: bool,
+        unacknowledged: bool,
     },
     /// Has sent its FIN.
     Closing {
@@ -96,7 +96,7 @@
     /// Whether its last flow ended by its own reset, after which ports may be used again at once.
     aborted: bool,
     /// True time of the last answer of any kind, or at which it gave up.
-    heard_ms: u64,
+    last_reply_ms: u64,
     /// Where it stands.
     pub(super) phase: Phase,
     /// Counts its openings.
@@ -106,7 +106,7 @@
     /// Counts its timers; an older one is void.
     pub(super) timer: u32,
     /// True time of its opening's first transmission.
-    pub(super) born_ms: u64,
+    pub(super) first_sent_ms: u64,
     /// True time of the last answer in its flow.
     pub(super) answered_ms: u64,
     /// What became of its last opening.
@@ -129,11 +129,11 @@
 /// Transmissions before a caller gives up: the last SYN of Linux is sent after 31 s.
 const TRIES_MAX: u32 = 6;
 /// First retransmission of an opening or FIN; doubled each time.
-const OPENING_MS: u64 = 1_000;
+const OPENING_RETRANSMIT_MS: u64 = 1_000;
 /// First retransmission in an open flow; doubled each time.
-const RETRANSMIT_MS: u64 = 200;
+const FLOW_RETRANSMIT_MS: u64 = 200;
 /// Longest time between two transmissions in an open flow.
-const RETRANSMIT_MAX_MS: u64 = 4_000;
+const FLOW_RETRANSMIT_MAX_MS: u64 = 4_000;
 
 /// How long a caller's own system keeps the ports of an orderly ended flow from being used again.
 const TIME_WAIT_MS: u64 = 60_000;
@@ -153,12 +153,12 @@
             port: 0,
             seed,
             aborted: false,
-            heard_ms: 0,
+            last_reply_ms: 0,
             phase,
             nonce: 0,
             tries: 0,
             timer: 0,
-            born_ms: 0,
+            first_sent_ms: 0,
             answered_ms: 0,
             outcome: Outcome::Unknown,
         }
@@ -172,7 +172,7 @@
     /// The packet that it transmits, again and again, until it is answered.
     pub(super) fn pending(&self) -> Option<Inner> {
         match self.phase {
-            Phase::Idle | Phase::Open { waits: false, .. } => None,
+            Phase::Idle | Phase::Open { unacknowledged: false, .. } => None,
             Phase::Opening => Some(Inner::Open(self.request())),
             Phase::Open { token, .. } => Some(Inner::Middle(self.request(), token)),
             Phase::Closing { token } => Some(Inner::Finish(self.request(), token)),
@@ -181,14 +181,14 @@
 
     /// Begins an opening.
     pub(super) fn open(&mut self, now_ms: u64) {
-        let rested = self.nonce == 0 || now_ms >= self.heard_ms + TIME_WAIT_MS;
-        if !rested && !self.aborted && !SERVICES[self.service].is_datagram() {
+        let ports_reusable = self.nonce == 0 || now_ms >= self.last_reply_ms + TIME_WAIT_MS;
+        if !ports_reusable && !self.aborted && !SERVICES[self.service].is_datagram() {
             self.port += 1;
             self.flow = flow(self.seed, self.number, self.port);
         }
         self.aborted = false;
         self.nonce += 1;
-        self.born_ms = now_ms;
+        self.first_sent_ms = now_ms;
         self.outcome = Outcome::Unknown;
         self.enter(Phase::Opening);
     }
@@ -210,25 +210,25 @@
     pub(super) fn transmit(&mut self, now_ms: u64) -> Option<u64> {
         let persistent = matches!(self.phase, Phase::Open { .. });
         if self.tries >= TRIES_MAX && !persistent {
-            self.heard_ms = now_ms;
+            self.last_reply_ms = now_ms;
             self.enter(Phase::Idle);
             return None;
         }
         self.tries += 1;
         if persistent {
-            return Some((RETRANSMIT_MS << self.tries.min(5)).min(RETRANSMIT_MAX_MS));
+            return Some((FLOW_RETRANSMIT_MS << self.tries.min(5)).min(FLOW_RETRANSMIT_MAX_MS));
         }
-        Some(OPENING_MS << (self.tries - 1))
+        Some(OPENING_RETRANSMIT_MS << (self.tries - 1))
     }
 
     /// Takes in an answer; returns a packet that it sends at once besides the pending one.
-    pub(super) fn hear(&mut self, now_ms: u64, reply: Reply) -> Option<Inner> {
+    pub(super) fn receive(&mut self, now_ms: u64, reply: Reply) -> Option<Inner> {
         let request = self.request();
-        self.heard_ms = now_ms;
+        self.last_reply_ms = now_ms;
         match (self.phase, reply) {
             (Phase::Opening, Reply::Accepted { request: known, token }) if known == request => {
                 self.outcome = Outcome::Served;
-                self.enter(Phase::Open { token, waits: true });
+                self.enter(Phase::Open { token, unacknowledged: true });
             }
             (Phase::Opening, Reply::Done { request: known }) if known == request => {
                 self.outcome = Outcome::Served;
@@ -244,7 +244,7 @@
             }
             (Phase::Open { token, .. }, Reply::Acknowledged { token: known }) if known == token => {
                 self.answered_ms = now_ms;
-                self.enter(Phase::Open { token, waits: false });
+                self.enter(Phase::Open { token, unacknowledged: false });
             }
             (Phase::Open { token, .. }, Reply::Reset { token: known }) if known == token => {
                 self.enter(Phase::Idle);
--- a/crates/fuzzing/src/world/faults.rs
+++ b/crates/fuzzing/src/world/faults.rs
@@ -5,8 +5,8 @@
 use super::callers::Phase;
 use super::fleet::{SERVICES, pick_of};
 use super::network::{Partition, Weather};
-use super::{Due, Node, World};
-use crate::oracle::{Life, Seen};
+use super::{Node, QueuedEvent, World};
+use crate::oracle::{IncarnationId, Observation};
 use crate::step::{Report, Step};
 
 /// Time that a leaving agent has before its process ends.
@@ -18,8 +18,10 @@
         match *step {
             Step::Advance { .. } | Step::Idle { .. } => self.advance(step.takes_ms()),
             Step::Open { pick } => self.open(pick),
-            Step::Send { pick } => self.speak(pick, |token| Phase::Open { token, waits: true }),
-            Step::Finish { pick } => self.speak(pick, |token| Phase::Closing { token }),
+            Step::Send { pick } => {
+                self.send_in_flow(pick, |token| Phase::Open { token, unacknowledged: true })
+            }
+            Step::Finish { pick } => self.send_in_flow(pick, |token| Phase::Closing { token }),
             Step::Abort { pick } => self.abort(pick),
             Step::Publish { service, change, pick, lag_ms } => {
                 self.publish(service, change, pick, lag_ms);
@@ -54,7 +56,7 @@
                 self.outage_until_ms = self.outage_until_ms.max(now_ms + u64::from(lasts_ms));
             }
             Step::StaleRead { pick, behind } => self.stale_read(pick, behind),
-            Step::Lie { pick, report } => self.lie(pick, report),
+            Step::Lie { pick, report } => self.override_report(pick, report),
             Step::Hint { pick, peer, alive } => self.hint(pick, peer, alive),
             Step::Suspect { pick, down } => self.suspect(pick, down),
         }
@@ -68,7 +70,7 @@
         self.transmit(caller);
     }
 
-    fn speak(&mut self, pick: u8, phase: impl Fn(super::upstreams::Token) -> Phase) {
+    fn send_in_flow(&mut self, pick: u8, phase: impl Fn(super::upstreams::Token) -> Phase) {
         let Some((caller, token)) = self.pick_open(pick) else { return };
         self.callers[caller].enter(phase(token));
         self.transmit(caller);
@@ -100,20 +102,20 @@
             Node::Host(host) => &mut self.hosts[host].process.paused_until_ms,
         };
         *paused_until_ms = until_ms.max(*paused_until_ms);
-        self.schedule(lasts_ms, Due::Wake { node });
+        self.schedule(lasts_ms, QueuedEvent::Wake { node });
     }
 
     pub(super) fn wake(&mut self, node: Node) {
         let now_ms = self.now_ms;
         match node {
             Node::Balancer(balancer) => {
-                for carried in self.balancers[balancer].process.wake(now_ms) {
-                    self.forward(balancer, carried);
+                for caller_packet in self.balancers[balancer].process.take_backlog(now_ms) {
+                    self.forward(balancer, caller_packet);
                 }
             }
             Node::Host(host) => {
-                for incoming in self.hosts[host].process.wake(now_ms) {
-                    self.take_in(host, incoming);
+                for incoming in self.hosts[host].process.take_backlog(now_ms) {
+                    self.handle_incoming(host, incoming);
                 }
             }
         }
@@ -125,36 +127,39 @@
 
     fn redeploy(&mut self, pick: u8, gap_ms: u64) {
         let Some(&host) = pick_of(&self.running(), pick) else { return };
-        let Some(life) = self.hosts[host].agent.as_ref().map(|shell| shell.life) else { return };
+        let Some(incarnation) = self.hosts[host].agent.as_ref().map(|shell| shell.incarnation)
+        else {
+            return;
+        };
         self.at_agent(host, Incoming::Leave);
-        self.schedule(GRACE_MS, Due::StopAgent { host, life, gap_ms });
+        self.schedule(GRACE_MS, QueuedEvent::StopAgent { host, incarnation, gap_ms });
     }
 
     /// The end of an orderly shutdown, unless the agent has died before.
-    pub(super) fn stop_agent(&mut self, host: usize, life: Life, gap_ms: u64) {
-        if self.hosts[host].agent.as_ref().is_some_and(|shell| shell.life == life) {
-            self.lose(host, false);
-            self.note(|| format!("host {host}: agent life {life} ends"));
+    pub(super) fn stop_agent(&mut self, host: usize, incarnation: IncarnationId, gap_ms: u64) {
+        if self.hosts[host].agent.as_ref().is_some_and(|shell| shell.incarnation == incarnation) {
+            self.record_loss(host, false);
+            self.note(|| format!("host {host}: agent life {incarnation} ends"));
             self.hosts[host].agent = None;
-            self.schedule(gap_ms, Due::StartAgent { host });
+            self.schedule(gap_ms, QueuedEvent::StartAgent { host });
         }
     }
 
     fn crash_agent(&mut self, pick: u8, gap_ms: u64) {
         let Some(&host) = pick_of(&self.running(), pick) else { return };
         self.note(|| format!("host {host}: agent dies"));
-        self.lose(host, true);
+        self.record_loss(host, true);
         self.hosts[host].agent = None;
-        self.schedule(gap_ms, Due::StartAgent { host });
+        self.schedule(gap_ms, QueuedEvent::StartAgent { host });
     }
 
     fn crash_host(&mut self, pick: u8, gap_ms: u64) {
         let Some(&host) = pick_of(&self.running(), pick) else { return };
         let occupant = self.hosts[host].occupant;
-        self.lose(host, true);
+        self.record_loss(host, true);
         self.kill(host);
         if self.is_listed(occupant) {
-            self.schedule(gap_ms, Due::StartHost { host, occupant });
+            self.schedule(gap_ms, QueuedEvent::StartHost { host, occupant });
         } else {
             self.hosts[host].occupant = None;
         }
@@ -165,8 +170,8 @@
         self.hosts[host].agent = None;
         self.hosts[host].process = Process::default();
         if let Some(upstream) = self.hosts[host].upstream.take() {
-            self.note(|| format!("host {host}: upstream life {} is gone", upstream.life));
-            self.see(Seen::UpstreamDied { upstream: upstream.life });
+            self.note(|| format!("host {host}: upstream life {} is gone", upstream.incarnation));
+            self.observe(Observation::UpstreamDied { upstream: upstream.incarnation });
         }
     }
 
@@ -184,29 +189,32 @@
         };
         let retired: Vec<usize> = (0..self.hosts.len()).filter(retired).collect();
         let Some(&host) = pick_of(&retired, pick) else { return };
-        let Some(life) = self.hosts[host].agent.as_ref().map(|shell| shell.life) else { return };
+        let Some(incarnation) = self.hosts[host].agent.as_ref().map(|shell| shell.incarnation)
+        else {
+            return;
+        };
         self.at_agent(host, Incoming::Leave);
-        self.schedule(GRACE_MS, Due::StopHost { host, life });
+        self.schedule(GRACE_MS, QueuedEvent::StopHost { host, incarnation });
     }
 
     /// Ends a retired upstream, unless it has flows again or is wanted again. Its agent was told to end
     /// and does so in any case: beside an upstream that is wanted again, the next one starts at once.
-    pub(super) fn stop_host(&mut self, host: usize, life: Life) {
+    pub(super) fn stop_host(&mut self, host: usize, incarnation: IncarnationId) {
         let target = &self.hosts[host];
-        let same = target.agent.as_ref().is_some_and(|shell| shell.life == life);
+        let same = target.agent.as_ref().is_some_and(|shell| shell.incarnation == incarnation);
         let idle = target.upstream.as_ref().is_some_and(|known| known.connections.is_empty());
         if !same {
             return;
         }
         if self.is_listed(target.occupant) {
-            self.stop_agent(host, life, 0);
+            self.stop_agent(host, incarnation, 0);
             return;
         }
         if idle {
             self.kill(host);
             self.hosts[host].occupant = None;
         } else {
-            self.schedule(GRACE_MS, Due::StopHost { host, life });
+            self.schedule(GRACE_MS, QueuedEvent::StopHost { host, incarnation });
         }
     }
 
@@ -227,7 +235,7 @@
         self.at_agent(host, Incoming::View(view));
     }
 
-    fn lie(&mut self, pick: u8, report: Report) {
+    fn override_report(&mut self, pick: u8, report: Report) {
         let Some(&host) = pick_of(&self.running(), pick) else { return };
         self.at_agent(host, Incoming::Report(report));
     }
--- a/crates/fuzzing/src/world/fleet.rs
+++ b/crates/fuzzing/src/world/fleet.rs
@@ -23,7 +23,7 @@
 
 /// What never changes about a service.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Kind {
+pub(super) struct ServiceKind {
     /// Name.
     pub(super) name: &'static str,
     /// Index into [`ACCOUNTS`].
@@ -35,20 +35,20 @@
 }
 
 /// The services, one for each kind of promise.
-pub(super) const SERVICES: [Kind; 3] = [
-    Kind {
+pub(super) const SERVICES: [ServiceKind; 3] = [
+    ServiceKind {
         name: "shelf",
         account: 0,
         transport: Transport::Tcp,
         when_in_doubt: WhenInDoubt::Admit,
     },
-    Kind {
+    ServiceKind {
         name: "confirm",
         account: 0,
         transport: Transport::Udp,
         when_in_doubt: WhenInDoubt::Refuse,
     },
-    Kind {
+    ServiceKind {
         name: "fitting",
         account: 1,
         transport: Transport::Tcp,
@@ -56,7 +56,7 @@
     },
 ];
 
-impl Kind {
+impl ServiceKind {
     /// Id of the service.
     pub(super) fn id(&self) -> ServiceId {
         ServiceId::of(ACCOUNTS[self.account], self.name)
@@ -90,7 +90,7 @@
 
 /// What a published change asks the hosts to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Demand {
+pub(super) enum HostAction {
     /// Only the settings change.
     Nothing,
     /// Start this upstream on this host.
@@ -121,7 +121,7 @@
         let mut host = 0;
         let mut services = Vec::new();
         for &size in sizes {
-            let listed = (0..size).map(|name| initial(name, host + name)).collect();
+            let listed = (0..size).map(|name| new_listed(name, host + name)).collect();
             services.push(listed);
             host += size;
         }
@@ -173,31 +173,31 @@
         change: Change,
         pick: u8,
         hosts: &[Occupant],
-    ) -> Option<Demand> {
+    ) -> Option<HostAction> {
         let account = SERVICES[service].account;
         let version = self.history[account].len() + 1;
-        let demand = match change {
+        let action = match change {
             Change::Add => self.add(service, version, pick, hosts)?,
-            Change::Return => self.bring_back(service, version, pick, hosts)?,
+            Change::Return => self.restore_retired(service, version, pick, hosts)?,
             Change::Drain => self.drain(service, pick)?,
             Change::Undrain => {
                 self.pick(service, UpstreamState::Draining, pick)?.state = UpstreamState::Active;
-                Demand::Nothing
+                HostAction::Nothing
             }
             Change::Retire => {
                 let listed = self.pick(service, UpstreamState::Draining, pick)?;
                 listed.state = UpstreamState::Retired;
                 listed.retired = Some(version);
-                Demand::Nothing
+                HostAction::Nothing
             }
             Change::Reweigh => {
                 self.pick(service, UpstreamState::Active, pick)?.weight = 1 + u32::from(pick) * 3;
-                Demand::Nothing
+                HostAction::Nothing
             }
         };
         let spec = self.spec(account, version);
         self.history[account].push(spec);
-        Some(demand)
+        Some(action)
     }
 
     fn add(
@@ -206,49 +206,49 @@
         version: usize,
         pick: u8,
         hosts: &[Occupant],
-    ) -> Option<Demand> {
+    ) -> Option<HostAction> {
         let name = self.services[service].len();
         let free: Vec<usize> = (0..hosts.len()).filter(|host| hosts[*host].is_none()).collect();
         let host = *pick_of(&free, pick)?;
-        if name >= NAMES_MAX || self.unretired(service) >= LISTED_MAX {
+        if name >= NAMES_MAX || self.count_unretired(service) >= LISTED_MAX {
             return None;
         }
-        self.services[service].push(Listed { since: version, ..initial(name, host) });
-        Some(Demand::Start { name, host })
+        self.services[service].push(Listed { since: version, ..new_listed(name, host) });
+        Some(HostAction::Start { name, host })
     }
 
-    fn bring_back(
+    fn restore_retired(
         &mut self,
         service: usize,
         version: usize,
         pick: u8,
         hosts: &[Occupant],
-    ) -> Option<Demand> {
-        if self.unretired(service) >= LISTED_MAX {
+    ) -> Option<HostAction> {
+        if self.count_unretired(service) >= LISTED_MAX {
             return None;
         }
         let listed = self.pick(service, UpstreamState::Retired, pick)?;
         let (name, host) = (listed.name, listed.host);
-        let demand = match hosts[host] {
-            None => Demand::Start { name, host },
-            Some(occupant) if occupant == (service, name) => Demand::Nothing,
+        let action = match hosts[host] {
+            None => HostAction::Start { name, host },
+            Some(occupant) if occupant == (service, name) => HostAction::Nothing,
             Some(_) => return None,
         };
-        *listed = Listed { since: version, ..initial(name, host) };
-        Some(demand)
+        *listed = Listed { since: version, ..new_listed(name, host) };
+        Some(action)
     }
 
     /// Keeps one upstream active, so that refusing everything is never right.
-    fn drain(&mut self, service: usize, pick: u8) -> Option<Demand> {
+    fn drain(&mut self, service: usize, pick: u8) -> Option<HostAction> {
         let active = |listed: &&Listed| listed.state == UpstreamState::Active;
         if self.services[service].iter().filter(active).count() < 2 {
             return None;
         }
         self.pick(service, UpstreamState::Active, pick)?.state = UpstreamState::Draining;
-        Some(Demand::Nothing)
+        Some(HostAction::Nothing)
     }
 
-    fn unretired(&self, service: usize) -> usize {
+    fn count_unretired(&self, service: usize) -> usize {
         let retired = |listed: &&Listed| listed.state != UpstreamState::Retired;
         self.services[service].iter().filter(retired).count()
     }
@@ -306,7 +306,7 @@
     candidates.get(usize::from(pick).checked_rem(candidates.len())?)
 }
 
-fn initial(name: usize, host: usize) -> Listed {
+fn new_listed(name: usize, host: usize) -> Listed {
     Listed { name, host, state: UpstreamState::Active, weight: 100, since: 1, retired: None }
 }
 
--- a/crates/fuzzing/src/world/heal.rs
+++ b/crates/fuzzing/src/world/heal.rs
@@ -4,8 +4,8 @@
 
 use super::callers::{Outcome, Phase};
 use super::faults::GRACE_MS;
-use super::{Due, Node, World};
-use crate::oracle::{Promise, Seen};
+use super::{Node, QueuedEvent, World};
+use crate::oracle::{Observation, Promise};
 use crate::step::Report;
 
 /// Time for the fleet to settle after the last fault.
@@ -13,7 +13,7 @@
 /// Time for a caller to be answered once the fleet has settled.
 const ANSWER_MS: u64 = 20_000;
 /// Time after which ended flows are out of every table.
-const FORGET_MS: u64 = 200_000;
+const EXPIRY_MS: u64 = 200_000;
 /// Longer than a restarted witness abstains (`CLAIM_TTL_MS`).
 const ABSTAIN_MS: u64 = 125_000;
 /// Longest time that an agent holds a packet.
@@ -30,23 +30,24 @@
         self.note(|| "all faults end".to_owned());
         self.end_faults();
         self.advance(SETTLE_MS);
-        let abstains = self.started_ms > 0 && self.now_ms < self.started_ms + ABSTAIN_MS;
+        let abstains =
+            self.last_agent_start_ms > 0 && self.now_ms < self.last_agent_start_ms + ABSTAIN_MS;
         self.check_service(|promise| !(promise.at_most_once && abstains));
         self.check_held();
         if self.patient {
             self.advance(ABSTAIN_MS);
             self.check_service(|promise| promise.at_most_once);
-            self.check_forgetting();
+            self.check_flow_tables();
         }
     }
 
     /// Probes open flows and the services for which `openings` holds, and judges the answers.
     fn check_service(&mut self, openings: impl Fn(Promise) -> bool) {
-        let asked_ms = self.now_ms;
+        let probed_ms = self.now_ms;
         let probes = self.probe(openings);
         self.advance(ANSWER_MS);
         if self.violation.is_none() {
-            self.check_answers(asked_ms, &probes);
+            self.check_answers(probed_ms, &probes);
             self.check_refusals(&probes);
         }
     }
@@ -63,24 +64,24 @@
         }
         let versions = self.fleet.newest();
         for node in self.nodes() {
-            self.schedule(0, Due::Settings { node, versions });
+            self.schedule(0, QueuedEvent::Settings { node, versions });
         }
         for balancer in &mut self.balancers {
             balancer.down.clear();
         }
         for host in 0..self.hosts.len() {
             self.hosts[host].report = Some(Report::Honest);
-            self.revive(host);
+            self.restart(host);
         }
     }
 
-    fn revive(&mut self, host: usize) {
+    fn restart(&mut self, host: usize) {
         let target = &self.hosts[host];
         let occupant = target.occupant;
         if target.upstream.is_some() {
-            self.schedule(0, Due::StartAgent { host });
+            self.schedule(0, QueuedEvent::StartAgent { host });
         } else if self.is_listed(occupant) {
-            self.schedule(0, Due::StartHost { host, occupant });
+            self.schedule(0, QueuedEvent::StartHost { host, occupant });
         }
     }
 
@@ -90,7 +91,7 @@
         for caller in 0..self.callers.len() {
             match self.callers[caller].phase {
                 Phase::Open { token, .. } => {
-                    self.callers[caller].enter(Phase::Open { token, waits: true });
+                    self.callers[caller].enter(Phase::Open { token, unacknowledged: true });
                     self.transmit(caller);
                 }
                 Phase::Idle if openings(Self::promise(self.callers[caller].service)) => {
@@ -104,17 +105,17 @@
         opened
     }
 
-    fn check_answers(&mut self, asked_ms: u64, probes: &[usize]) {
+    fn check_answers(&mut self, probed_ms: u64, probes: &[usize]) {
         for caller in self.callers.clone() {
             let request = caller.request();
             match caller.phase {
                 Phase::Open { token, .. }
-                    if self.is_held(token) && caller.answered_ms < asked_ms =>
+                    if self.is_held(token) && caller.answered_ms < probed_ms =>
                 {
-                    self.see(Seen::Stuck { request });
+                    self.observe(Observation::Stuck { request });
                 }
                 _ if probes.contains(&caller.number) && caller.outcome == Outcome::Unknown => {
-                    self.see(Seen::Unanswered { request });
+                    self.observe(Observation::Unanswered { request });
                 }
                 _ => {}
             }
@@ -133,7 +134,7 @@
                 && self.has_room(service)
                 && probes.all(|caller| caller.outcome == Outcome::Refused)
             {
-                self.see(Seen::Shut { service });
+                self.observe(Observation::Shut { service });
             }
         }
     }
@@ -151,7 +152,7 @@
 
     /// Ended flows leave the agents' tables. Faults may leave entries without a flow behind, which
     /// only time or room removes, so only planned change is judged.
-    fn check_forgetting(&mut self) {
+    fn check_flow_tables(&mut self) {
         if self.violation.is_some() || self.faulted {
             return;
         }
@@ -161,13 +162,13 @@
                 self.transmit(caller);
             }
         }
-        self.advance(FORGET_MS);
+        self.advance(EXPIRY_MS);
         for host in 0..self.hosts.len() {
             let target = &self.hosts[host];
             let (Some(shell), Some(upstream)) = (&target.agent, &target.upstream) else { continue };
             let flows = shell.agent.open_flows();
             if !upstream.datagrams && flows > upstream.connections.len() {
-                self.see(Seen::Remembered { agent: shell.life, flows });
+                self.observe(Observation::Remembered { agent: shell.incarnation, flows });
             }
         }
     }
@@ -179,10 +180,10 @@
         }
         for host in 0..self.hosts.len() {
             let Some(shell) = &self.hosts[host].agent else { continue };
-            let agent = shell.life;
+            let agent = shell.incarnation;
             let old = |since_ms: u64| since_ms + HELD_MS < self.now_ms;
             if shell.held.iter().any(|(.., since_ms)| old(*since_ms)) {
-                self.see(Seen::HeldBack { agent });
+                self.observe(Observation::HeldBack { agent });
             }
         }
     }
--- a/crates/fuzzing/src/world/losses.rs
+++ b/crates/fuzzing/src/world/losses.rs
@@ -9,11 +9,11 @@
 use decision::view::UpstreamState;
 
 use super::World;
-use crate::oracle::Seen;
+use crate::oracle::Observation;
 use crate::step::Step;
 
 /// Deaths at a time that an open flow survives.
-const SURVIVED: usize = 2;
+const SURVIVED_DEATHS: usize = 2;
 /// Time in which peers tell a restarted agent what it held and what others hold.
 const REPAIR_MS: u64 = 10_000;
 
@@ -29,13 +29,13 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Losses {
     losses: Vec<Loss>,
-    /// True time until which the network or a pause may hinder any repair.
-    hindered_until_ms: u64,
+    /// True time until which the network or a pause may delay any repair.
+    repairs_delayed_until_ms: u64,
 }
 
 impl Losses {
     /// Repairs take longer while processes can't talk.
-    pub(super) fn hinder(&mut self, now_ms: u64, step: &Step) {
+    pub(super) fn delay_repairs(&mut self, now_ms: u64, step: &Step) {
         let lasts_ms = match *step {
             Step::Weather { lasts_ms, .. }
             | Step::Partition { lasts_ms, .. }
@@ -44,14 +44,14 @@
             _ => return,
         };
         let until_ms = now_ms + u64::from(lasts_ms);
-        self.hindered_until_ms = self.hindered_until_ms.max(until_ms);
+        self.repairs_delayed_until_ms = self.repairs_delayed_until_ms.max(until_ms);
         for loss in self.losses.iter_mut().filter(|loss| loss.until_ms > now_ms) {
             loss.until_ms = loss.until_ms.max(until_ms + REPAIR_MS);
         }
     }
 
     fn add(&mut self, now_ms: u64, service: usize, host: usize, died: bool) {
-        let until_ms = now_ms.max(self.hindered_until_ms) + REPAIR_MS;
+        let until_ms = now_ms.max(self.repairs_delayed_until_ms) + REPAIR_MS;
         self.losses.retain(|loss| loss.until_ms > now_ms);
         self.losses.push(Loss { service, host, died, until_ms });
     }
@@ -69,7 +69,7 @@
 
 impl World {
     /// An agent has lost its memory, by dying or by an orderly restart.
-    pub(super) fn lose(&mut self, host: usize, died: bool) {
+    pub(super) fn record_loss(&mut self, host: usize, died: bool) {
         let Some((service, _)) = self.hosts[host].occupant else { return };
         self.losses.add(self.now_ms, service, host, died);
         let dead = self.losses.hosts(service, true);
@@ -80,7 +80,7 @@
             .all(|listed| lost.contains(&listed.host));
         if all {
             self.excuse(&lost);
-        } else if dead.len() > SURVIVED {
+        } else if dead.len() > SURVIVED_DEATHS {
             self.excuse(&dead);
         }
     }
@@ -90,7 +90,7 @@
             let Some(upstream) = &self.hosts[*host].upstream else { continue };
             let requests: Vec<_> = upstream.connections.iter().map(|known| known.request).collect();
             for request in requests {
-                self.see(Seen::Forgotten { request });
+                self.observe(Observation::Forgotten { request });
             }
         }
     }
--- a/crates/fuzzing/src/world/mod.rs
+++ b/crates/fuzzing/src/world/mod.rs
@@ -24,13 +24,13 @@
 
 pub use balancers::{Balancing, DirectInput, DirectPolicy};
 
-use crate::oracle::{Life, Oracle, Seen, Violation};
+use crate::oracle::{IncarnationId, Observation, Oracle, Violation};
 use crate::step::Step;
 use agents::Incoming;
 use balancers::Balancer;
 use callers::{Caller, Inner, Reply};
 use fleet::{Fleet, Occupant, SERVICES, Versions};
-use network::{LIFETIME_MS, Network, mix};
+use network::{Network, PACKET_LIFETIME_MS, mix};
 
 /// What an episode starts from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -76,7 +76,7 @@
 
 /// A caller's packet on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Carried {
+struct CallerPacket {
     /// The packet.
     inner: Inner,
     /// The caller's address and ports.
@@ -87,56 +87,56 @@
     sent_ms: u64,
 }
 
-impl std::hash::Hash for Carried {
+impl std::hash::Hash for CallerPacket {
     /// The sequence number follows from the rest.
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
         (self.inner, self.flow, self.sent_ms).hash(state);
     }
 }
 
-impl Carried {
+impl CallerPacket {
     fn is_dead(&self, now_ms: u64) -> bool {
-        self.sent_ms + LIFETIME_MS < now_ms
+        self.sent_ms + PACKET_LIFETIME_MS < now_ms
     }
 }
 
 #[derive(Clone, Debug)]
-enum Due {
-    AtBalancer { balancer: usize, carried: Carried },
+enum QueuedEvent {
+    AtBalancer { balancer: usize, caller_packet: CallerPacket },
     AtAgent { from: Node, host: usize, incoming: Incoming },
     AtCaller { caller: usize, reply: Reply },
     Timer { caller: usize, timer: u32 },
-    Tick { host: usize, life: Life },
+    Tick { host: usize, incarnation: IncarnationId },
     Wake { node: Node },
     Settings { node: Node, versions: Versions },
     StartAgent { host: usize },
     StartHost { host: usize, occupant: Occupant },
-    StopAgent { host: usize, life: Life, gap_ms: u64 },
-    StopHost { host: usize, life: Life },
+    StopAgent { host: usize, incarnation: IncarnationId, gap_ms: u64 },
+    StopHost { host: usize, incarnation: IncarnationId },
 }
 
 #[derive(Debug)]
-struct Queued {
+struct QueueEntry {
     due_ms: u64,
     sequence: u64,
-    what: Due,
+    event: QueuedEvent,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for QueueEntry {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Queued {}
+impl Eq for QueueEntry {}
 
-impl PartialOrd for Queued {
+impl PartialOrd for QueueEntry {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
+impl Ord for QueueEntry {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.due_ms, self.sequence).cmp(&(other.due_ms, other.sequence))
     }
@@ -188,9 +188,9 @@
 pub struct World {
     now_ms: u64,
     seed: u64,
-    queue: BinaryHeap<Reverse<Queued>>,
+    queue: BinaryHeap<Reverse<QueueEntry>>,
     sequence: u64,
-    lives: Life,
+    incarnations: IncarnationId,
     fleet: Fleet,
     network: Network,
     outage_until_ms: u64,
@@ -202,19 +202,19 @@
     faulted: bool,
     patient: bool,
     /// True time of the last restart of an agent, zero before the first.
-    started_ms: u64,
+    last_agent_start_ms: u64,
     losses: losses::Losses,
     violation: Option<Violation>,
     tally: Tally,
     timeline: Option<Vec<String>>,
     flows: Vec<(decision::keys::FlowId, String)>,
     #[cfg_attr(not(feature = "mutants"), expect(dead_code, reason = "nothing to take out"))]
-    sabotage: Sabotage,
+    defects: Defects,
 }
 
 /// What is broken on purpose; nothing unless the feature `mutants` is on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sabotage {
+pub struct Defects {
     /// A safeguard that is taken out of every agent.
     #[cfg(feature = "mutants")]
     pub mutant: Option<decision::agent::Mutant>,
@@ -225,7 +225,7 @@
 
 impl World {
     /// A world in which all agents have just started beside fresh upstreams.
-    pub fn new(setup: &Setup, balancing: Balancing, sabotage: Sabotage) -> Self {
+    pub fn new(setup: &Setup, balancing: Balancing, defects: Defects) -> Self {
         let hosts = setup.sizes.iter().sum::<usize>() + SPARE_HOSTS;
         let callers = (0..setup.sizes.len() * setup.callers)
             .map(|number| Caller::new(number, number % setup.sizes.len(), setup.seed))
@@ -235,7 +235,7 @@
             seed: setup.seed,
             queue: BinaryHeap::new(),
             sequence: 0,
-            lives: 0,
+            incarnations: 0,
             fleet: Fleet::new(&setup.sizes, setup.max_flows),
             network: Network::default(),
             outage_until_ms: 0,
@@ -246,13 +246,13 @@
             oracle: Oracle::default(),
             faulted: false,
             patient: setup.patient,
-            started_ms: 0,
+            last_agent_start_ms: 0,
             losses: losses::Losses::default(),
             violation: None,
             tally: Tally::default(),
             timeline: None,
             flows: Vec::new(),
-            sabotage,
+            defects,
         };
         world.start(setup.balancers.clamp(1, BALANCERS_MAX));
         world
@@ -263,9 +263,9 @@
         self.note(|| format!("step {step:?}"));
         if !step.is_planned() {
             self.faulted = true;
-            self.see(Seen::Fault);
+            self.observe(Observation::Fault);
         }
-        self.losses.hinder(self.now_ms, step);
+        self.losses.delay_repairs(self.now_ms, step);
         self.change(step);
     }
 
@@ -273,13 +273,13 @@
     pub fn advance(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
         while self.violation.is_none() {
-            let next_ms = self.queue.peek().map(|Reverse(queued)| queued.due_ms);
+            let next_ms = self.queue.peek().map(|Reverse(entry)| entry.due_ms);
             if next_ms.is_none_or(|next_ms| next_ms > until_ms) {
                 break;
             }
-            if let Some(Reverse(queued)) = self.queue.pop() {
-                self.now_ms = queued.due_ms;
-                self.handle(queued.what);
+            if let Some(Reverse(entry)) = self.queue.pop() {
+                self.now_ms = entry.due_ms;
+                self.handle(entry.event);
             }
         }
         self.now_ms = until_ms;
@@ -312,57 +312,61 @@
         self.advance(WARM_UP_MS);
     }
 
-    fn handle(&mut self, due: Due) {
+    fn handle(&mut self, due: QueuedEvent) {
         match due {
-            Due::AtBalancer { balancer, carried } => self.at_balancer(balancer, carried),
-            Due::AtAgent { from, host, incoming } => {
-                if !self.network.cuts(self.now_ms, from, Node::Host(host)) {
+            QueuedEvent::AtBalancer { balancer, caller_packet } => {
+                self.at_balancer(balancer, caller_packet)
+            }
+            QueuedEvent::AtAgent { from, host, incoming } => {
+                if !self.network.separates(self.now_ms, from, Node::Host(host)) {
                     self.at_agent(host, incoming);
                 }
             }
-            Due::AtCaller { caller, reply } => self.at_caller(caller, reply),
-            Due::Timer { caller, timer } if self.callers[caller].timer == timer => {
+            QueuedEvent::AtCaller { caller, reply } => self.at_caller(caller, reply),
+            QueuedEvent::Timer { caller, timer } if self.callers[caller].timer == timer => {
                 self.transmit(caller);
             }
-            Due::Timer { .. } => {}
-            Due::Tick { host, life } => self.tick(host, life),
-            Due::Wake { node } => self.wake(node),
-            Due::Settings { node, versions } => self.settings_arrive(node, versions),
-            Due::StartAgent { host } => self.start_agent(host, true),
-            Due::StartHost { host, occupant } => {
+            QueuedEvent::Timer { .. } => {}
+            QueuedEvent::Tick { host, incarnation } => self.tick(host, incarnation),
+            QueuedEvent::Wake { node } => self.wake(node),
+            QueuedEvent::Settings { node, versions } => self.receive_settings(node, versions),
+            QueuedEvent::StartAgent { host } => self.start_agent(host, true),
+            QueuedEvent::StartHost { host, occupant } => {
                 if self.hosts[host].upstream.is_none() {
                     self.start_host(host, occupant);
                 }
             }
-            Due::StopAgent { host, life, gap_ms } => self.stop_agent(host, life, gap_ms),
-            Due::StopHost { host, life } => self.stop_host(host, life),
+            QueuedEvent::StopAgent { host, incarnation, gap_ms } => {
+                self.stop_agent(host, incarnation, gap_ms)
+            }
+            QueuedEvent::StopHost { host, incarnation } => self.stop_host(host, incarnation),
         }
     }
 
-    fn schedule(&mut self, delay_ms: u64, what: Due) {
+    fn schedule(&mut self, delay_ms: u64, event: QueuedEvent) {
         self.sequence += 1;
         let due_ms = self.now_ms + delay_ms;
-        self.queue.push(Reverse(Queued { due_ms, sequence: self.sequence, what }));
+        self.queue.push(Reverse(QueueEntry { due_ms, sequence: self.sequence, event }));
     }
 
     /// Schedules the copies of a packet that the network lets through.
-    fn transmit_over(&mut self, hash: u64, what: impl Fn() -> Due) {
+    fn transmit_over(&mut self, hash: u64, event: impl Fn() -> QueuedEvent) {
         let hash = mix(hash ^ self.seed ^ mix(self.now_ms));
-        for delay_ms in self.network.fates(self.now_ms, hash) {
-            self.schedule(delay_ms, what());
+        for delay_ms in self.network.delays(self.now_ms, hash) {
+            self.schedule(delay_ms, event());
         }
     }
 
-    fn see(&mut self, seen: Seen) {
-        if let Err(violation) = self.oracle.see(self.now_ms, seen) {
+    fn observe(&mut self, seen: Observation) {
+        if let Err(violation) = self.oracle.observe(self.now_ms, seen) {
             self.note(|| format!("VIOLATION {}: {:?}", violation.promise, violation.seen));
             self.violation.get_or_insert(violation);
         }
     }
 
-    fn new_life(&mut self) -> Life {
-        self.lives += 1;
-        self.lives
+    fn new_incarnation(&mut self) -> IncarnationId {
+        self.incarnations += 1;
+        self.incarnations
     }
 
     fn promise(service: usize) -> crate::oracle::Promise {
--- a/crates/fuzzing/src/world/network.rs
+++ b/crates/fuzzing/src/world/network.rs
@@ -30,7 +30,7 @@
 /// No copy of an opening arrives later than this after the caller first sent it, and no other
 /// packet later than this after it was sent. The core can't remember for ever, so copies must die
 /// out before it forgets (`CLAIM_TTL_MS`); TCP itself relies on the same bound.
-pub(super) const LIFETIME_MS: u64 = 110_000;
+pub(super) const PACKET_LIFETIME_MS: u64 = 110_000;
 /// Longest delay of a packet without any trouble.
 const JITTER_MS: u64 = 2;
 
@@ -45,7 +45,7 @@
 
 impl Network {
     /// Whether a packet between two processes is stopped by a partition.
-    pub(super) fn cuts(&self, now_ms: u64, from: Node, to: Node) -> bool {
+    pub(super) fn separates(&self, now_ms: u64, from: Node, to: Node) -> bool {
         let (from, to) = (from.bit(), to.bit());
         let cut =
             |partition: &Partition| ((partition.side >> from) ^ (partition.side >> to)) & 1 == 1;
@@ -53,7 +53,7 @@
     }
 
     /// Delays of the copies that arrive, none to two, for a packet with this hash.
-    pub(super) fn fates(&self, now_ms: u64, hash: u64) -> Vec<u64> {
+    pub(super) fn delays(&self, now_ms: u64, hash: u64) -> Vec<u64> {
         let mut copies = 1;
         let mut delay_ms = 1 + mix(hash) % JITTER_MS;
         for (index, weather) in self.weather.iter().enumerate() {
@@ -67,7 +67,7 @@
             if (draw >> 16) % 100 < u64::from(weather.copy_percent) {
                 copies = 2;
             }
-            delay_ms += skewed(draw >> 32, weather.delay_ms);
+            delay_ms += skewed_delay(draw >> 32, weather.delay_ms);
         }
         let copy = |copy: u64| delay_ms + copy * (1 + mix(hash ^ copy) % delay_ms.max(10));
         (0..copies).map(copy).collect()
@@ -80,7 +80,7 @@
 }
 
 /// Half of the delays are short, so that order changes among packets that meet.
-fn skewed(draw: u64, longest_ms: u64) -> u64 {
+fn skewed_delay(draw: u64, longest_ms: u64) -> u64 {
     let longest_ms = if draw & 1 == 0 { longest_ms.min(50) } else { longest_ms };
     (draw >> 1) % (longest_ms + 1)
 }
--- a/crates/fuzzing/src/world/settings.rs
+++ b/crates/fuzzing/src/world/settings.rs
@@ -2,8 +2,8 @@
 
 use super::agents::Incoming;
 use super::balancers::hash_of;
-use super::fleet::{Demand, Occupant, Versions};
-use super::{Due, Node, World};
+use super::fleet::{HostAction, Occupant, Versions};
+use super::{Node, QueuedEvent, World};
 use crate::step::Change;
 
 /// Time to fetch settings on demand.
@@ -14,16 +14,16 @@
     pub(super) fn publish(&mut self, service: u8, change: Change, pick: u8, lag_ms: u32) {
         let service = usize::from(service) % self.fleet.service_count();
         let hosts: Vec<Occupant> = self.hosts.iter().map(|host| host.occupant).collect();
-        let Some(demand) = self.fleet.publish(service, change, pick, &hosts) else { return };
+        let Some(action) = self.fleet.publish(service, change, pick, &hosts) else { return };
         let newest = self.fleet.newest();
         let listed = self.fleet.listed(service).to_vec();
         self.note(|| format!("published {newest:?}: {listed:?}"));
-        if let Demand::Start { name, host } = demand {
+        if let HostAction::Start { name, host } = action {
             self.start_host(host, Some((service, name)));
         }
         for node in self.nodes() {
             let delay_ms = hash_of(&(node, newest, pick)) % (u64::from(lag_ms) + 1);
-            self.schedule(delay_ms, Due::Settings { node, versions: newest });
+            self.schedule(delay_ms, QueuedEvent::Settings { node, versions: newest });
         }
     }
 
@@ -34,7 +34,7 @@
     }
 
     /// Hands settings to a process. A shell never goes back by itself.
-    pub(super) fn settings_arrive(&mut self, node: Node, versions: Versions) {
+    pub(super) fn receive_settings(&mut self, node: Node, versions: Versions) {
         if self.outage_until_ms > self.now_ms {
             return;
         }
@@ -73,7 +73,7 @@
         let versions = self.fleet.newest();
         let Some(shell) = &mut self.hosts[host].agent else { return };
         if !std::mem::replace(&mut shell.fetching, true) {
-            self.schedule(FETCH_MS, Due::Settings { node: Node::Host(host), versions });
+            self.schedule(FETCH_MS, QueuedEvent::Settings { node: Node::Host(host), versions });
         }
     }
 }
--- a/crates/fuzzing/src/world/upstreams.rs
+++ b/crates/fuzzing/src/world/upstreams.rs
@@ -3,13 +3,13 @@
 use decision::keys::FlowId;
 
 use super::callers::{Inner, Reply};
-use crate::oracle::{Life, Request};
+use crate::oracle::{IncarnationId, Request};
 
 /// Names one connection of one life of an upstream, as its initial sequence number would.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Token {
-    /// Life of the upstream.
-    pub(super) life: Life,
+    /// Incarnation of the upstream.
+    pub(super) life: IncarnationId,
     /// Counts its connections.
     pub(super) number: u32,
 }
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Upstream {
     /// This life.
-    pub(super) life: Life,
+    pub(super) incarnation: IncarnationId,
     /// Datagram requests are answered at once and leave no connection.
     pub(super) datagrams: bool,
     /// Connections sorted by flow.
@@ -59,8 +59,8 @@
 
 impl Upstream {
     /// A fresh upstream.
-    pub(super) fn new(life: Life, datagrams: bool) -> Self {
-        Self { life, datagrams, connections: Vec::new(), begun: 0 }
+    pub(super) fn new(incarnation: IncarnationId, datagrams: bool) -> Self {
+        Self { incarnation, datagrams, connections: Vec::new(), begun: 0 }
     }
 
     /// The connection called `token`, if this life still holds it.
@@ -97,7 +97,7 @@
             return reply(Reply::Challenge { request, token: known.token });
         }
         self.begun += 1;
-        let token = Token { life: self.life, number: self.begun };
+        let token = Token { life: self.incarnation, number: self.begun };
         let connection = Connection { flow, request, token, established: false, since_ms: now_ms };
         let index = self.connections.partition_point(|known| known.flow < flow);
         self.connections.insert(index, connection);
--- a/crates/fuzzing/src/world/verdicts.rs
+++ b/crates/fuzzing/src/world/verdicts.rs
@@ -7,27 +7,27 @@
 use super::callers::{Inner, Phase, Reply};
 use super::network::mix;
 use super::upstreams::Token;
-use super::{Carried, Due, Node, World};
-use crate::oracle::Seen;
+use super::{CallerPacket, Node, QueuedEvent, World};
+use crate::oracle::Observation;
 
 impl World {
     /// Carries out the verdict about a packet.
-    pub(super) fn decide(
+    pub(super) fn apply_verdict(
         &mut self,
         host: usize,
         packet: Packet,
-        carried: Carried,
+        caller_packet: CallerPacket,
         verdict: Verdict,
     ) {
-        self.note(|| format!("host {host}: {:?} {:?} -> {verdict:?}", carried.inner, packet));
+        self.note(|| format!("host {host}: {:?} {:?} -> {verdict:?}", caller_packet.inner, packet));
         match verdict {
-            Verdict::Deliver => self.deliver(host, carried, packet.forwarding),
+            Verdict::Deliver => self.deliver(host, caller_packet, packet.forwarding),
             Verdict::Drop(_) => {}
-            Verdict::Refuse(_) => self.refuse(&packet, carried),
+            Verdict::Refuse(_) => self.refuse(&packet, caller_packet),
             Verdict::Hold(key) => {
                 let now_ms = self.now_ms;
                 let Some(shell) = &mut self.hosts[host].agent else { return };
-                shell.held.push((key, packet, carried, now_ms));
+                shell.held.push((key, packet, caller_packet, now_ms));
             }
             Verdict::Forward { to, forwarding } => {
                 let Some(shell) = &self.hosts[host].agent else { return };
@@ -37,7 +37,7 @@
                 let packet =
                     Packet { hops: packet.hops.saturating_add(1), forwarding, view, ..packet };
                 self.tally.forwarded += 1;
-                self.send(Node::Host(host), target, Incoming::Packet { packet, carried });
+                self.send(Node::Host(host), target, Incoming::Packet { packet, caller_packet });
             }
         }
     }
@@ -46,59 +46,64 @@
     pub(super) fn resolve(&mut self, host: usize, key: HoldKey, verdict: Verdict) {
         let Some(shell) = &mut self.hosts[host].agent else { return };
         let Some(index) = shell.held.iter().position(|(held, ..)| *held == key) else { return };
-        let (_, packet, carried, _) = shell.held.remove(index);
-        self.decide(host, packet, carried, verdict);
+        let (_, packet, caller_packet, _) = shell.held.remove(index);
+        self.apply_verdict(host, packet, caller_packet, verdict);
     }
 
     /// Shows the oracle what an agent has noted.
-    pub(super) fn observe(&mut self, host: usize, note: TimelineEntry) {
+    pub(super) fn record_entry(&mut self, host: usize, note: TimelineEntry) {
         self.note(|| format!("host {host}: {note:?}"));
         let Some(shell) = &self.hosts[host].agent else { return };
         if let TimelineEntry::ViewInstalled(version) = note {
-            let agent = shell.life;
-            self.see(Seen::InForce { agent, version: version.0 });
+            let agent = shell.incarnation;
+            self.observe(Observation::InForce { agent, version: version.0 });
         }
     }
 
     /// Hands a packet to the upstream of a host.
-    pub(super) fn deliver(&mut self, host: usize, carried: Carried, forwarding: Forwarding) {
+    pub(super) fn deliver(
+        &mut self,
+        host: usize,
+        caller_packet: CallerPacket,
+        forwarding: Forwarding,
+    ) {
         let now_ms = self.now_ms;
-        let request = carried.inner.request();
+        let request = caller_packet.inner.request();
         let target = &mut self.hosts[host];
-        let agent = target.agent.as_ref().map_or(0, |shell| shell.life);
+        let agent = target.agent.as_ref().map_or(0, |shell| shell.incarnation);
         let (Some((reached, _)), Some(upstream)) = (target.occupant, &mut target.upstream) else {
             return;
         };
         self.tally.delivered += 1;
-        let effect = upstream.receive(now_ms, carried.flow, carried.inner);
-        let upstream = upstream.life;
-        self.see(Seen::Delivered { meant: request.service, reached });
+        let effect = upstream.receive(now_ms, caller_packet.flow, caller_packet.inner);
+        let upstream = upstream.incarnation;
+        self.observe(Observation::Delivered { meant: request.service, reached });
         if effect.ran {
             self.tally.ran += 1;
             let promise = Self::promise(request.service);
             let assigned = forwarding == Forwarding::Assigned;
-            self.see(Seen::Ran { request, promise, upstream, agent, assigned });
+            self.observe(Observation::Ran { request, promise, upstream, agent, assigned });
         }
         if effect.established {
             self.tally.established += 1;
-            self.see(Seen::Established { request, upstream });
+            self.observe(Observation::Established { request, upstream });
         }
         if effect.ended {
-            self.see(Seen::Closed { request });
+            self.observe(Observation::Closed { request });
         }
         if let Some(reply) = effect.reply {
             self.answer(request.caller, reply);
         }
     }
 
-    fn refuse(&mut self, packet: &Packet, carried: Carried) {
-        let request = carried.inner.request();
+    fn refuse(&mut self, packet: &Packet, caller_packet: CallerPacket) {
+        let request = caller_packet.inner.request();
         if matches!(packet.kind, PacketKind::Opening { .. }) {
             self.tally.refused += 1;
             let promise = Self::promise(request.service);
-            self.see(Seen::Refused { request, promise });
+            self.observe(Observation::Refused { request, promise });
             self.answer(request.caller, Reply::Refused { request });
-        } else if let Some(token) = carried.inner.token() {
+        } else if let Some(token) = caller_packet.inner.token() {
             self.answer(request.caller, Reply::Reset { token });
         }
     }
@@ -110,7 +115,7 @@
         }
         self.note(|| format!("caller {caller} <- {reply:?}"));
         let hash = hash_of(&(caller, reply));
-        self.transmit_over(hash, || Due::AtCaller { caller, reply });
+        self.transmit_over(hash, || QueuedEvent::AtCaller { caller, reply });
     }
 
     /// A reset is a broken flow if the caller's connection still lives at its upstream.
@@ -122,20 +127,20 @@
         if known == token && self.is_held(token) {
             let request = self.callers[caller].request();
             self.tally.broken += 1;
-            self.see(Seen::Broken { request, upstream: token.life });
+            self.observe(Observation::Broken { request, upstream: token.life });
         }
     }
 
     /// Whether the upstream that a connection belongs to still holds it.
     pub(super) fn is_held(&self, token: Token) -> bool {
         let mut upstreams = self.hosts.iter().filter_map(|host| host.upstream.as_ref());
-        let holder = upstreams.find(|upstream| upstream.life == token.life);
+        let holder = upstreams.find(|upstream| upstream.incarnation == token.life);
         holder.is_some_and(|upstream| upstream.connection(token).is_some())
     }
 
     pub(super) fn at_caller(&mut self, caller: usize, reply: Reply) {
         let before = self.callers[caller].timer;
-        let extra = self.callers[caller].hear(self.now_ms, reply);
+        let extra = self.callers[caller].receive(self.now_ms, reply);
         if let Some(inner) = extra {
             self.emit(caller, inner);
         }
@@ -150,25 +155,25 @@
         let Some(delay_ms) = self.callers[caller].transmit(self.now_ms) else { return };
         let timer = self.callers[caller].timer;
         self.emit(caller, inner);
-        self.schedule(delay_ms, Due::Timer { caller, timer });
+        self.schedule(delay_ms, QueuedEvent::Timer { caller, timer });
     }
 
     /// Sends a packet by way of the fabric, which picks any balancer.
     pub(super) fn emit(&mut self, caller: usize, inner: Inner) {
         let sent_ms = match inner {
-            Inner::Open(_) => self.callers[caller].born_ms,
+            Inner::Open(_) => self.callers[caller].first_sent_ms,
             _ => self.now_ms,
         };
         let (flow, sequence) = (self.callers[caller].flow, self.sequence_of(inner));
-        let carried = Carried { inner, flow, sequence, sent_ms };
+        let caller_packet = CallerPacket { inner, flow, sequence, sent_ms };
         if self.timeline.is_some() && matches!(inner, Inner::Open(_)) {
-            let name = format!("caller {caller} port {:x}", carried.flow.0 >> 52);
-            self.flows.push((carried.flow, name));
+            let name = format!("caller {caller} port {:x}", caller_packet.flow.0 >> 52);
+            self.flows.push((caller_packet.flow, name));
         }
-        let hash = hash_of(&(caller, carried));
+        let hash = hash_of(&(caller, caller_packet));
         let balancer = (mix(hash ^ self.seed) % self.balancers.len() as u64) as usize;
         self.note(|| format!("caller {caller} -> balancer {balancer}: {inner:?}"));
-        self.transmit_over(hash, || Due::AtBalancer { balancer, carried });
+        self.transmit_over(hash, || QueuedEvent::AtBalancer { balancer, caller_packet });
     }
 
     /// Sequence number of a caller's segment, a few bytes into its connection. A reset that answers for an
--- a/crates/fuzzing/tests/campaign.rs
+++ b/crates/fuzzing/tests/campaign.rs
@@ -1,11 +1,11 @@
 //! Long runs in small: fixed seeds, the same verdict every time.
 
 use fuzzing::campaign::{self, Limits};
-use fuzzing::world::Sabotage;
+use fuzzing::world::Defects;
 use rstest::rstest;
 
 fn check(steps: usize, seed: u64) {
-    let report = campaign::run(Limits { steps, failures: 1 }, seed, Sabotage::default());
+    let report = campaign::run(Limits { steps, failures: 1 }, seed, Defects::default());
     let broken = report.failures.iter().map(|(episode, violation)| (episode.seed, violation));
     assert_eq!(broken.collect::<Vec<_>>(), []);
     assert!(report.steps >= steps);
@@ -24,7 +24,7 @@
 fn same_seed_same_run() {
     let episode = campaign::draw(5);
     let run = || {
-        let (outcome, world) = campaign::play(&episode, Sabotage::default(), true);
+        let (outcome, world) = campaign::play(&episode, Defects::default(), true);
         (outcome.steps, outcome.violation, world.timeline(true))
     };
     assert_eq!(run(), run());
--- a/crates/fuzzing/tests/known_red.rs
+++ b/crates/fuzzing/tests/known_red.rs
@@ -3,11 +3,11 @@
 
 use fuzzing::campaign;
 use fuzzing::direct::{self, Size};
-use fuzzing::world::Sabotage;
+use fuzzing::world::Defects;
 use rstest::rstest;
 
 fn check(seed: u64) {
-    let (outcome, _) = campaign::play(&campaign::draw(seed), Sabotage::default(), false);
+    let (outcome, _) = campaign::play(&campaign::draw(seed), Defects::default(), false);
     assert_eq!(outcome.violation, None);
 }
 
--- a/crates/fuzzing/tests/mended.rs
+++ b/crates/fuzzing/tests/mended.rs
@@ -1,11 +1,11 @@
 //! Episodes that once broke a promise, each for a fault that a table test of the core covers too.
 
 use fuzzing::campaign;
-use fuzzing::world::Sabotage;
+use fuzzing::world::Defects;
 use rstest::rstest;
 
 fn check(seed: u64) {
-    let (outcome, _) = campaign::play(&campaign::draw(seed), Sabotage::default(), false);
+    let (outcome, _) = campaign::play(&campaign::draw(seed), Defects::default(), false);
     assert_eq!(outcome.violation, None);
 }
 
--- a/crates/fuzzing/tests/mutants.rs
+++ b/crates/fuzzing/tests/mutants.rs
@@ -4,9 +4,9 @@
 
 use decision::agent::Mutant;
 use fuzzing::campaign::{self, Episode};
-use fuzzing::mutants::{STEPS_MAX, TABLE, hunt};
+use fuzzing::mutants::{CASES, STEPS_MAX, detect};
 use fuzzing::step::{Change, Profile, Step};
-use fuzzing::world::{Sabotage, Setup};
+use fuzzing::world::{Defects, Setup};
 use rstest::rstest;
 
 #[rstest]
@@ -21,9 +21,9 @@
 #[case::drain_ignored(Mutant::DrainIgnored)]
 #[case::adopt_always(Mutant::AdoptAlways)]
 fn caught(#[case] mutant: Mutant) {
-    let prey = TABLE.into_iter().find(|prey| prey.mutant == mutant).expect("an entry");
-    let catch = hunt(prey, STEPS_MAX).expect("a broken promise");
-    println!("{mutant:?} caught after {} steps: {}", catch.steps, catch.promise);
+    let case = CASES.into_iter().find(|case| case.mutant == mutant).expect("an entry");
+    let detection = detect(case, STEPS_MAX).expect("a broken promise");
+    println!("{mutant:?} caught after {} steps: {}", detection.steps, detection.promise);
 }
 
 /// A caller's packets go by settings that list an upstream whose host now runs another service.
@@ -69,9 +69,9 @@
     let setup =
         Setup { seed: 1, sizes, balancers: 1, callers: 10, max_flows: 2_000, patient: false };
     let episode = Episode { seed: 0, setup, profile: Profile::ALL, steps };
-    let (kept, _) = campaign::play(&episode, Sabotage::default(), false);
+    let (kept, _) = campaign::play(&episode, Defects::default(), false);
     assert_eq!(kept.violation, None);
-    let (broken, _) = campaign::play(&episode, Sabotage { mutant: Some(mutant) }, false);
+    let (broken, _) = campaign::play(&episode, Defects { mutant: Some(mutant) }, false);
     let violation = broken.violation.expect("a broken promise");
     println!("{mutant:?} caught after {} steps: {}", broken.steps, violation.promise);
     assert!(violation.promise.starts_with(promise), "{}", violation.promise);
--- a/crates/fuzzing/tests/oracle.rs
+++ b/crates/fuzzing/tests/oracle.rs
@@ -1,6 +1,6 @@
 //! The oracle itself: what it lets pass and what it calls a broken promise.
 
-use fuzzing::oracle::{DRAIN_MS, Oracle, Promise, Request, Seen};
+use fuzzing::oracle::{DRAIN_MS, Observation, Oracle, Promise, Request};
 use rstest::rstest;
 
 const ONE: Request = Request { service: 0, caller: 1, nonce: 1 };
@@ -8,55 +8,64 @@
 const REFUSE: Promise = Promise { at_most_once: true, datagram: true };
 const REFUSE_TCP: Promise = Promise { at_most_once: true, datagram: false };
 
-const fn ran(promise: Promise, upstream: u64) -> Seen {
-    Seen::Ran { request: ONE, promise, upstream, agent: 10 + upstream, assigned: false }
+const fn ran(promise: Promise, upstream: u64) -> Observation {
+    Observation::Ran { request: ONE, promise, upstream, agent: 10 + upstream, assigned: false }
 }
 
-const fn assigned(promise: Promise, upstream: u64) -> Seen {
-    Seen::Ran { request: ONE, promise, upstream, agent: 10 + upstream, assigned: true }
+const fn assigned(promise: Promise, upstream: u64) -> Observation {
+    Observation::Ran { request: ONE, promise, upstream, agent: 10 + upstream, assigned: true }
 }
 
-const ESTABLISHED: Seen = Seen::Established { request: ONE, upstream: 1 };
-const BROKEN: Seen = Seen::Broken { request: ONE, upstream: 1 };
-const DIED: Seen = Seen::UpstreamDied { upstream: 1 };
-const CLOSED: Seen = Seen::Closed { request: ONE };
-const REFUSED: Seen = Seen::Refused { request: ONE, promise: REFUSE };
-const TOLD: Seen = Seen::Told { agent: 11, leaving: true };
-const TAKEN_BACK: Seen = Seen::Told { agent: 11, leaving: false };
+const ESTABLISHED: Observation = Observation::Established { request: ONE, upstream: 1 };
+const BROKEN: Observation = Observation::Broken { request: ONE, upstream: 1 };
+const DIED: Observation = Observation::UpstreamDied { upstream: 1 };
+const CLOSED: Observation = Observation::Closed { request: ONE };
+const REFUSED: Observation = Observation::Refused { request: ONE, promise: REFUSE };
+const TOLD: Observation = Observation::Told { agent: 11, leaving: true };
+const TAKEN_BACK: Observation = Observation::Told { agent: 11, leaving: false };
 
 /// All but the last are seen at time zero, the last one at `late_ms`.
-fn check(seen: &[Seen], late_ms: u64, expected: Option<&str>) {
+fn check(seen: &[Observation], late_ms: u64, expected: Option<&str>) {
     let mut oracle = Oracle::default();
     let (last, before) = seen.split_last().expect("something is seen");
     for seen in before {
-        assert_eq!(oracle.see(0, *seen), Ok(()));
+        assert_eq!(oracle.observe(0, *seen), Ok(()));
     }
-    let promise = oracle.see(late_ms, *last).err().map(|violation| violation.promise);
+    let promise = oracle.observe(late_ms, *last).err().map(|violation| violation.promise);
     assert_eq!(promise.map(|promise| &promise[..1]), expected);
 }
 
 #[rstest]
-#[case::own_service(&[Seen::Delivered { meant: 0, reached: 0 }], None)]
-#[case::other_service(&[Seen::Delivered { meant: 0, reached: 1 }], Some("2"))]
+#[case::own_service(&[Observation::Delivered { meant: 0, reached: 0 }], None)]
+#[case::other_service(&[Observation::Delivered { meant: 0, reached: 1 }], Some("2"))]
 #[case::open_flow_cut(&[ran(ADMIT, 1), ESTABLISHED, BROKEN], Some("1"))]
-#[case::open_flow_cut_under_fault(&[Seen::Fault, ran(ADMIT, 1), ESTABLISHED, BROKEN], Some("1"))]
+#[case::open_flow_cut_under_fault(
+    &[Observation::Fault, ran(ADMIT, 1), ESTABLISHED, BROKEN],
+    Some("1")
+)]
 #[case::cut_with_its_upstream(&[ran(ADMIT, 1), ESTABLISHED, DIED, BROKEN], None)]
 #[case::cut_in_handshake(&[ran(ADMIT, 1), BROKEN], Some("1"))]
-#[case::cut_in_handshake_under_fault(&[Seen::Fault, ran(ADMIT, 1), BROKEN], None)]
-#[case::cut_after_close(&[Seen::Fault, ran(ADMIT, 1), ESTABLISHED, CLOSED, BROKEN], None)]
+#[case::cut_in_handshake_under_fault(&[Observation::Fault, ran(ADMIT, 1), BROKEN], None)]
+#[case::cut_after_close(&[Observation::Fault, ran(ADMIT, 1), ESTABLISHED, CLOSED, BROKEN], None)]
 #[case::split_without_fault(&[ran(ADMIT, 1), ran(ADMIT, 2)], Some("1"))]
-#[case::split_under_fault(&[Seen::Fault, ran(ADMIT, 1), ran(ADMIT, 2), ESTABLISHED, BROKEN], None)]
+#[case::split_under_fault(
+    &[Observation::Fault, ran(ADMIT, 1), ran(ADMIT, 2), ESTABLISHED, BROKEN],
+    None
+)]
 #[case::copy_after_handshake(
-    &[Seen::Fault, ran(ADMIT, 1), ESTABLISHED, ran(ADMIT, 2), BROKEN],
+    &[Observation::Fault, ran(ADMIT, 1), ESTABLISHED, ran(ADMIT, 2), BROKEN],
     Some("1")
 )]
-#[case::opened_anew_after_death(&[Seen::Fault, ran(ADMIT, 1), DIED, ran(ADMIT, 2)], None)]
+#[case::opened_anew_after_death(&[Observation::Fault, ran(ADMIT, 1), DIED, ran(ADMIT, 2)], None)]
 #[case::twice_at_one_upstream(&[ran(REFUSE, 1), ran(REFUSE, 1)], Some("3"))]
-#[case::twice_at_two(&[Seen::Fault, ran(REFUSE, 1), ran(REFUSE, 2)], Some("3"))]
-#[case::twice_over_two_lives(&[Seen::Fault, ran(REFUSE, 1), DIED, ran(REFUSE, 2)], Some("3"))]
+#[case::twice_at_two(&[Observation::Fault, ran(REFUSE, 1), ran(REFUSE, 2)], Some("3"))]
+#[case::twice_over_two_lives(
+    &[Observation::Fault, ran(REFUSE, 1), DIED, ran(REFUSE, 2)],
+    Some("3")
+)]
 #[case::handshake_renewed(&[ran(REFUSE_TCP, 1), ran(REFUSE_TCP, 1)], None)]
 #[case::accepted_then_again(&[ran(REFUSE_TCP, 1), ESTABLISHED, ran(REFUSE_TCP, 1)], Some("3"))]
-#[case::handshake_at_two(&[Seen::Fault, ran(REFUSE_TCP, 1), ran(REFUSE_TCP, 2)], Some("3"))]
+#[case::handshake_at_two(&[Observation::Fault, ran(REFUSE_TCP, 1), ran(REFUSE_TCP, 2)], Some("3"))]
 #[case::refused_after_run(&[ran(REFUSE, 1), REFUSED], Some("4"))]
 #[case::run_after_refused(&[REFUSED, ran(REFUSE, 1)], Some("4"))]
 #[case::refused_twice(&[REFUSED, REFUSED], None)]
@@ -66,8 +75,8 @@
 #[case::flows_from_nowhere(&[tables(3, 2, 0)], Some("8"))]
 #[case::too_many_held(&[tables(0, 0, 1 << 20)], Some("8"))]
 #[case::tables_well(&[tables(2, 2, 1)], None)]
-#[case::stuck(&[ran(ADMIT, 1), ESTABLISHED, Seen::Stuck { request: ONE }], Some("1"))]
-fn judged_at_once(#[case] seen: &[Seen], #[case] expected: Option<&str>) {
+#[case::stuck(&[ran(ADMIT, 1), ESTABLISHED, Observation::Stuck { request: ONE }], Some("1"))]
+fn judged_at_once(#[case] seen: &[Observation], #[case] expected: Option<&str>) {
     check(seen, 0, expected);
 }
 
@@ -78,14 +87,18 @@
 #[case::late_assigned(&[TOLD, assigned(ADMIT, 1)], DRAIN_MS + 1, Some("5"))]
 #[case::late_by_recorded_claim(&[TOLD, assigned(REFUSE, 1)], DRAIN_MS + 1, None)]
 #[case::drain_taken_back(&[TOLD, TAKEN_BACK, ran(ADMIT, 1)], DRAIN_MS + 1, None)]
-fn judged_draining(#[case] seen: &[Seen], #[case] late_ms: u64, #[case] expected: Option<&str>) {
+fn judged_draining(
+    #[case] seen: &[Observation],
+    #[case] late_ms: u64,
+    #[case] expected: Option<&str>,
+) {
     check(seen, late_ms, expected);
 }
 
-const fn view(agent: u64, version: u64) -> Seen {
-    Seen::InForce { agent, version }
+const fn view(agent: u64, version: u64) -> Observation {
+    Observation::InForce { agent, version }
 }
 
-const fn tables(flows: usize, flows_begun: usize, held: usize) -> Seen {
-    Seen::Tables { agent: 1, flows, flows_begun, held }
+const fn tables(flows: usize, flows_begun: usize, held: usize) -> Observation {
+    Observation::Tables { agent: 1, flows, flows_begun, held }
 }
--- a/crates/fuzzing/tests/state_machine.rs
+++ b/crates/fuzzing/tests/state_machine.rs
@@ -4,7 +4,7 @@
 
 use fuzzing::campaign;
 use fuzzing::step::{self, Profile, Step};
-use fuzzing::world::{Balancing, Sabotage, Setup, World};
+use fuzzing::world::{Balancing, Defects, Setup, World};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -42,7 +42,7 @@
     type Reference = Reference;
 
     fn init_test(state: &Reference) -> World {
-        World::new(&state.setup, Balancing::Core, Sabotage::default())
+        World::new(&state.setup, Balancing::Core, Defects::default())
     }
 
     fn apply(mut world: World, _state: &Reference, step: Step) -> World {
