--- a/crates/fuzzing/src/campaign.rs
+++ b/crates/fuzzing/src/campaign.rs
@@ -1,4 +1,4 @@
-//! Long runs: one episode after the other, each from its own seed, until a promise breaks.
+//! Long runs: consecutive episodes, each from its own seed, until a promise is violated.
 
 use proptest::strategy::{Strategy, ValueTree as _};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -14,31 +14,32 @@
 /// A replayable run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Episode {
-    /// Seed from which it was drawn.
+    /// Seed that it was generated from.
     pub seed: u64,
-    /// What it starts from.
+    /// Initial state of the world.
     pub setup: Setup,
-    /// What it draws from.
+    /// Kinds of steps that it draws from.
     pub profile: Profile,
-    /// Its steps.
+    /// Steps to apply, in order.
     pub steps: Vec<Step>,
 }
 
-/// How an episode ended.
+/// Result of an episode.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The first broken promise.
+    /// The first violated promise.
     pub violation: Option<Violation>,
-    /// Steps that were applied.
+    /// Number of steps applied.
     pub steps: usize,
-    /// What the run has cost and achieved.
+    /// Event counters of the run.
     pub tally: Tally,
 }
 
-/// Steps of an episode: most are short, since a fresh world reaches more, and some are long.
+/// Numbers of steps of an episode. Most are short, because fresh worlds reach more states per step;
+/// some are long.
 const EPISODE_LENGTHS: [usize; 4] = [60, 150, 400, 1_500];
 
-/// Draws an episode.
+/// Generates the episode of a seed.
 ///
 /// ```
 /// use fuzzing::campaign;
@@ -59,7 +60,7 @@
     Episode { seed, setup, profile, steps }
 }
 
-/// Strategy over setups.
+/// Strategy for setups.
 pub fn setups() -> impl Strategy<Value = Setup> {
     let sizes = proptest::collection::vec(3..=7usize, 1..=3);
     let max_flows = proptest::sample::select(vec![3u32, 2_000]);
@@ -83,7 +84,7 @@
     }
 }
 
-/// Plays an episode; `record` keeps a time line.
+/// Plays an episode, recording a timeline if `record` is set.
 pub fn play(episode: &Episode, defects: Defects, record: bool) -> (Outcome, World) {
     let mut world = World::new(&episode.setup, Balancing::Core, defects);
     if record {
@@ -104,7 +105,7 @@
     (Outcome { violation, steps: applied, tally: *world.tally() }, world)
 }
 
-/// Leaves out what it can while the same promise still breaks.
+/// Shrinks an episode as far as the same promise is still violated.
 pub fn shrink_episode(episode: &Episode, defects: Defects, promise: &str) -> Episode {
     let breaks = |episode: &Episode| {
         let (outcome, _) = play(episode, defects, false);
@@ -120,7 +121,7 @@
     smaller_setup(best, &breaks)
 }
 
-/// Fewer services, balancers, upstreams and callers.
+/// Reduces the numbers of services, upstreams, balancers and callers.
 fn smaller_setup(mut best: Episode, breaks: &impl Fn(&Episode) -> bool) -> Episode {
     loop {
         let setup = &best.setup;
@@ -146,44 +147,44 @@
     }
 }
 
-/// Steps that the runs of a shrinking may take together. Bounding the runs alone is not enough: an
-/// episode that idles for hours takes seconds a run.
+/// Budget of steps for all runs of one shrinking. Bounding only the number of runs is not enough:
+/// an episode that idles for hours takes seconds per run.
 const SHRINK_STEPS_MAX: usize = 200_000;
 
-/// Time that weighs as much as a step.
+/// Simulated time that counts as one step of the budget.
 const MS_PER_STEP: u64 = 100;
-/// Fewer runs than this don't shrink at all.
+/// Minimum number of runs; fewer don't shrink an episode noticeably.
 const SHRINK_RUNS_MIN: usize = 200;
 
 /// Result of many episodes.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Steps applied.
+    /// Number of steps applied.
     pub steps: usize,
-    /// Episodes begun.
+    /// Number of episodes played.
     pub episodes: usize,
     /// Steps by kind of fault or planned change, in the order of [`FAULTS`].
     pub faults: [u64; FAULTS.len()],
-    /// Faults that began while another was at work; the smaller number first.
+    /// Faults that began while another was in progress, indexed by the smaller discriminant first.
     pub pairs: [[u64; FAULTS.len()]; FAULTS.len()],
-    /// What all runs have cost and achieved.
+    /// Event counters of all runs.
     pub tally: Tally,
-    /// The episodes that broke a promise, as drawn.
+    /// The episodes that violated a promise, as generated (not shrunk).
     pub failures: Vec<(Episode, Violation)>,
 }
 
-/// When a run of many episodes ends.
+/// Limits that end a run of many episodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// After this many steps.
+    /// Number of steps.
     pub steps: usize,
-    /// After this many episodes that broke a promise.
+    /// Number of episodes that violated a promise.
     pub failures: usize,
 }
 
 /// Plays episodes until a limit is reached.
 ///
-/// Seeds of the episodes follow one another from `seed`, so that any one can be drawn again.
+/// The episodes have consecutive seeds starting with `seed`, so each can be generated again.
 pub fn run(limits: Limits, seed: u64, defects: Defects) -> Report {
     let mut report = Report::default();
     while report.steps < limits.steps && report.failures.len() < limits.failures {
--- a/crates/fuzzing/src/command.rs
+++ b/crates/fuzzing/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of long runs.
+//! Command-line interface of the fuzzer.
 
 use std::path::{Path, PathBuf};
 use std::time::Instant;
@@ -42,10 +42,10 @@
     world: Size,
 }
 
-/// Length of an episode of the direct-return path, in simulated time.
+/// Simulated duration of an episode of the direct-return path.
 const DIRECT_MS: u64 = 60_000;
 
-/// Runs the command; true if no promise broke.
+/// Runs the command; returns true if no promise was violated.
 pub fn run() -> anyhow::Result<bool> {
     let Some(options) = parse()? else {
         print!("{HELP}");
@@ -111,7 +111,7 @@
     })
 }
 
-/// Plays the direct-return path and prints each episode that breaks a promise.
+/// Plays episodes of the direct-return path and prints each that violates a promise.
 fn direct_run(world: Size, first_seed: u64, episodes: u64) -> bool {
     let (mut answered, mut resets, mut broken) = (0, 0, 0);
     for seed in first_seed..first_seed + episodes {
--- a/crates/fuzzing/src/lib.rs
+++ b/crates/fuzzing/src/lib.rs
@@ -1,9 +1,10 @@
 //! Stateful fuzzing of the decision core against an oracle.
 //!
-//! A [`step::Step`] is one transition: load, planned change, fault, or time that passes. A
-//! [`world::World`] applies it to balancers and agents of the core, to upstreams and callers, and
-//! shows the [`oracle::Oracle`] what the outside sees. Every step can be deleted from a sequence
-//! without making the rest invalid, so that any failing sequence shrinks.
+//! A [`step::Step`] is one transition: traffic, a planned change, a fault, or the passage of time.
+//! A [`world::World`] applies it to the core's balancers and agents and to simulated upstreams and
+//! callers, and passes everything that is externally visible to the [`oracle::Oracle`]. Any step
+//! can be deleted from a sequence without invalidating the rest, so every failing sequence can be
+//! shrunk.
 
 pub mod campaign;
 pub mod command;
--- a/crates/fuzzing/src/main.rs
+++ b/crates/fuzzing/src/main.rs
@@ -1,4 +1,4 @@
-//! `cargo xtask fuzz` runs this program; see its `--help`.
+//! Command-line entry point, run by `cargo xtask fuzz`; see `--help`.
 
 fn main() -> std::process::ExitCode {
     match fuzzing::command::run() {
--- a/crates/fuzzing/src/mutants.rs
+++ b/crates/fuzzing/src/mutants.rs
@@ -1,19 +1,21 @@
-//! Proof that the fuzzing bites: every safeguard that is taken out is missed within a few steps.
+//! Mutation testing of the fuzzer: removing a safeguard must violate a promise within a bounded
+//! number of steps.
 
 use decision::agent::Mutant;
 
 use crate::campaign::{self, Episode};
 use crate::world::Defects;
 
-/// A mutant and how it is hunted.
+/// A mutant and where to search for its violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MutantCase {
-    /// The safeguard that is taken out.
+    /// The safeguard that is removed.
     pub mutant: Mutant,
     /// Seed of the first episode.
     pub seed: u64,
-    /// Number of the promise that it must break. Another one may break by accident: without a
-    /// safeguard the same steps take another course.
+    /// Prefix of the promise that it must violate. Violations of other promises don't count:
+    /// without the safeguard the same steps take another course and may violate any promise by
+    /// chance.
     pub promise: &'static str,
 }
 
@@ -21,9 +23,10 @@
     MutantCase { mutant, seed, promise }
 }
 
-/// Mutants that the fuzzing catches, each from a seed near its first catch. `ServiceNotChecked` and
-/// `ResetInDoubt` need a meeting of faults that chance has not drawn within 60,000 steps; traces in
-/// `tests/mutants.rs` catch them. `RecallFromOne` is not caught yet; the core's unit tests cover it.
+/// Mutants that random episodes detect, each with a seed shortly before the first detection.
+/// `ServiceNotChecked` and `ResetInDoubt` need a combination of faults that was not generated
+/// within 60,000 steps; fixed traces in `tests/mutants.rs` detect them. `RecallFromOne` is not
+/// detected yet; the core's unit tests cover it.
 pub const CASES: [MutantCase; 10] = [
     case(Mutant::PromiseNotKept, 44, "3"),
     case(Mutant::TombstoneForgotten, 23, "4"),
@@ -37,23 +40,24 @@
     case(Mutant::AdoptAlways, 2, "1: an open flow"),
 ];
 
-/// Steps within which every mutant must be caught.
+/// Maximum number of steps within which every mutant must be detected.
 pub const STEPS_MAX: usize = 20_000;
 
-/// How a mutant was caught.
+/// How a mutant was detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Detection {
-    /// Steps that it took.
+    /// Number of steps that it took.
     pub steps: usize,
     /// Seed of the episode.
     pub seed: u64,
-    /// Promise that it broke.
+    /// Promise that was violated.
     pub promise: &'static str,
 }
 
-/// Runs episodes with a safeguard taken out; `None` if its promise did not break within `steps_max`.
+/// Plays episodes with the safeguard removed. Returns `None` if the expected promise was not
+/// violated within `steps_max`.
 ///
-/// An episode counts only if the same steps keep every promise with the safeguard in place.
+/// An episode counts only if the same steps violate no promise with the safeguard in place.
 pub fn detect(case: MutantCase, steps_max: usize) -> Option<Detection> {
     let defects = Defects { mutant: Some(case.mutant) };
     let mut steps = 0;
--- a/crates/fuzzing/src/oracle.rs
+++ b/crates/fuzzing/src/oracle.rs
@@ -1,37 +1,40 @@
-//! The promises, stated over what the outside sees. Shares no code with the core.
+//! The load balancer's guarantees (promises), checked against externally visible events only.
+//! Shares no code with the decision core.
 
-/// One opening: retransmissions are the same request, a later flow of the caller is another.
+/// Identifies one opening. Retransmissions belong to the same request; a later flow of the same
+/// caller is another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Request {
-    /// Number of the service that the caller means.
+    /// Number of the service that the caller addresses.
     pub service: usize,
     /// Number of the caller.
     pub caller: usize,
-    /// Counts the caller's requests.
+    /// Sequence number among the caller's requests.
     pub nonce: u32,
 }
 
-/// Identifies one life of an upstream or an agent over the whole episode.
+/// Identifies one incarnation of an upstream or an agent; unique within an episode.
 pub type IncarnationId = u64;
 
-/// What a service promises about its openings.
+/// The guarantee that a service gives for its openings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Promise {
-    /// Openings run at most once and refusals are final.
+    /// Each opening runs at most once, and a refusal is final.
     pub at_most_once: bool,
-    /// The opening is a whole request, so that a copy at the same upstream is a second run.
+    /// The opening is a complete request, so a copy delivered to the same upstream is a second run.
     pub datagram: bool,
 }
 
-/// Something that the outside can see.
+/// An externally visible event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[allow(missing_docs, reason = "the names say what was seen")]
+#[allow(missing_docs, reason = "the variants are named after the event")]
 pub enum Observation {
-    /// Something broke that nobody planned.
+    /// An unplanned fault was injected.
     Fault,
-    /// A packet was handed to an upstream of `reached`.
+    /// A packet for the service `meant` was delivered to an upstream of the service `reached`.
     Delivered { meant: usize, reached: usize },
-    /// An opening began at an upstream; `assigned` if by another agent's recorded choice.
+    /// An opening began at an upstream. `assigned` means that another agent's recorded claim
+    /// assigned it there.
     Ran {
         request: Request,
         promise: Promise,
@@ -39,38 +42,40 @@
         agent: IncarnationId,
         assigned: bool,
     },
-    /// An agent answered that an opening was not run.
+    /// An agent refused an opening, which states that it was not run.
     Refused { request: Request, promise: Promise },
-    /// The upstream got the caller's first packet after the opening.
+    /// The upstream received the caller's first packet after the opening.
     Established { request: Request, upstream: IncarnationId },
-    /// The caller's flow was reset or refused although the caller had it open.
+    /// A flow that was open at the caller was reset or refused.
     Broken { request: Request, upstream: IncarnationId },
-    /// The caller or its upstream has ended the flow.
+    /// The caller or the upstream ended the flow.
     Closed { request: Request },
-    /// An upstream died, and its flows with it.
+    /// An upstream terminated, which ends all its flows.
     UpstreamDied { upstream: IncarnationId },
-    /// An agent was told, or no longer is, that its upstream drains or that it leaves.
+    /// An agent learned that its upstream is draining or that the agent itself shuts down, or that
+    /// this no longer applies.
     Told { agent: IncarnationId, leaving: bool },
-    /// An agent showed the settings version that it has in force.
+    /// An agent published the settings version that it has in force.
     InForce { agent: IncarnationId, version: u64 },
-    /// Sizes of an agent's tables, and the flows that its upstream ever began.
+    /// Sizes of an agent's tables, and the number of flows that callers have ever begun.
     Tables { agent: IncarnationId, flows: usize, flows_begun: usize, held: usize },
-    /// All agents that can have been told of an open flow have lost their memory together.
+    /// All agents that may have known an open flow lost their state before any of them could
+    /// restore it.
     Forgotten { request: Request },
-    /// Long after all faults have ended, the caller still gets no answer in its open flow.
+    /// Long after all faults ended, the caller still receives no reply in its open flow.
     Stuck { request: Request },
-    /// Long after all faults have ended, an opening gets no answer.
+    /// Long after all faults ended, an opening receives no reply.
     Unanswered { request: Request },
-    /// Long after all faults have ended, a service refuses every opening.
+    /// Long after all faults ended, a service refuses every opening.
     Shut { service: usize },
-    /// Long after all flows have ended, an agent still counts some.
+    /// Long after all flows ended, an agent's flow table still has entries.
     Remembered { agent: IncarnationId, flows: usize },
-    /// Long after all faults have ended, an agent still holds a packet back.
+    /// Long after all faults ended, an agent still holds a packet.
     HeldBack { agent: IncarnationId },
 }
 
 impl Observation {
-    /// The request that it is about, if it is about one.
+    /// The request that the event concerns, if any.
     ///
     /// ```
     /// use fuzzing::oracle::{Observation, Request};
@@ -93,33 +98,33 @@
     }
 }
 
-/// A broken promise.
+/// A violated promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The promise.
+    /// The promise that was violated, by its number and a short text.
     pub promise: &'static str,
-    /// What was seen.
+    /// The event that violated it.
     pub seen: Observation,
-    /// True time.
+    /// True time of the event.
     pub now_ms: u64,
 }
 
-/// An agent that was told to drain starts no opening after this long.
+/// Time after which an agent that has learned of a drain must not start an opening.
 pub const DRAIN_MS: u64 = 3_000;
-/// Packets that one agent may hold at a time.
+/// Maximum number of packets that one agent may hold at a time.
 pub const HELD_MAX: usize = 4_096;
 
-/// What the oracle remembers; sorted vectors.
+/// Checks events against the promises. Tables that are searched by request are sorted vectors.
 #[derive(Debug, Default)]
 pub struct Oracle {
     faulted: bool,
     runs: Vec<(Request, IncarnationId)>,
     refused: Vec<Request>,
     open: Vec<(Request, IncarnationId)>,
-    /// Flows that an upstream's application has ever got to see.
+    /// Flows that reached an upstream's application, i.e. whose handshake was finished.
     accepted: Vec<Request>,
-    /// Flows beyond help: openings that began at two upstreams before the caller had finished one
-    /// handshake, and flows that everybody who was told of them has forgotten.
+    /// Flows that may break without a violation: openings that began at two upstreams before the
+    /// caller had finished one handshake, and flows that all agents which knew them have lost.
     excused: Vec<Request>,
     dead: Vec<IncarnationId>,
     draining: Vec<(IncarnationId, u64)>,
@@ -127,7 +132,7 @@
 }
 
 impl Oracle {
-    /// Takes in what was seen; an error is a broken promise.
+    /// Records an event and checks it against the promises.
     ///
     /// ```
     /// use fuzzing::oracle::{Observation, Oracle};
@@ -146,7 +151,8 @@
                 ensure(meant == reached, "2: a packet reached another service's upstream")?;
             }
             Observation::Ran { request, promise, upstream, agent, assigned } => {
-                // A recorded claim is the only right to run, so it is honoured even late.
+                // A recorded claim is the only permission to run an at-most-once opening, so a
+                // draining agent honours it even after the limit.
                 let late =
                     self.draining_since(agent).is_some_and(|since| now_ms > since + DRAIN_MS);
                 let excused = promise.at_most_once && assigned;
@@ -215,13 +221,15 @@
         let elsewhere = others.iter().any(|incarnation| !self.dead.contains(incarnation));
         if promise.at_most_once {
             ensure(!self.refused.contains(&request), "4: a refused request ran")?;
-            // A SYN that only renews a handshake given up unfinished is no second run.
+            // A repeated SYN that restarts an abandoned, unfinished handshake at the same upstream
+            // isn't a second run.
             let seen = promise.datagram || self.accepted.contains(&request);
             let again = contains_request(&self.runs, request) && (seen || !others.is_empty());
             ensure(!again, "3: a request ran twice")?;
         } else if elsewhere {
-            // In doubt such a service admits, and the caller finishes one handshake only. The
-            // other copy may then reset the caller, which no agent can tell apart.
+            // Such a service admits openings when agents' state is incomplete, and the caller
+            // finishes only one handshake. The other upstream may then reset the caller, and no
+            // agent can tell that reset from a legitimate one.
             ensure(self.faulted, "1: an opening ran at two upstreams without a fault")?;
             if !contains_request(&self.open, request) {
                 insert_sorted(&mut self.excused, request);
--- a/crates/fuzzing/src/shrink.rs
+++ b/crates/fuzzing/src/shrink.rs
@@ -1,8 +1,8 @@
-//! Shrinking a failing sequence of steps by deleting some of them (delta debugging).
+//! Shrinks a failing sequence of steps by deleting steps (delta debugging) and halving durations.
 
 use crate::step::Step;
 
-/// The smallest sequence found for which `fails` still holds, after at most `tries` runs.
+/// Returns the smallest sequence found for which `fails` still holds, after at most `tries` runs.
 ///
 /// ```
 /// use fuzzing::{shrink, step::Step};
@@ -28,7 +28,7 @@
     }
 }
 
-/// Deletes runs of steps, from half of all down to single ones.
+/// Deletes consecutive steps in chunks, from half of the sequence down to single steps.
 fn shorten(mut best: Vec<Step>, fails: &mut impl FnMut(&[Step]) -> bool) -> Vec<Step> {
     let mut chunk = best.len().div_ceil(2);
     while chunk > 0 {
@@ -47,7 +47,7 @@
     best
 }
 
-/// Shortens the durations of the steps that are left.
+/// Halves the durations of the remaining steps while the sequence still fails.
 fn simplify(mut best: Vec<Step>, fails: &mut impl FnMut(&[Step]) -> bool) -> Vec<Step> {
     for index in 0..best.len() {
         while let Some(simpler) = best[index].simpler() {
--- a/crates/fuzzing/src/step.rs
+++ b/crates/fuzzing/src/step.rs
@@ -1,99 +1,99 @@
-//! Transitions of the state machine and the strategy that draws them.
+//! Transitions of the state machine and the proptest strategies that generate them.
 //!
-//! Steps name entities by a small number that is reduced modulo the count of candidates when the
-//! step is applied. A step with no candidate does nothing.
+//! A step refers to an entity by a small number, which is reduced modulo the number of candidates
+//! when the step is applied. A step without candidates has no effect.
 
 use proptest::prelude::*;
 use proptest::strategy::Union;
 use serde::{Deserialize, Serialize};
 
-/// A change of one service in the published settings.
+/// A change to one service in the published settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// A new upstream on a free host.
+    /// Adds an upstream on a free host.
     Add,
-    /// An active upstream begins to drain.
+    /// Starts draining an active upstream.
     Drain,
-    /// A draining upstream becomes active again.
+    /// Makes a draining upstream active again.
     Undrain,
-    /// A draining upstream is retired.
+    /// Retires a draining upstream.
     Retire,
-    /// A retired upstream comes back under its name.
+    /// Restores a retired upstream under its previous name.
     Return,
-    /// An upstream gets another weight.
+    /// Changes the weight of an upstream.
     Reweigh,
 }
 
-/// A lie that an upstream tells about itself until the next report.
+/// What an upstream reports about itself, true or false, until the next such step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Report {
-    /// The truth.
+    /// Reports its actual state.
     Honest,
-    /// Says that it is sick.
+    /// Reports that it is unhealthy.
     Sick,
-    /// Says that it drains.
+    /// Reports that it is draining.
     Draining,
-    /// Says that it sheds load.
+    /// Reports that it is shedding load.
     Shedding,
-    /// Says that it has no flows and has just started.
+    /// Reports that it has no flows and has just started.
     Empty,
-    /// Says that it is full to the brim.
+    /// Reports the largest possible number of open flows.
     Full,
 }
 
 /// One transition. Durations are in milliseconds of true time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[allow(missing_docs, reason = "the fields repeat: picks of an entity, and durations")]
+#[allow(missing_docs, reason = "the same fields recur: entity numbers and durations")]
 pub enum Step {
     /// Time passes.
     Advance { ms: u32 },
-    /// Nobody does anything for a long time, as on a feed at night.
+    /// A long time passes without traffic, as on a feed connection at night.
     Idle { minutes: u8 },
     /// A caller opens a flow, or sends a request to a datagram service.
     Open { pick: u8 },
-    /// A caller with an open flow sends a packet in its middle.
+    /// A caller sends a packet in its open flow.
     Send { pick: u8 },
-    /// A caller ends its flow with a FIN.
+    /// A caller closes its flow with a FIN.
     Finish { pick: u8 },
-    /// A caller ends its flow with a RST.
+    /// A caller aborts its flow with a RST.
     Abort { pick: u8 },
-    /// The settings change; every process hears of it after its own delay up to `lag_ms`.
+    /// A settings change is published; it reaches each process after a delay of up to `lag_ms`.
     Publish { service: u8, change: Change, pick: u8, lag_ms: u32 },
-    /// An agent shuts down gracefully and a new life starts after `gap_ms`.
+    /// An agent shuts down gracefully; a new incarnation starts `gap_ms` later.
     RedeployAgent { pick: u8, gap_ms: u32 },
-    /// A retired upstream without flows ends for good.
+    /// A retired upstream without flows is shut down for good.
     EndRetired { pick: u8 },
-    /// A balancer is replaced by one that starts from the newest settings.
+    /// A balancer is replaced by one that starts with the newest settings.
     ReplaceBalancer { pick: u8 },
-    /// A balancer is replaced by one that starts from settings `behind` versions old.
+    /// A balancer is replaced by one that starts with settings `behind` versions old.
     StaleBalancer { pick: u8, behind: u8 },
-    /// Packets between all processes are lost, doubled and delayed.
+    /// Packets between all processes are lost, duplicated and delayed.
     Weather { loss_percent: u8, copy_percent: u8, delay_ms: u32, lasts_ms: u32 },
-    /// The processes in `side` (a bit set) can't reach the others.
+    /// The network partitions: processes in `side` (a bit set) can't reach the others.
     Partition { side: u32, lasts_ms: u32 },
-    /// A process stands still, then handles what has queued up.
+    /// A process is paused, then handles what has queued up.
     Pause { pick: u8, lasts_ms: u32 },
-    /// All processes stand still, as when a hypervisor is suspended.
+    /// All processes are paused, as when a hypervisor is suspended.
     PauseAll { lasts_ms: u32 },
-    /// An agent dies without handover; a new life starts after `gap_ms`.
+    /// An agent crashes without handover; a new incarnation starts `gap_ms` later.
     CrashAgent { pick: u8, gap_ms: u32 },
-    /// Upstream and agent die; both start anew after `gap_ms`.
+    /// An upstream and its agent crash; both restart `gap_ms` later.
     CrashHost { pick: u8, gap_ms: u32 },
-    /// The configuration service is down: nobody hears of new settings.
+    /// The configuration service is down: no process receives new settings.
     Outage { lasts_ms: u32 },
-    /// An agent is handed settings `behind` versions old.
+    /// An agent receives settings that are `behind` versions old.
     StaleRead { pick: u8, behind: u8 },
-    /// An upstream lies about itself.
+    /// An upstream reports a state that may be false.
     Lie { pick: u8, report: Report },
-    /// An agent is told that a peer is dead or alive, true or not.
+    /// An agent receives a hint that a peer is dead or alive, which may be false.
     Hint { pick: u8, peer: u8, alive: bool },
-    /// A balancer takes the agents in `down` (a bit set) for dead until the next such step.
+    /// A balancer treats the agents in `down` (a bit set) as dead until the next such step.
     Suspect { pick: u8, down: u32 },
 }
 
-/// Kinds of faults, as counted.
+/// Kinds of faults and planned changes, for statistics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-#[allow(missing_docs, reason = "named like the steps")]
+#[allow(missing_docs, reason = "named after the steps")]
 pub enum Fault {
     Weather,
     Partition,
@@ -110,7 +110,7 @@
     Balancer,
 }
 
-/// All kinds of faults and planned changes in the order of their numbers.
+/// All kinds of faults and planned changes, in discriminant order.
 pub const FAULTS: [Fault; 13] = [
     Fault::Weather,
     Fault::Partition,
@@ -127,11 +127,12 @@
     Fault::Balancer,
 ];
 
-/// How long a change without a duration of its own counts as going on, for pairs of faults.
+/// Time for which the after-effects of a change count as in progress, added to its gap or lag if it
+/// has one. Used to count overlapping faults.
 const RECOVERY_MS: u64 = 3_000;
 
 impl Step {
-    /// The kind of fault or planned change that the step starts and how long it lasts.
+    /// The kind of fault or planned change that the step starts, and its duration in milliseconds.
     ///
     /// ```
     /// use fuzzing::step::{Fault, Step};
@@ -169,7 +170,7 @@
         Some((fault, lasts_ms))
     }
 
-    /// Milliseconds of true time that the step takes.
+    /// True time that the step takes, in milliseconds.
     ///
     /// ```
     /// assert_eq!(fuzzing::step::Step::Idle { minutes: 1 }.takes_ms(), 60_000);
@@ -182,7 +183,7 @@
         }
     }
 
-    /// A step that does less of the same, if there is one.
+    /// The same step with its duration halved, if it has one that can be halved.
     ///
     /// ```
     /// use fuzzing::step::Step;
@@ -208,7 +209,8 @@
         (step != *self).then_some(step)
     }
 
-    /// Whether the step is a planned change, under which every promise holds without exception.
+    /// Whether the step is traffic or a planned change. Under these every promise holds without
+    /// exception.
     ///
     /// ```
     /// assert!(!fuzzing::step::Step::Outage { lasts_ms: 1 }.is_planned());
@@ -222,8 +224,8 @@
     }
 }
 
-/// Which kinds of steps an episode draws from. Leaving some out reaches states in which the others
-/// come more often.
+/// The kinds of steps that an episode draws from. Leaving some kinds out makes the others more
+/// frequent, which reaches other states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Profile {
     /// Bit set over [`FAULTS`].
@@ -232,12 +234,13 @@
     pub advance_ms: u32,
     /// Longest duration of a fault.
     pub lasts_ms: u32,
-    /// Whether flows idle for up to hours. Few episodes do, as ticks go on all the while.
+    /// Whether flows may idle, in all for hours. Few episodes do so, because simulating the agents'
+    /// ticks for that long is slow.
     pub idles: bool,
 }
 
 impl Profile {
-    /// Everything that is planned, no fault.
+    /// All planned changes, no faults.
     ///
     /// ```
     /// let profile = fuzzing::step::Profile::PLANNED;
@@ -246,7 +249,7 @@
     pub const PLANNED: Self =
         Self { faults: 0b1_1100_0000_0000, advance_ms: 400, lasts_ms: 5_000, idles: false };
 
-    /// Everything.
+    /// All planned changes and all faults.
     pub const ALL: Self =
         Self { faults: 0b1_1111_1111_1111, advance_ms: 400, lasts_ms: 5_000, idles: false };
 
@@ -260,7 +263,7 @@
     }
 }
 
-/// Strategy over profiles: a quarter of the episodes see planned change only.
+/// Strategy for profiles: about a quarter of the episodes have planned changes only.
 pub fn profiles() -> BoxedStrategy<Profile> {
     let faults = prop_oneof![
         1 => Just(Profile::PLANNED.faults),
@@ -280,7 +283,7 @@
         .boxed()
 }
 
-/// Strategy over the steps of a profile.
+/// Strategy for the steps of a profile.
 pub fn steps(profile: Profile) -> BoxedStrategy<Step> {
     let mut arms: Vec<(u32, BoxedStrategy<Step>)> = traffic_arms(profile);
     if profile.idles {
--- a/crates/fuzzing/src/world/agents.rs
+++ b/crates/fuzzing/src/world/agents.rs
@@ -1,4 +1,4 @@
-//! Hosts: an upstream, the agent beside it, and the shell around the agent.
+//! Hosts: an upstream, the agent beside it, and the simulated process (shell) around the agent.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use crate::oracle::{IncarnationId, Observation};
 use crate::step::Report;
 
-/// What reaches an agent's process.
+/// Input of an agent's process.
 #[derive(Clone, Debug)]
 pub(super) enum Incoming {
     Packet { packet: Packet, caller_packet: CallerPacket },
@@ -41,7 +41,7 @@
     }
 }
 
-/// Whether a process runs, and what has queued up at it while it stood still.
+/// Whether a process is paused, and the input that has queued up meanwhile.
 #[derive(Clone, Debug)]
 pub(super) struct Process<T> {
     pub(super) paused_until_ms: u64,
@@ -54,11 +54,11 @@
     }
 }
 
-/// What a socket buffer holds before it drops.
+/// Capacity of the simulated socket buffer; further items are dropped.
 const BACKLOG_MAX: usize = 4_096;
 
 impl<T> Process<T> {
-    /// True if the process runs; else the item is kept for later.
+    /// Returns true if the process is running. Otherwise queues the item until it resumes.
     pub(super) fn accept_or_queue(&mut self, now_ms: u64, item: T) -> bool {
         if self.paused_until_ms <= now_ms {
             return true;
@@ -69,7 +69,7 @@
         false
     }
 
-    /// What has queued up.
+    /// Returns the queued items, none while the process is still paused.
     pub(super) fn take_backlog(&mut self, now_ms: u64) -> Vec<T> {
         if self.paused_until_ms > now_ms {
             return Vec::new();
@@ -78,7 +78,7 @@
     }
 }
 
-/// One place for an upstream and its agent.
+/// A place for an upstream and its agent.
 #[derive(Debug, Default)]
 pub(super) struct Host {
     pub(super) occupant: Occupant,
@@ -88,7 +88,7 @@
     pub(super) report: Option<Report>,
 }
 
-/// One life of an agent with its shell.
+/// One incarnation of an agent, with the state of its shell.
 #[derive(Debug)]
 pub(super) struct Shell {
     pub(super) incarnation: IncarnationId,
@@ -107,7 +107,7 @@
 }
 
 impl Shell {
-    /// Time on the agent's own clock.
+    /// Time of the agent's own clock.
     fn clock(&self, now_ms: u64) -> Millis {
         Millis(self.clock_offset_ms + now_ms)
     }
@@ -127,9 +127,10 @@
     }
 }
 
-/// Ticks between two reports of the upstream.
+/// Ticks between two reports of the upstream's state.
 const TICKS_PER_REPORT: u64 = 20;
-/// Clocks of machines differ by any amount; this keeps them readable.
+/// Range of the clock offsets. Real clocks may differ by any amount; the limit keeps traces
+/// readable.
 const CLOCK_SPREAD_MS: u64 = 1_000_000_000;
 
 impl World {
@@ -144,7 +145,7 @@
         self.start_agent(host, false);
     }
 
-    /// Starts an agent, unless one runs or nothing is there to run beside.
+    /// Starts an agent, unless one is running or the host has no upstream.
     pub(super) fn start_agent(&mut self, host: usize, may_have_prior_flows: bool) {
         let Some((service, name)) = self.hosts[host].occupant else { return };
         if self.hosts[host].agent.is_some() || self.hosts[host].upstream.is_none() {
@@ -194,7 +195,7 @@
         );
     }
 
-    /// Hands something to the agent, or keeps it while the process stands still.
+    /// Passes input to the agent, or queues it while the process is paused.
     pub(super) fn at_agent(&mut self, host: usize, incoming: Incoming) {
         let now_ms = self.now_ms;
         let target = &mut self.hosts[host];
@@ -210,7 +211,8 @@
             Incoming::Packet { packet, caller_packet } => {
                 return self.process_packet(host, packet, caller_packet);
             }
-            // The seal on a control message names the service, and the message its receiver.
+            // The authentication of a control message covers the service, and the message names its
+            // receiver; others drop it.
             Incoming::Control { service, .. } if service != shell.service => return,
             Incoming::Control { to, .. } if to != shell.id => return,
             Incoming::Control { from, message, .. } => Event::Message { from, message },
@@ -252,7 +254,8 @@
             return;
         };
         if paused_until_ms > now_ms {
-            // Not the end of the pause: the end of the episode may cut it short.
+            // Polls instead of waiting for the end of the pause, which may be cut short at the end
+            // of the episode.
             self.schedule(MAX_TICK_INTERVAL_MS, QueuedEvent::Tick { host, incarnation });
             return;
         }
@@ -292,7 +295,8 @@
         self.perform(host, actions);
     }
 
-    /// Shows the oracle whether the agent knows that its upstream takes no openings.
+    /// Reports to the oracle when the agent learns that its upstream takes no openings, or takes
+    /// them again.
     fn observe_draining(&mut self, host: usize) {
         let Some(shell) = &mut self.hosts[host].agent else { return };
         let known_draining = shell.knows_draining();
@@ -321,7 +325,7 @@
                 Action::Send { to, message } => self.send_control(host, to, message),
                 Action::Resolve { hold, verdict } => self.resolve(host, hold, verdict),
                 Action::FetchSettings { .. } => self.fetch(host),
-                // Balancers take agents for down when a step says so, rightly or wrongly.
+                // Balancers treat agents as down only on `Step::Suspect`, whether true or not.
                 Action::Report(_) => {}
                 Action::Record(note) => self.record_entry(host, note),
             }
@@ -343,7 +347,7 @@
     }
 }
 
-/// The host at which `shell` believes an agent of its service to be.
+/// The host of an agent of the same service, according to the settings of `shell`.
 pub(super) fn address_of(shell: &Shell, to: UpstreamId) -> Option<usize> {
     let service = shell.view.find_service(shell.service)?;
     let key = shell.view.find_upstream(service, to)?;
--- a/crates/fuzzing/src/world/balancers.rs
+++ b/crates/fuzzing/src/world/balancers.rs
@@ -1,4 +1,4 @@
-//! Balancers, and the policies that can take the place of the core's.
+//! Balancers, and balancing policies that can replace the core's.
 
 use std::hash::Hasher as _;
 use std::sync::Arc;
@@ -15,32 +15,32 @@
 use super::{CallerPacket, Node, QueuedEvent, World};
 use crate::oracle::Request;
 
-/// How packets are spread.
+/// How packets are distributed.
 pub enum Balancing {
-    /// By router and agents of the core.
+    /// By the core's router and agents.
     Core,
-    /// By the balancer alone, which hands packets straight to upstreams.
+    /// By the balancer alone, which delivers packets directly to upstreams.
     Direct(DirectPolicy),
 }
 
-/// A policy of the balancer alone.
+/// A policy that selects the upstream without agents; `None` drops the packet.
 pub type DirectPolicy = Box<dyn FnMut(&DirectInput<'_>) -> Option<UpstreamKey>>;
 
-/// What a balancer knows about a packet.
+/// What a balancer knows about a packet, as input of a [`DirectPolicy`].
 pub struct DirectInput<'a> {
-    /// Its number.
+    /// Number of the balancer.
     pub balancer: usize,
-    /// Its settings.
+    /// Settings of the balancer.
     pub view: &'a View,
-    /// Service of the packet's destination.
+    /// Service that the packet is addressed to.
     pub service: ServiceKey,
-    /// Flow.
+    /// Flow that the packet belongs to.
     pub flow: FlowId,
     /// Whether the packet opens the flow.
     pub opening: bool,
 }
 
-/// A balancer.
+/// A balancer process.
 #[derive(Debug)]
 pub(super) struct Balancer {
     pub(super) versions: Versions,
@@ -102,7 +102,7 @@
         self.send(Node::Balancer(balancer), host, Incoming::Packet { packet, caller_packet });
     }
 
-    /// Sends from process to process.
+    /// Sends from a process to the agent on a host.
     pub(super) fn send(&mut self, from: Node, host: usize, incoming: Incoming) {
         if self.network.separates(self.now_ms, from, Node::Host(host)) {
             return;
@@ -116,15 +116,15 @@
     }
 }
 
-/// A hash that is the same in every run and with every compiler.
+/// A hash that is the same in every run and with every compiler version.
 pub(super) fn hash_of(value: &impl std::hash::Hash) -> u64 {
     let mut hasher = SipHasher13::new();
     value.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Initial sequence number of the connection that a request opens: another one for each caller, and far
-/// from that of its last connection.
+/// Initial sequence number of the connection that a request opens. It differs between callers and
+/// is far from that of the caller's previous connection.
 pub(super) fn initial_sequence(request: Request) -> u32 {
     const SPREAD: u32 = 0x9e37_79b1;
     ((request.caller as u32) << 16 | request.nonce).wrapping_mul(SPREAD)
--- a/crates/fuzzing/src/world/callers.rs
+++ b/crates/fuzzing/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they open flows, retransmit, send, and end flows.
+//! Callers, which open flows, send, retransmit and close flows.
 
 use decision::keys::FlowId;
 
@@ -7,7 +7,7 @@
 use super::upstreams::Token;
 use crate::oracle::Request;
 
-/// A packet of a caller as the upstream sees it.
+/// Contents of a caller's packet as the upstream receives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Inner {
     /// A SYN, or a request to a datagram service.
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The connection that the packet belongs to; an opening has none.
+    /// The connection that the packet belongs to; none for an opening.
     pub(super) fn token(&self) -> Option<Token> {
         match *self {
             Self::Open(_) => None,
@@ -40,102 +40,103 @@
     }
 }
 
-/// An answer to a caller.
+/// A reply to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-#[allow(missing_docs, reason = "the fields repeat: which request, which connection")]
+#[allow(missing_docs, reason = "the same fields recur: the request and the connection")]
 pub(super) enum Reply {
     /// SYN-ACK.
     Accepted { request: Request, token: Token },
-    /// Answer to a datagram request.
+    /// Reply to a datagram request.
     Done { request: Request },
-    /// Challenge ACK: the upstream has an older connection on these ports.
+    /// Challenge ACK: the upstream has an older connection with the same ports.
     Challenge { request: Request, token: Token },
     /// Acknowledges a packet in the middle.
     Acknowledged { token: Token },
-    /// The flow's orderly end.
+    /// Acknowledges the orderly close of the flow.
     Finished { token: Token },
-    /// RST to a packet of this connection.
+    /// RST in reply to a packet of this connection.
     Reset { token: Token },
-    /// An agent's refusal of an opening.
+    /// An agent refused the opening.
     Refused { request: Request },
 }
 
-/// Where a caller stands.
+/// Connection state of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Nothing open.
+    /// No flow.
     Idle,
-    /// Waits for the answer to its opening.
+    /// Waits for the reply to its opening.
     Opening,
-    /// Flow open; `unacknowledged` while a packet is not acknowledged.
+    /// The flow is open.
     Open {
         /// Connection that it knows.
         token: Token,
-        /// Whether a packet of it is not acknowledged.
+        /// Whether a packet that the caller sent is not acknowledged yet.
         unacknowledged: bool,
     },
-    /// Has sent its FIN.
+    /// Has sent a FIN.
     Closing {
         /// Connection that it knows.
         token: Token,
     },
 }
 
-/// One caller of one service, always on the same ports.
+/// A caller of one service with at most one flow at a time. It changes ports only if the previous
+/// ones may not be reused yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Caller {
-    /// Its number.
+    /// Number of the caller.
     pub(super) number: usize,
     /// The service that it calls.
     pub(super) service: usize,
-    /// Its flow on its present ports.
+    /// Flow id of its current ports.
     pub(super) flow: FlowId,
-    /// Counts the ports it has used.
+    /// Number of port changes so far.
     port: u64,
     seed: u64,
-    /// Whether its last flow ended by its own reset, after which ports may be used again at once.
+    /// Whether it reset its last flow itself, after which the ports may be reused at once.
     aborted: bool,
-    /// True time of the last answer of any kind, or at which it gave up.
+    /// True time of the last reply of any kind, or of giving up.
     last_reply_ms: u64,
-    /// Where it stands.
+    /// Connection state.
     pub(super) phase: Phase,
-    /// Counts its openings.
+    /// Number of openings so far.
     pub(super) nonce: u32,
-    /// Transmissions of what it waits for.
+    /// Transmissions of the pending packet so far.
     pub(super) tries: u32,
-    /// Counts its timers; an older one is void.
+    /// Number of the current timer; older timers are ignored.
     pub(super) timer: u32,
-    /// True time of its opening's first transmission.
+    /// True time of the first transmission of the last opening.
     pub(super) first_sent_ms: u64,
-    /// True time of the last answer in its flow.
+    /// True time of the last acknowledgement in its flow.
     pub(super) answered_ms: u64,
-    /// What became of its last opening.
+    /// Result of its last opening.
     pub(super) outcome: Outcome,
 }
 
-/// What a caller knows about its last opening.
+/// Result of an opening as the caller knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// Nothing yet.
+    /// No reply yet.
     Unknown,
-    /// Accepted, or answered.
+    /// Accepted (TCP) or answered (datagram).
     Served,
     /// Refused.
     Refused,
-    /// An older connection of its own is in the way; the caller has to end that first.
+    /// The upstream still has an older connection of the caller, which the caller resets first.
     Challenged,
 }
 
-/// Transmissions before a caller gives up: the last SYN of Linux is sent after 31 s.
+/// Transmissions before a caller gives up. As on Linux, the last SYN is sent after 31 s.
 const TRIES_MAX: u32 = 6;
-/// First retransmission of an opening or FIN; doubled each time.
+/// Delay of the first retransmission of an opening or FIN; doubled each time.
 const OPENING_RETRANSMIT_MS: u64 = 1_000;
-/// First retransmission in an open flow; doubled each time.
+/// Base delay of retransmissions in an open flow; doubled each time.
 const FLOW_RETRANSMIT_MS: u64 = 200;
 /// Longest time between two transmissions in an open flow.
 const FLOW_RETRANSMIT_MAX_MS: u64 = 4_000;
 
-/// How long a caller's own system keeps the ports of an orderly ended flow from being used again.
+/// Time for which the caller's operating system doesn't reuse the ports of an orderly closed flow.
 const TIME_WAIT_MS: u64 = 60_000;
 
 fn flow(seed: u64, number: usize, port: u64) -> FlowId {
@@ -164,12 +165,12 @@
         }
     }
 
-    /// What it wants to be served now.
+    /// The current request.
     pub(super) fn request(&self) -> Request {
         Request { service: self.service, caller: self.number, nonce: self.nonce }
     }
 
-    /// The packet that it transmits, again and again, until it is answered.
+    /// The packet that is retransmitted until it is answered.
     pub(super) fn pending(&self) -> Option<Inner> {
         match self.phase {
             Phase::Idle | Phase::Open { unacknowledged: false, .. } => None,
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Begins an opening.
+    /// Starts a new opening.
     pub(super) fn open(&mut self, now_ms: u64) {
         let ports_reusable = self.nonce == 0 || now_ms >= self.last_reply_ms + TIME_WAIT_MS;
         if !ports_reusable && !self.aborted && !SERVICES[self.service].is_datagram() {
@@ -193,20 +194,20 @@
         self.enter(Phase::Opening);
     }
 
-    /// Enters a phase; its first transmission is due.
+    /// Enters a phase and resets the retransmission state.
     pub(super) fn enter(&mut self, phase: Phase) {
         self.phase = phase;
         self.tries = 0;
         self.timer += 1;
     }
 
-    /// Ends its flow by a reset.
+    /// Ends the flow by a reset.
     pub(super) fn abort(&mut self) {
         self.aborted = true;
         self.enter(Phase::Idle);
     }
 
-    /// Counts a transmission and says when the next is due; `None` once it gives up.
+    /// Counts a transmission and returns the delay until the next; `None` if the caller gives up.
     pub(super) fn transmit(&mut self, now_ms: u64) -> Option<u64> {
         let persistent = matches!(self.phase, Phase::Open { .. });
         if self.tries >= TRIES_MAX && !persistent {
@@ -221,7 +222,7 @@
         Some(OPENING_RETRANSMIT_MS << (self.tries - 1))
     }
 
-    /// Takes in an answer; returns a packet that it sends at once besides the pending one.
+    /// Handles a reply; returns a packet to send at once besides the pending one.
     pub(super) fn receive(&mut self, now_ms: u64, reply: Reply) -> Option<Inner> {
         let request = self.request();
         self.last_reply_ms = now_ms;
--- a/crates/fuzzing/src/world/faults.rs
+++ b/crates/fuzzing/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! Steps: load, planned changes and faults.
+//! Applies steps: traffic, planned changes and faults.
 
 use super::agents::{Incoming, Process};
 use super::balancers::Balancer;
@@ -9,7 +9,7 @@
 use crate::oracle::{IncarnationId, Observation};
 use crate::step::{Report, Step};
 
-/// Time that a leaving agent has before its process ends.
+/// Grace period between the request to leave and the end of an agent's process.
 pub(super) const GRACE_MS: u64 = 3_000;
 
 impl World {
@@ -135,7 +135,7 @@
         self.schedule(GRACE_MS, QueuedEvent::StopAgent { host, incarnation, gap_ms });
     }
 
-    /// The end of an orderly shutdown, unless the agent has died before.
+    /// Completes an orderly shutdown, unless the agent has crashed meanwhile.
     pub(super) fn stop_agent(&mut self, host: usize, incarnation: IncarnationId, gap_ms: u64) {
         if self.hosts[host].agent.as_ref().is_some_and(|shell| shell.incarnation == incarnation) {
             self.record_loss(host, false);
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Ends upstream and agent; their flows are gone.
+    /// Terminates the upstream and its agent, which ends all their flows.
     pub(super) fn kill(&mut self, host: usize) {
         self.hosts[host].agent = None;
         self.hosts[host].process = Process::default();
@@ -197,8 +197,9 @@
         self.schedule(GRACE_MS, QueuedEvent::StopHost { host, incarnation });
     }
 
-    /// Ends a retired upstream, unless it has flows again or is wanted again. Its agent was told to end
-    /// and does so in any case: beside an upstream that is wanted again, the next one starts at once.
+    /// Shuts down a retired upstream. If it has flows again, retries after the grace period. If it
+    /// has been restored in the settings, only its agent, which was already told to leave, is
+    /// restarted, at once.
     pub(super) fn stop_host(&mut self, host: usize, incarnation: IncarnationId) {
         let target = &self.hosts[host];
         let same = target.agent.as_ref().is_some_and(|shell| shell.incarnation == incarnation);
--- a/crates/fuzzing/src/world/fleet.rs
+++ b/crates/fuzzing/src/world/fleet.rs
@@ -1,4 +1,4 @@
-//! Published settings: every version of every account, and the views built from them.
+//! Published settings: all versions of each account, and the views built from them.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -11,30 +11,30 @@
 
 use crate::step::Change;
 
-/// Names of the accounts; each is one unit of settings.
+/// Names of the client accounts. Each account's settings are versioned on their own.
 pub(super) const ACCOUNTS: [&str; 2] = ["cascadia", "bajio"];
-/// Listed upstreams of a service that are not retired, at most.
+/// Maximum number of upstreams of a service that are listed and not retired.
 const LISTED_MAX: usize = 7;
-/// Highest name of an upstream; bounds what an episode can add.
+/// Maximum number of upstream names per service, which bounds what an episode can add.
 const NAMES_MAX: usize = 12;
 
-/// Version of each account at one process.
+/// The version of each account that a process has.
 pub(super) type Versions = [usize; ACCOUNTS.len()];
 
-/// What never changes about a service.
+/// Constant properties of a service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceKind {
-    /// Name.
+    /// Name of the service.
     pub(super) name: &'static str,
     /// Index into [`ACCOUNTS`].
     pub(super) account: usize,
     /// Protocol of its endpoint.
     pub(super) transport: Transport,
-    /// What it does in doubt.
+    /// Whether openings are admitted or refused when an agent's state is incomplete.
     pub(super) when_in_doubt: WhenInDoubt,
 }
 
-/// The services, one for each kind of promise.
+/// The services, one for each kind of [`Promise`](crate::oracle::Promise).
 pub(super) const SERVICES: [ServiceKind; 3] = [
     ServiceKind {
         name: "shelf",
@@ -67,7 +67,7 @@
         UpstreamId::of(ACCOUNTS[self.account], self.name, &upstream_name(name))
     }
 
-    /// Whether a datagram is a whole request.
+    /// Whether each datagram is a complete request.
     pub(super) fn is_datagram(&self) -> bool {
         self.transport == Transport::Udp
     }
@@ -76,9 +76,9 @@
 /// An upstream as listed in the newest settings.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Listed {
-    /// Number that makes its name.
+    /// Number in its name.
     pub(super) name: usize,
-    /// Host on which it runs.
+    /// Host that it runs on.
     pub(super) host: usize,
     /// Published state.
     pub(super) state: UpstreamState,
@@ -88,16 +88,16 @@
     retired: Option<usize>,
 }
 
-/// What a published change asks the hosts to do.
+/// What hosts have to do to carry out a published change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HostAction {
     /// Only the settings change.
     Nothing,
-    /// Start this upstream on this host.
+    /// Start an upstream on a host.
     Start {
         /// Number of the upstream.
         name: usize,
-        /// Host.
+        /// Number of the host.
         host: usize,
     },
 }
@@ -108,15 +108,15 @@
     services: Vec<Vec<Listed>>,
     history: Vec<Vec<AccountSpec>>,
     views: Vec<(Versions, Arc<View>)>,
-    /// Published limit of each upstream.
+    /// Published flow limit of each upstream.
     pub(super) max_flows: u32,
 }
 
-/// What runs on a host: service and number of the upstream.
+/// Upstream on a host: its service and number.
 pub(super) type Occupant = Option<(usize, usize)>;
 
 impl Fleet {
-    /// Version 1: `sizes` upstreams for each service, on consecutive hosts.
+    /// Creates version 1 of all accounts: `sizes` upstreams per service, on consecutive hosts.
     pub(super) fn new(sizes: &[usize], max_flows: u32) -> Self {
         let mut host = 0;
         let mut services = Vec::new();
@@ -134,7 +134,7 @@
         fleet
     }
 
-    /// Services in use.
+    /// Number of services in use.
     pub(super) fn service_count(&self) -> usize {
         self.services.len()
     }
@@ -144,7 +144,7 @@
         &self.services[service]
     }
 
-    /// Newest versions.
+    /// Newest version of each account.
     pub(super) fn newest(&self) -> Versions {
         std::array::from_fn(|account| self.history[account].len())
     }
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Publishes a change; `None` if nothing can be changed that way.
+    /// Publishes a change; `None` if it doesn't apply to any upstream.
     pub(super) fn publish(
         &mut self,
         service: usize,
@@ -238,7 +238,8 @@
         Some(action)
     }
 
-    /// Keeps one upstream active, so that refusing everything is never right.
+    /// Starts to drain an upstream. Keeps one active, so that refusing all openings is always a
+    /// violation.
     fn drain(&mut self, service: usize, pick: u8) -> Option<HostAction> {
         let active = |listed: &&Listed| listed.state == UpstreamState::Active;
         if self.services[service].iter().filter(active).count() < 2 {
@@ -293,7 +294,7 @@
     }
 }
 
-/// The host behind an agent's address.
+/// The host of an agent's address.
 pub(super) fn host_at(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => usize::from(ip.octets()[3]),
--- a/crates/fuzzing/src/world/heal.rs
+++ b/crates/fuzzing/src/world/heal.rs
@@ -1,4 +1,4 @@
-//! The end of an episode: all faults end, and every living flow must be found again.
+//! End of an episode: all faults end, and every live flow must become reachable again.
 
 use decision::view::UpstreamState;
 
@@ -8,24 +8,26 @@
 use crate::oracle::{Observation, Promise};
 use crate::step::Report;
 
-/// Time for the fleet to settle after the last fault.
+/// Time for the fleet to recover after the last fault.
 const SETTLE_MS: u64 = 12_000;
-/// Time for a caller to be answered once the fleet has settled.
+/// Time within which a caller must receive a reply once the fleet has recovered.
 const ANSWER_MS: u64 = 20_000;
-/// Time after which ended flows are out of every table.
+/// Time after which no table has entries of ended flows.
 const EXPIRY_MS: u64 = 200_000;
-/// Longer than a restarted witness abstains (`CLAIM_TTL_MS`).
+/// Longer than a restarted witness abstains from voting (`CLAIM_TTL_MS`).
 const ABSTAIN_MS: u64 = 125_000;
-/// Longest time that an agent holds a packet.
+/// Maximum time for which an agent may hold a packet.
 const HELD_MS: u64 = 5_000;
 
 impl World {
-    /// Ends all faults, gives the fleet time, and checks that flows live and openings are answered.
+    /// Ends all faults, waits for the fleet to recover, and checks that open flows work and
+    /// openings are answered.
     ///
-    /// Witnesses of a service that refuses when in doubt abstain for a while after a restart, and
-    /// an opening without a majority can neither run nor be refused. It is judged once that is over.
+    /// Witnesses of an at-most-once service abstain from voting for a while after a restart, and an
+    /// opening without a majority can neither run nor be refused. Openings of such a service are
+    /// therefore checked only after that time.
     pub fn heal(&mut self) {
-        // Agents that are already leaving go first, so that each is started again below.
+        // Lets agents that are already leaving terminate first, so that they are restarted below.
         self.advance(GRACE_MS + 1);
         self.note(|| "all faults end".to_owned());
         self.end_faults();
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Probes open flows and the services for which `openings` holds, and judges the answers.
+    /// Probes open flows and the services for which `openings` holds, and checks the replies.
     fn check_service(&mut self, openings: impl Fn(Promise) -> bool) {
         let probed_ms = self.now_ms;
         let probes = self.probe(openings);
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Every open flow sends, and every service gets openings from idle callers.
+    /// Sends a packet in every open flow, and an opening from every idle caller of the services for
+    /// which `openings` holds. Returns the callers that sent an opening.
     fn probe(&mut self, openings: impl Fn(Promise) -> bool) -> Vec<usize> {
         let mut opened = Vec::new();
         for caller in 0..self.callers.len() {
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Whether some active upstream holds fewer flows than it may.
+    /// Whether some active upstream has fewer flows than its limit.
     fn has_room(&self, service: usize) -> bool {
         let mut active = self
             .fleet
@@ -150,8 +153,8 @@
         active.any(|upstream| upstream.connections.len() < self.fleet.max_flows as usize)
     }
 
-    /// Ended flows leave the agents' tables. Faults may leave entries without a flow behind, which
-    /// only time or room removes, so only planned change is judged.
+    /// Checks that ended flows leave the agents' tables. Faults may leave entries without a flow,
+    /// which only expiry or eviction removes, so this is checked only in episodes without faults.
     fn check_flow_tables(&mut self) {
         if self.violation.is_some() || self.faulted {
             return;
@@ -173,7 +176,7 @@
         }
     }
 
-    /// A packet may wait for a second or so, not for ever.
+    /// Checks that no agent has held a packet for longer than [`HELD_MS`].
     fn check_held(&mut self) {
         if self.violation.is_some() {
             return;
--- a/crates/fuzzing/src/world/losses.rs
+++ b/crates/fuzzing/src/world/losses.rs
@@ -1,10 +1,10 @@
-//! Agents that have lost their memory, and the flows that nobody can know any more.
+//! Tracks agents that have lost their state, and the flows that may break as a result.
 //!
-//! What agents know about a flow is kept by processes without disks. A flow is beyond help once
-//! all who can have been told of it have died before the loss of the first was repaired. The core
-//! keeps it at three agents: its holder and two others. More than two deaths at a time, the
-//! holder's among them, therefore excuse the flows of these holders, and so does the loss of all
-//! agents of a service, however orderly. Nothing else does.
+//! Agents keep their knowledge of flows in memory only. A flow can't be recovered once all agents
+//! that may know it have crashed before the loss of the first was repaired. The core keeps each
+//! flow at three agents: its holder and two others. Breaking a flow is therefore excused if its
+//! holder is among more than two agents that crashed at a time, or if all agents of the service
+//! lost their state, by crashes or orderly restarts. Nothing else excuses it.
 
 use decision::view::UpstreamState;
 
@@ -12,9 +12,9 @@
 use crate::oracle::Observation;
 use crate::step::Step;
 
-/// Deaths at a time that an open flow survives.
+/// Number of concurrent crashes that an open flow must survive.
 const SURVIVED_DEATHS: usize = 2;
-/// Time in which peers tell a restarted agent what it held and what others hold.
+/// Time within which peers send a restarted agent the flows that it and others hold.
 const REPAIR_MS: u64 = 10_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -25,16 +25,16 @@
     until_ms: u64,
 }
 
-/// Losses that are not repaired yet.
+/// Losses of state that are not repaired yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Losses {
     losses: Vec<Loss>,
-    /// True time until which the network or a pause may delay any repair.
+    /// True time until which network faults or pauses may delay repairs.
     repairs_delayed_until_ms: u64,
 }
 
 impl Losses {
-    /// Repairs take longer while processes can't talk.
+    /// Extends the repairs in progress if the step keeps processes from communicating.
     pub(super) fn delay_repairs(&mut self, now_ms: u64, step: &Step) {
         let lasts_ms = match *step {
             Step::Weather { lasts_ms, .. }
@@ -56,7 +56,7 @@
         self.losses.push(Loss { service, host, died, until_ms });
     }
 
-    /// Hosts of a service with an unrepaired loss, deaths only or all.
+    /// Hosts of a service with an unrepaired loss: by crashes only, or by any cause.
     fn hosts(&self, service: usize, deaths_only: bool) -> Vec<usize> {
         let counts = |loss: &&Loss| loss.service == service && (loss.died || !deaths_only);
         let mut hosts: Vec<usize> =
@@ -68,7 +68,7 @@
 }
 
 impl World {
-    /// An agent has lost its memory, by dying or by an orderly restart.
+    /// Records that an agent lost its state, by a crash (`died`) or by an orderly restart.
     pub(super) fn record_loss(&mut self, host: usize, died: bool) {
         let Some((service, _)) = self.hosts[host].occupant else { return };
         self.losses.add(self.now_ms, service, host, died);
--- a/crates/fuzzing/src/world/mod.rs
+++ b/crates/fuzzing/src/world/mod.rs
@@ -1,8 +1,9 @@
-//! The world around the core: network, callers, upstreams, hosts, balancers and published settings.
+//! Simulated environment of the decision core: network, callers, upstreams, hosts, balancers and
+//! published settings.
 //!
-//! Everything is driven by one queue of events in true time. Applying a [`Step`] either changes the
-//! world at once or lets time pass. Nothing is drawn from a global source of random numbers: the
-//! same setup and steps give the same run.
+//! One event queue in true time drives everything. Applying a [`Step`] either changes the world at
+//! once or lets time pass. There is no global random number generator, so the same setup and steps
+//! give the same run.
 
 mod agents;
 mod balancers;
@@ -32,25 +33,25 @@
 use fleet::{Fleet, Occupant, SERVICES, Versions};
 use network::{Network, PACKET_LIFETIME_MS, mix};
 
-/// What an episode starts from.
+/// Initial state of an episode.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Setup {
-    /// Seed of fates, flows and clocks.
+    /// Seed for the delivery of packets, flow ids and clock offsets.
     pub seed: u64,
-    /// Upstreams of each service, one to three services.
+    /// Number of upstreams of each service, for one to three services.
     pub sizes: Vec<usize>,
-    /// Balancers.
+    /// Number of balancers.
     pub balancers: usize,
-    /// Callers of each service.
+    /// Number of callers of each service.
     pub callers: usize,
-    /// Published limit of each upstream.
+    /// Published flow limit of each upstream.
     pub max_flows: u32,
     /// Whether the end of the episode waits until restarted witnesses vote again and ended flows
-    /// are forgotten. That takes as long as a thousand steps, so few episodes do.
+    /// have expired. That takes as long as a thousand steps, so only some episodes do.
     pub patient: bool,
 }
 
-/// A process of the system.
+/// A process of the system under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Node {
     /// A balancer.
@@ -59,13 +60,13 @@
     Host(usize),
 }
 
-/// Balancers at most, so that every node has its bit in a partition.
+/// Maximum number of balancers, so that every node has its own bit in a partition.
 const BALANCERS_MAX: usize = 4;
-/// Hosts that run nothing at the start.
+/// Hosts that are empty at the start.
 const SPARE_HOSTS: usize = 1;
 
 impl Node {
-    /// Bit of the node in a partition.
+    /// Bit number of the node in a partition.
     fn bit(self) -> u32 {
         match self {
             Self::Balancer(index) => index as u32,
@@ -74,21 +75,21 @@
     }
 }
 
-/// A caller's packet on its way.
+/// A caller's packet in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct CallerPacket {
-    /// The packet.
+    /// Contents of the packet.
     inner: Inner,
-    /// The caller's address and ports.
+    /// Flow id, which stands for the caller's address and ports.
     flow: decision::keys::FlowId,
-    /// Sequence number of the TCP segment: of the connection that it belongs to.
+    /// TCP sequence number, from the sequence space of the connection that the segment belongs to.
     sequence: u32,
-    /// True time at which the caller sent it; for an opening, sent it first.
+    /// True time at which the caller sent it; for an opening, of the first transmission.
     sent_ms: u64,
 }
 
 impl std::hash::Hash for CallerPacket {
-    /// The sequence number follows from the rest.
+    /// Leaves out the sequence number, which is determined by the other fields.
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
         (self.inner, self.flow, self.sent_ms).hash(state);
     }
@@ -142,7 +143,7 @@
     }
 }
 
-/// What a run has cost and achieved.
+/// Event counters of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Openings that began at an upstream.
@@ -151,13 +152,13 @@
     pub refused: u64,
     /// Flows established.
     pub established: u64,
-    /// Packets delivered in the middle of a flow.
+    /// Packets handed to an upstream.
     pub delivered: u64,
-    /// Packets passed from agent to agent.
+    /// Packets forwarded from agent to agent.
     pub forwarded: u64,
     /// Control messages sent between agents.
     pub control: u64,
-    /// Open flows cut, by whatever cause.
+    /// Open flows that were reset, for any reason.
     pub broken: u64,
     /// Requests that ran more than once.
     pub ran_again: u64,
@@ -184,7 +185,7 @@
     }
 }
 
-/// The whole world.
+/// State of the simulation.
 pub struct World {
     now_ms: u64,
     seed: u64,
@@ -201,30 +202,30 @@
     oracle: Oracle,
     faulted: bool,
     patient: bool,
-    /// True time of the last restart of an agent, zero before the first.
+    /// True time of the last start of an agent after the initial ones, zero if there was none.
     last_agent_start_ms: u64,
     losses: losses::Losses,
     violation: Option<Violation>,
     tally: Tally,
     timeline: Option<Vec<String>>,
     flows: Vec<(decision::keys::FlowId, String)>,
-    #[cfg_attr(not(feature = "mutants"), expect(dead_code, reason = "nothing to take out"))]
+    #[cfg_attr(not(feature = "mutants"), expect(dead_code, reason = "used by mutants only"))]
     defects: Defects,
 }
 
-/// What is broken on purpose; nothing unless the feature `mutants` is on.
+/// Deliberate defects; none unless the feature `mutants` is enabled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Defects {
-    /// A safeguard that is taken out of every agent.
+    /// A safeguard that is removed from every agent.
     #[cfg(feature = "mutants")]
     pub mutant: Option<decision::agent::Mutant>,
 }
 
-/// Time for the agents to get to know one another before the first step.
+/// Time for the agents to discover one another before the first step.
 const WARM_UP_MS: u64 = 3_000;
 
 impl World {
-    /// A world in which all agents have just started beside fresh upstreams.
+    /// Creates a world in which all agents have just started beside fresh upstreams.
     pub fn new(setup: &Setup, balancing: Balancing, defects: Defects) -> Self {
         let hosts = setup.sizes.iter().sum::<usize>() + SPARE_HOSTS;
         let callers = (0..setup.sizes.len() * setup.callers)
@@ -269,7 +270,7 @@
         self.change(step);
     }
 
-    /// Lets time pass and handles what falls due.
+    /// Advances true time and handles the events that become due.
     pub fn advance(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
         while self.violation.is_none() {
@@ -285,17 +286,17 @@
         self.now_ms = until_ms;
     }
 
-    /// The first broken promise.
+    /// The first violated promise.
     pub fn violation(&self) -> Option<&Violation> {
         self.violation.as_ref()
     }
 
-    /// What the run has cost and achieved.
+    /// Event counters so far.
     pub fn tally(&self) -> &Tally {
         &self.tally
     }
 
-    /// Milliseconds of true time since the start.
+    /// True time since the start, in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
@@ -349,7 +350,7 @@
         self.queue.push(Reverse(QueueEntry { due_ms, sequence: self.sequence, event }));
     }
 
-    /// Schedules the copies of a packet that the network lets through.
+    /// Schedules the arrival of each copy of a packet that the network delivers.
     fn transmit_over(&mut self, hash: u64, event: impl Fn() -> QueuedEvent) {
         let hash = mix(hash ^ self.seed ^ mix(self.now_ms));
         for delay_ms in self.network.delays(self.now_ms, hash) {
--- a/crates/fuzzing/src/world/network.rs
+++ b/crates/fuzzing/src/world/network.rs
@@ -1,24 +1,24 @@
-//! The adversarial network: what is lost, doubled, delayed or cut off.
+//! The adversarial network, which loses, duplicates, delays and reorders packets and partitions.
 //!
-//! The fate of a packet is drawn from a hash of what it is, and not from a shared sequence of
-//! random numbers, so that deleting one step of a trace does not change the fate of all others.
+//! What happens to a packet is derived from a hash of its contents, not from a shared sequence of
+//! random numbers, so deleting a step of a trace does not affect the delivery of other packets.
 
 use super::Node;
 
-/// Network trouble between all processes, while it lasts.
+/// Temporary packet loss, duplication and delay between all processes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Weather {
-    /// Lost packets.
+    /// Share of packets that are lost.
     pub(super) loss_percent: u8,
-    /// Doubled packets.
+    /// Share of packets that are duplicated.
     pub(super) copy_percent: u8,
-    /// Longest added delay.
+    /// Maximum added delay.
     pub(super) delay_ms: u64,
     /// True time at which it ends.
     pub(super) until_ms: u64,
 }
 
-/// Processes in `side` can't reach the others, while it lasts.
+/// Temporary partition: processes in `side` can't reach the others.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Partition {
     /// Bit set over the nodes.
@@ -27,24 +27,24 @@
     pub(super) until_ms: u64,
 }
 
-/// No copy of an opening arrives later than this after the caller first sent it, and no other
-/// packet later than this after it was sent. The core can't remember for ever, so copies must die
-/// out before it forgets (`CLAIM_TTL_MS`); TCP itself relies on the same bound.
+/// Maximum packet lifetime. No copy of an opening arrives later than this after the caller first
+/// sent it, and no other packet later than this after it was sent. The core's claims expire, so
+/// no copy may outlive them (`CLAIM_TTL_MS`). TCP relies on the same kind of bound.
 pub(super) const PACKET_LIFETIME_MS: u64 = 110_000;
-/// Longest delay of a packet without any trouble.
+/// Maximum delay of a packet without network faults.
 const JITTER_MS: u64 = 2;
 
 /// State of the network.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Network {
-    /// Trouble at work; several kinds add up.
+    /// Loss, duplication and delay in force; several add up.
     pub(super) weather: Vec<Weather>,
-    /// Partitions at work.
+    /// Partitions in force.
     pub(super) partitions: Vec<Partition>,
 }
 
 impl Network {
-    /// Whether a packet between two processes is stopped by a partition.
+    /// Whether a partition separates two processes.
     pub(super) fn separates(&self, now_ms: u64, from: Node, to: Node) -> bool {
         let (from, to) = (from.bit(), to.bit());
         let cut =
@@ -52,7 +52,7 @@
         self.partitions.iter().any(|partition| partition.until_ms > now_ms && cut(partition))
     }
 
-    /// Delays of the copies that arrive, none to two, for a packet with this hash.
+    /// Delays of the copies (none to two) of a packet with this hash that arrive.
     pub(super) fn delays(&self, now_ms: u64, hash: u64) -> Vec<u64> {
         let mut copies = 1;
         let mut delay_ms = 1 + mix(hash) % JITTER_MS;
@@ -73,19 +73,20 @@
         (0..copies).map(copy).collect()
     }
 
-    /// Ends all trouble.
+    /// Ends all network faults.
     pub(super) fn heal(&mut self) {
         *self = Self::default();
     }
 }
 
-/// Half of the delays are short, so that order changes among packets that meet.
+/// Draws a delay. Half of the delays are short, so that packets sent at about the same time are
+/// reordered.
 fn skewed_delay(draw: u64, longest_ms: u64) -> u64 {
     let longest_ms = if draw & 1 == 0 { longest_ms.min(50) } else { longest_ms };
     (draw >> 1) % (longest_ms + 1)
 }
 
-/// Finishing step of a 64-bit hash (splitmix64).
+/// Finalizer of a 64-bit hash (splitmix64).
 pub(super) fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ value >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/fuzzing/src/world/settings.rs
+++ b/crates/fuzzing/src/world/settings.rs
@@ -1,4 +1,4 @@
-//! How published settings reach the processes: late, unevenly, or not at all.
+//! Distribution of published settings to the processes: delayed, at different times, or not at all.
 
 use super::agents::Incoming;
 use super::balancers::hash_of;
@@ -6,11 +6,11 @@
 use super::{Node, QueuedEvent, World};
 use crate::step::Change;
 
-/// Time to fetch settings on demand.
+/// Time that an agent's fetch of settings takes.
 const FETCH_MS: u64 = 100;
 
 impl World {
-    /// Publishes a change and lets every process hear of it after its own delay.
+    /// Publishes a change and schedules its arrival at each process after a delay of its own.
     pub(super) fn publish(&mut self, service: u8, change: Change, pick: u8, lag_ms: u32) {
         let service = usize::from(service) % self.fleet.service_count();
         let hosts: Vec<Occupant> = self.hosts.iter().map(|host| host.occupant).collect();
@@ -27,13 +27,14 @@
         }
     }
 
-    /// All processes.
+    /// All processes: balancers, then agents.
     pub(super) fn nodes(&self) -> Vec<Node> {
         let balancers = (0..self.balancers.len()).map(Node::Balancer);
         balancers.chain((0..self.hosts.len()).map(Node::Host)).collect()
     }
 
-    /// Hands settings to a process. A shell never goes back by itself.
+    /// Delivers settings to a process. The process keeps the newer version of each account, so it
+    /// never goes back to older settings by itself.
     pub(super) fn receive_settings(&mut self, node: Node, versions: Versions) {
         if self.outage_until_ms > self.now_ms {
             return;
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Newest settings that a starting process can hear of.
+    /// Newest settings that a starting process can learn of: during an outage only those that
+    /// another process has.
     pub(super) fn known_settings(&self) -> Versions {
         if self.outage_until_ms <= self.now_ms {
             return self.fleet.newest();
@@ -68,7 +70,7 @@
         balancers.chain(agents).reduce(newer).unwrap_or_else(|| self.fleet.newest())
     }
 
-    /// Fetches the newest settings for an agent that has heard of them.
+    /// Fetches the newest settings for an agent that has learned of a newer version.
     pub(super) fn fetch(&mut self, host: usize) {
         let versions = self.fleet.newest();
         let Some(shell) = &mut self.hosts[host].agent else { return };
--- a/crates/fuzzing/src/world/timeline.rs
+++ b/crates/fuzzing/src/world/timeline.rs
@@ -1,16 +1,16 @@
-//! The time line of a recorded run, readable by people.
+//! The human-readable timeline of a recorded run.
 
 use super::World;
 use super::fleet::SERVICES;
 
 impl World {
-    /// Records a time line from now on.
+    /// Starts recording a timeline.
     pub fn record(&mut self) {
         self.timeline = Some(Vec::new());
     }
 
-    /// The recorded time line, with names in place of ids. What concerns other callers than the one
-    /// whose promise was broken is left out unless `full`.
+    /// The recorded timeline, with names in place of ids. Unless `full` is set, lines about callers
+    /// other than the one affected by the violation are left out.
     pub fn timeline(&self, full: bool) -> Vec<String> {
         let names = self.names();
         let broken = self.violation.and_then(|violation| violation.seen.request());
@@ -42,7 +42,7 @@
     }
 }
 
-/// A line concerns a caller if it names that one, or none at all.
+/// Whether a line names this caller, or no caller at all. Violations always count.
 fn concerns(line: &str, caller: usize) -> bool {
     let names_it = line.contains(&format!("caller {caller} "))
         || line.contains(&format!("caller: {caller},"))
--- a/crates/fuzzing/src/world/upstreams.rs
+++ b/crates/fuzzing/src/world/upstreams.rs
@@ -1,46 +1,48 @@
-//! Upstreams: servers with their own connections, which reset what they don't know.
+//! Upstreams: servers with their own connection tables, which reset unknown connections.
 
 use decision::keys::FlowId;
 
 use super::callers::{Inner, Reply};
 use crate::oracle::{IncarnationId, Request};
 
-/// Names one connection of one life of an upstream, as its initial sequence number would.
+/// Identifies a connection of one incarnation of an upstream, as the upstream's initial sequence
+/// number would.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Token {
     /// Incarnation of the upstream.
     pub(super) life: IncarnationId,
-    /// Counts its connections.
+    /// Number of the connection within the incarnation.
     pub(super) number: u32,
 }
 
-/// A half-open connection is forgotten after this long, as on Linux with five SYN-ACKs.
+/// Time after which a half-open connection is dropped, as on Linux with five SYN-ACK
+/// retransmissions.
 const HALF_OPEN_MS: u64 = 63_000;
 
-/// One connection.
+/// A connection of an upstream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Connection {
-    /// Flow.
+    /// Flow of the caller.
     pub(super) flow: FlowId,
-    /// Opening that it came from.
+    /// Opening that created it.
     pub(super) request: Request,
-    /// Its name.
+    /// Identity of the connection.
     pub(super) token: Token,
     /// Whether the caller has finished the handshake.
     pub(super) established: bool,
     since_ms: u64,
 }
 
-/// One life of an upstream.
+/// One incarnation of an upstream.
 #[derive(Clone, Debug)]
 pub(super) struct Upstream {
-    /// This life.
+    /// Identity of the incarnation.
     pub(super) incarnation: IncarnationId,
-    /// Datagram requests are answered at once and leave no connection.
+    /// Whether it serves datagram requests, which are answered at once and create no connection.
     pub(super) datagrams: bool,
-    /// Connections sorted by flow.
+    /// Connections, sorted by flow.
     pub(super) connections: Vec<Connection>,
-    /// Connections and requests that it ever began.
+    /// Number of connections and requests begun so far.
     pub(super) begun: u32,
 }
 
@@ -53,22 +55,22 @@
     pub(super) established: bool,
     /// A connection ended.
     pub(super) ended: bool,
-    /// Answer to the caller.
+    /// Reply to the caller.
     pub(super) reply: Option<Reply>,
 }
 
 impl Upstream {
-    /// A fresh upstream.
+    /// Creates an upstream without connections.
     pub(super) fn new(incarnation: IncarnationId, datagrams: bool) -> Self {
         Self { incarnation, datagrams, connections: Vec::new(), begun: 0 }
     }
 
-    /// The connection called `token`, if this life still holds it.
+    /// The connection that `token` identifies, if this incarnation still has it.
     pub(super) fn connection(&self, token: Token) -> Option<&Connection> {
         self.connections.iter().find(|connection| connection.token == token)
     }
 
-    /// Takes in a packet.
+    /// Handles a packet.
     pub(super) fn receive(&mut self, now_ms: u64, flow: FlowId, inner: Inner) -> Effect {
         self.connections.retain(|connection| {
             connection.established || now_ms < connection.since_ms + HALF_OPEN_MS
@@ -111,7 +113,8 @@
                 connection.established = true;
                 Effect { established, ..reply(Reply::Acknowledged { token }) }
             }
-            // Another connection of the same caller: outside of its window, no reset.
+            // The packet belongs to another connection on the same ports and is outside the window
+            // of this one, so it is ignored rather than answered by a reset.
             Some(connection) if connection.established => Effect::default(),
             _ => reply(Reply::Reset { token }),
         }
--- a/crates/fuzzing/src/world/verdicts.rs
+++ b/crates/fuzzing/src/world/verdicts.rs
@@ -1,4 +1,4 @@
-//! What the shell does with an agent's verdicts, and what upstreams and callers answer.
+//! Carries out agents' verdicts, and exchanges packets between callers and upstreams.
 
 use decision::agent::{Forwarding, HoldKey, Packet, PacketKind, TimelineEntry, Verdict};
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Carries out the late verdict about a held packet.
+    /// Carries out the verdict about a held packet.
     pub(super) fn resolve(&mut self, host: usize, key: HoldKey, verdict: Verdict) {
         let Some(shell) = &mut self.hosts[host].agent else { return };
         let Some(index) = shell.held.iter().position(|(held, ..)| *held == key) else { return };
@@ -50,7 +50,7 @@
         self.apply_verdict(host, packet, caller_packet, verdict);
     }
 
-    /// Shows the oracle what an agent has noted.
+    /// Records a timeline entry of an agent, and reports installed settings to the oracle.
     pub(super) fn record_entry(&mut self, host: usize, note: TimelineEntry) {
         self.note(|| format!("host {host}: {note:?}"));
         let Some(shell) = &self.hosts[host].agent else { return };
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Hands a packet to the upstream of a host.
+    /// Delivers a packet to the upstream of a host.
     pub(super) fn deliver(
         &mut self,
         host: usize,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Sends an answer to a caller. Upstreams answer directly, past the balancers.
+    /// Sends a reply to a caller. Replies don't pass through the balancers.
     fn answer(&mut self, caller: usize, reply: Reply) {
         if let Reply::Reset { token } = reply {
             self.check_reset(caller, token);
@@ -118,7 +118,8 @@
         self.transmit_over(hash, || QueuedEvent::AtCaller { caller, reply });
     }
 
-    /// A reset is a broken flow if the caller's connection still lives at its upstream.
+    /// Reports a broken flow if the upstream still has the connection that the caller is told is
+    /// reset.
     fn check_reset(&mut self, caller: usize, token: Token) {
         let known = match self.callers[caller].phase {
             Phase::Open { token, .. } | Phase::Closing { token } => token,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Whether the upstream that a connection belongs to still holds it.
+    /// Whether the upstream of a connection still has it.
     pub(super) fn is_held(&self, token: Token) -> bool {
         let mut upstreams = self.hosts.iter().filter_map(|host| host.upstream.as_ref());
         let holder = upstreams.find(|upstream| upstream.incarnation == token.life);
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Transmits what the caller waits for, and schedules the retransmission.
+    /// Transmits the caller's pending packet and schedules its retransmission.
     pub(super) fn transmit(&mut self, caller: usize) {
         let Some(inner) = self.callers[caller].pending() else { return };
         let Some(delay_ms) = self.callers[caller].transmit(self.now_ms) else { return };
@@ -158,7 +159,7 @@
         self.schedule(delay_ms, QueuedEvent::Timer { caller, timer });
     }
 
-    /// Sends a packet by way of the fabric, which picks any balancer.
+    /// Sends a packet through the network fabric, which may pick any balancer.
     pub(super) fn emit(&mut self, caller: usize, inner: Inner) {
         let sent_ms = match inner {
             Inner::Open(_) => self.callers[caller].first_sent_ms,
@@ -176,8 +177,8 @@
         self.transmit_over(hash, || QueuedEvent::AtBalancer { balancer, caller_packet });
     }
 
-    /// Sequence number of a caller's segment, a few bytes into its connection. A reset that answers for an
-    /// older connection on the same ports belongs to that one.
+    /// Sequence number of a caller's segment. All segments of a connection carry its initial
+    /// number. A reset in reply to a challenge belongs to the older connection on the same ports.
     fn sequence_of(&self, inner: Inner) -> u32 {
         let upstreams = self.hosts.iter().filter_map(|host| host.upstream.as_ref());
         let connection = inner
