--- a/crates/fuzzing/src/campaign.rs
+++ b/crates/fuzzing/src/campaign.rs
@@ -1,4 +1,4 @@
-//! Long runs: one episode after the other, each from its own seed, until a promise breaks.
+//! Long runs: consecutive episodes, each from its own seed, until a promise is violated.
 
 use proptest::strategy::{Strategy, ValueTree as _};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -9,36 +9,37 @@
 use crate::oracle::Violation;
 use crate::shrink;
 use crate::step::{FAULTS, Profile, Step, profiles, steps};
-use crate::world::{Balancing, Sabotage, Setup, Tally, World};
+use crate::world::{Balancing, Defects, Setup, Tally, World};
 
 /// A replayable run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Episode {
-    /// Seed from which it was drawn.
+    /// Seed that it was generated from.
     pub seed: u64,
-    /// What it starts from.
+    /// Initial state of the world.
     pub setup: Setup,
-    /// What it draws from.
+    /// Kinds of steps that it draws from.
     pub profile: Profile,
-    /// Its steps.
+    /// Steps to apply, in order.
     pub steps: Vec<Step>,
 }
 
-/// How an episode ended.
+/// Result of an episode.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The first broken promise.
+    /// The first violated promise.
     pub violation: Option<Violation>,
-    /// Steps that were applied.
+    /// Number of steps applied.
     pub steps: usize,
-    /// What the run has cost and achieved.
+    /// Event counters of the run.
     pub tally: Tally,
 }
 
-/// Steps of an episode: most are short, since a fresh world reaches more, and some are long.
-const LENGTHS: [usize; 4] = [60, 150, 400, 1_500];
+/// Numbers of steps of an episode. Most are short, because fresh worlds reach more states per step;
+/// some are long.
+const EPISODE_LENGTHS: [usize; 4] = [60, 150, 400, 1_500];
 
-/// Draws an episode.
+/// Generates the episode of a seed.
 ///
 /// ```
 /// use fuzzing::campaign;
@@ -50,15 +51,16 @@
     rng.fill(&mut bytes);
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &bytes);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
-    let setup = pick(&mut runner, &setups());
-    let profile = pick(&mut runner, &profiles());
-    let length = pick(&mut runner, &(0..LENGTHS.len()).prop_map(|index| LENGTHS[index]));
+    let setup = sample(&mut runner, &setups());
+    let profile = sample(&mut runner, &profiles());
+    let length =
+        sample(&mut runner, &(0..EPISODE_LENGTHS.len()).prop_map(|index| EPISODE_LENGTHS[index]));
     let strategy = steps(profile);
-    let steps = (0..length).map(|_| pick(&mut runner, &strategy)).collect();
+    let steps = (0..length).map(|_| sample(&mut runner, &strategy)).collect();
     Episode { seed, setup, profile, steps }
 }
 
-/// Strategy over setups.
+/// Strategy for setups.
 pub fn setups() -> impl Strategy<Value = Setup> {
     let sizes = proptest::collection::vec(3..=7usize, 1..=3);
     let max_flows = proptest::sample::select(vec![3u32, 2_000]);
@@ -75,16 +77,16 @@
     )
 }
 
-fn pick<S: Strategy>(runner: &mut TestRunner, strategy: &S) -> S::Value {
+fn sample<S: Strategy>(runner: &mut TestRunner, strategy: &S) -> S::Value {
     match strategy.new_tree(runner) {
         Ok(tree) => tree.current(),
         Err(reason) => unreachable!("strategies without filters never reject: {reason}"),
     }
 }
 
-/// Plays an episode; `record` keeps a time line.
-pub fn play(episode: &Episode, sabotage: Sabotage, record: bool) -> (Outcome, World) {
-    let mut world = World::new(&episode.setup, Balancing::Core, sabotage);
+/// Plays an episode, recording a timeline if `record` is set.
+pub fn play(episode: &Episode, defects: Defects, record: bool) -> (Outcome, World) {
+    let mut world = World::new(&episode.setup, Balancing::Core, defects);
     if record {
         world.record();
     }
@@ -103,22 +105,23 @@
     (Outcome { violation, steps: applied, tally: *world.tally() }, world)
 }
 
-/// Leaves out what it can while the same promise still breaks.
-pub fn shrunk(episode: &Episode, sabotage: Sabotage, promise: &str) -> Episode {
+/// Shrinks an episode as far as the same promise is still violated.
+pub fn shrink_episode(episode: &Episode, defects: Defects, promise: &str) -> Episode {
     let breaks = |episode: &Episode| {
-        let (outcome, _) = play(episode, sabotage, false);
+        let (outcome, _) = play(episode, defects, false);
         outcome.violation.is_some_and(|violation| violation.promise == promise)
     };
     let mut best = smaller_setup(episode.clone(), &breaks);
-    let weight: u64 = episode.steps.iter().map(|step| 1 + step.takes_ms() / STEP_MS).sum();
-    let tries = SHRINK_STEPS.div_ceil(weight.try_into().unwrap_or(usize::MAX)).max(TRIES_MIN);
+    let weight: u64 = episode.steps.iter().map(|step| 1 + step.takes_ms() / MS_PER_STEP).sum();
+    let tries =
+        SHRINK_STEPS_MAX.div_ceil(weight.try_into().unwrap_or(usize::MAX)).max(SHRINK_RUNS_MIN);
     let with = |steps: &[Step]| Episode { steps: steps.to_vec(), ..best.clone() };
     let steps = shrink::shrink(best.steps.clone(), tries, |steps| breaks(&with(steps)));
     best.steps = steps;
     smaller_setup(best, &breaks)
 }
 
-/// Fewer services, balancers, upstreams and callers.
+/// Reduces the numbers of services, upstreams, balancers and callers.
 fn smaller_setup(mut best: Episode, breaks: &impl Fn(&Episode) -> bool) -> Episode {
     loop {
         let setup = &best.setup;
@@ -144,49 +147,49 @@
     }
 }
 
-/// Steps that the runs of a shrinking may take together. Bounding the runs alone is not enough: an
-/// episode that idles for hours takes seconds a run.
-const SHRINK_STEPS: usize = 200_000;
+/// Budget of steps for all runs of one shrinking. Bounding only the number of runs is not enough:
+/// an episode that idles for hours takes seconds per run.
+const SHRINK_STEPS_MAX: usize = 200_000;
 
-/// Time that weighs as much as a step.
-const STEP_MS: u64 = 100;
-/// Fewer runs than this don't shrink at all.
-const TRIES_MIN: usize = 200;
+/// Simulated time that counts as one step of the budget.
+const MS_PER_STEP: u64 = 100;
+/// Minimum number of runs; fewer don't shrink an episode noticeably.
+const SHRINK_RUNS_MIN: usize = 200;
 
 /// Result of many episodes.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Steps applied.
+    /// Number of steps applied.
     pub steps: usize,
-    /// Episodes begun.
+    /// Number of episodes played.
     pub episodes: usize,
     /// Steps by kind of fault or planned change, in the order of [`FAULTS`].
     pub faults: [u64; FAULTS.len()],
-    /// Faults that began while another was at work; the smaller number first.
+    /// Faults that began while another was in progress, indexed by the smaller discriminant first.
     pub pairs: [[u64; FAULTS.len()]; FAULTS.len()],
-    /// What all runs have cost and achieved.
+    /// Event counters of all runs.
     pub tally: Tally,
-    /// The episodes that broke a promise, as drawn.
+    /// The episodes that violated a promise, as generated (not shrunk).
     pub failures: Vec<(Episode, Violation)>,
 }
 
-/// When a run of many episodes ends.
+/// Limits that end a run of many episodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// After this many steps.
+    /// Number of steps.
     pub steps: usize,
-    /// After this many episodes that broke a promise.
+    /// Number of episodes that violated a promise.
     pub failures: usize,
 }
 
 /// Plays episodes until a limit is reached.
 ///
-/// Seeds of the episodes follow one another from `seed`, so that any one can be drawn again.
-pub fn run(limits: Limits, seed: u64, sabotage: Sabotage) -> Report {
+/// The episodes have consecutive seeds starting with `seed`, so each can be generated again.
+pub fn run(limits: Limits, seed: u64, defects: Defects) -> Report {
     let mut report = Report::default();
     while report.steps < limits.steps && report.failures.len() < limits.failures {
         let episode = draw(seed.wrapping_add(report.episodes as u64));
-        let (outcome, _) = play(&episode, sabotage, false);
+        let (outcome, _) = play(&episode, defects, false);
         report.episodes += 1;
         report.steps += outcome.steps;
         report.tally.add(&outcome.tally);
--- a/crates/fuzzing/src/world/balancers.rs
+++ b/crates/fuzzing/src/world/balancers.rs
@@ -1,4 +1,4 @@
-//! Balancers, and the policies that can take the place of the core's.
+//! Balancers, and balancing policies that can replace the core's.
 
 use std::hash::Hasher as _;
 use std::sync::Arc;
@@ -12,41 +12,41 @@
 use super::agents::{Incoming, Process};
 use super::callers::Inner;
 use super::fleet::{self, Versions};
-use super::{Carried, Due, Node, World};
+use super::{CallerPacket, Node, QueuedEvent, World};
 use crate::oracle::Request;
 
-/// How packets are spread.
+/// How packets are distributed.
 pub enum Balancing {
-    /// By router and agents of the core.
+    /// By the core's router and agents.
     Core,
-    /// By the balancer alone, which hands packets straight to upstreams.
+    /// By the balancer alone, which delivers packets directly to upstreams.
     Direct(DirectPolicy),
 }
 
-/// A policy of the balancer alone.
+/// A policy that selects the upstream without agents; `None` drops the packet.
 pub type DirectPolicy = Box<dyn FnMut(&DirectInput<'_>) -> Option<UpstreamKey>>;
 
-/// What a balancer knows about a packet.
+/// What a balancer knows about a packet, as input of a [`DirectPolicy`].
 pub struct DirectInput<'a> {
-    /// Its number.
+    /// Number of the balancer.
     pub balancer: usize,
-    /// Its settings.
+    /// Settings of the balancer.
     pub view: &'a View,
-    /// Service of the packet's destination.
+    /// Service that the packet is addressed to.
     pub service: ServiceKey,
-    /// Flow.
+    /// Flow that the packet belongs to.
     pub flow: FlowId,
     /// Whether the packet opens the flow.
     pub opening: bool,
 }
 
-/// A balancer.
+/// A balancer process.
 #[derive(Debug)]
 pub(super) struct Balancer {
     pub(super) versions: Versions,
     pub(super) router: Router,
     pub(super) down: Vec<decision::keys::UpstreamId>,
-    pub(super) process: Process<Carried>,
+    pub(super) process: Process<CallerPacket>,
 }
 
 impl Balancer {
@@ -62,29 +62,29 @@
 }
 
 impl World {
-    pub(super) fn at_balancer(&mut self, balancer: usize, carried: Carried) {
+    pub(super) fn at_balancer(&mut self, balancer: usize, caller_packet: CallerPacket) {
         let now_ms = self.now_ms;
-        if !self.balancers[balancer].process.takes(now_ms, carried) {
+        if !self.balancers[balancer].process.accept_or_queue(now_ms, caller_packet) {
             return;
         }
-        self.forward(balancer, carried);
+        self.forward(balancer, caller_packet);
     }
 
-    pub(super) fn forward(&mut self, balancer: usize, carried: Carried) {
-        if carried.is_dead(self.now_ms) {
+    pub(super) fn forward(&mut self, balancer: usize, caller_packet: CallerPacket) {
+        if caller_packet.is_dead(self.now_ms) {
             return;
         }
-        let request = carried.inner.request();
-        let flow = carried.flow;
+        let request = caller_packet.inner.request();
+        let flow = caller_packet.flow;
         let router = &self.balancers[balancer].router;
         let Some(service) = router.service(fleet::endpoint(request.service)) else { return };
         if let Balancing::Direct(policy) = &mut self.balancing {
             let view = router.view();
-            let opening = matches!(carried.inner, Inner::Open(_));
+            let opening = matches!(caller_packet.inner, Inner::Open(_));
             let input = DirectInput { balancer, view, service, flow, opening };
             let Some(upstream) = policy(&input) else { return };
             let host = fleet::host_at(view.upstream(upstream).spec.agent_address);
-            self.deliver(host, carried, Forwarding::Direct);
+            self.deliver(host, caller_packet, Forwarding::Direct);
             return;
         }
         let Some(route) = router.route(service, flow) else { return };
@@ -93,37 +93,41 @@
         let packet = Packet {
             service: view.service(service).id,
             flow,
-            kind: kind(carried.inner),
-            sequence: carried.sequence,
+            kind: kind(caller_packet.inner),
+            sequence: caller_packet.sequence,
             view: view.account(view.service(service).account).version,
             hops: 0,
             forwarding: Forwarding::Direct,
         };
-        self.send(Node::Balancer(balancer), host, Incoming::Packet { packet, carried });
+        self.send(Node::Balancer(balancer), host, Incoming::Packet { packet, caller_packet });
     }
 
-    /// Sends from process to process.
+    /// Sends from a process to the agent on a host.
     pub(super) fn send(&mut self, from: Node, host: usize, incoming: Incoming) {
-        if self.network.cuts(self.now_ms, from, Node::Host(host)) {
+        if self.network.separates(self.now_ms, from, Node::Host(host)) {
             return;
         }
         let hash = hash_of(&(from, host, incoming.hash()));
-        self.transmit_over(hash, || Due::AtAgent { from, host, incoming: incoming.clone() });
+        self.transmit_over(hash, || QueuedEvent::AtAgent {
+            from,
+            host,
+            incoming: incoming.clone(),
+        });
     }
 }
 
-/// A hash that is the same in every run and with every compiler.
+/// A hash that is the same in every run and with every compiler version.
 pub(super) fn hash_of(value: &impl std::hash::Hash) -> u64 {
     let mut hasher = SipHasher13::new();
     value.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Initial sequence number of the connection that a request opens: another one for each caller, and far
-/// from that of its last connection.
+/// Initial sequence number of the connection that a request opens. It differs between callers and
+/// is far from that of the caller's previous connection.
 pub(super) fn initial_sequence(request: Request) -> u32 {
-    const APART: u32 = 0x9e37_79b1;
-    ((request.caller as u32) << 16 | request.nonce).wrapping_mul(APART)
+    const SPREAD: u32 = 0x9e37_79b1;
+    ((request.caller as u32) << 16 | request.nonce).wrapping_mul(SPREAD)
 }
 
 fn kind(inner: Inner) -> PacketKind {
--- a/crates/fuzzing/src/world/fleet.rs
+++ b/crates/fuzzing/src/world/fleet.rs
@@ -1,4 +1,4 @@
-//! Published settings: every version of every account, and the views built from them.
+//! Published settings: all versions of each account, and the views built from them.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -11,44 +11,44 @@
 
 use crate::step::Change;
 
-/// Names of the accounts; each is one unit of settings.
+/// Names of the client accounts. Each account's settings are versioned on their own.
 pub(super) const ACCOUNTS: [&str; 2] = ["cascadia", "bajio"];
-/// Listed upstreams of a service that are not retired, at most.
+/// Maximum number of upstreams of a service that are listed and not retired.
 const LISTED_MAX: usize = 7;
-/// Highest name of an upstream; bounds what an episode can add.
+/// Maximum number of upstream names per service, which bounds what an episode can add.
 const NAMES_MAX: usize = 12;
 
-/// Version of each account at one process.
+/// The version of each account that a process has.
 pub(super) type Versions = [usize; ACCOUNTS.len()];
 
-/// What never changes about a service.
+/// Constant properties of a service.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Kind {
-    /// Name.
+pub(super) struct ServiceKind {
+    /// Name of the service.
     pub(super) name: &'static str,
     /// Index into [`ACCOUNTS`].
     pub(super) account: usize,
     /// Protocol of its endpoint.
     pub(super) transport: Transport,
-    /// What it does in doubt.
+    /// Whether openings are admitted or refused when an agent's state is incomplete.
     pub(super) when_in_doubt: WhenInDoubt,
 }
 
-/// The services, one for each kind of promise.
-pub(super) const SERVICES: [Kind; 3] = [
-    Kind {
+/// The services, one for each kind of [`Promise`](crate::oracle::Promise).
+pub(super) const SERVICES: [ServiceKind; 3] = [
+    ServiceKind {
         name: "shelf",
         account: 0,
         transport: Transport::Tcp,
         when_in_doubt: WhenInDoubt::Admit,
     },
-    Kind {
+    ServiceKind {
         name: "confirm",
         account: 0,
         transport: Transport::Udp,
         when_in_doubt: WhenInDoubt::Refuse,
     },
-    Kind {
+    ServiceKind {
         name: "fitting",
         account: 1,
         transport: Transport::Tcp,
@@ -56,7 +56,7 @@
     },
 ];
 
-impl Kind {
+impl ServiceKind {
     /// Id of the service.
     pub(super) fn id(&self) -> ServiceId {
         ServiceId::of(ACCOUNTS[self.account], self.name)
@@ -67,7 +67,7 @@
         UpstreamId::of(ACCOUNTS[self.account], self.name, &upstream_name(name))
     }
 
-    /// Whether a datagram is a whole request.
+    /// Whether each datagram is a complete request.
     pub(super) fn is_datagram(&self) -> bool {
         self.transport == Transport::Udp
     }
@@ -76,9 +76,9 @@
 /// An upstream as listed in the newest settings.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Listed {
-    /// Number that makes its name.
+    /// Number in its name.
     pub(super) name: usize,
-    /// Host on which it runs.
+    /// Host that it runs on.
     pub(super) host: usize,
     /// Published state.
     pub(super) state: UpstreamState,
@@ -88,16 +88,16 @@
     retired: Option<usize>,
 }
 
-/// What a published change asks the hosts to do.
+/// What hosts have to do to carry out a published change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Demand {
+pub(super) enum HostAction {
     /// Only the settings change.
     Nothing,
-    /// Start this upstream on this host.
+    /// Start an upstream on a host.
     Start {
         /// Number of the upstream.
         name: usize,
-        /// Host.
+        /// Number of the host.
         host: usize,
     },
 }
@@ -108,20 +108,20 @@
     services: Vec<Vec<Listed>>,
     history: Vec<Vec<AccountSpec>>,
     views: Vec<(Versions, Arc<View>)>,
-    /// Published limit of each upstream.
+    /// Published flow limit of each upstream.
     pub(super) max_flows: u32,
 }
 
-/// What runs on a host: service and number of the upstream.
+/// Upstream on a host: its service and number.
 pub(super) type Occupant = Option<(usize, usize)>;
 
 impl Fleet {
-    /// Version 1: `sizes` upstreams for each service, on consecutive hosts.
+    /// Creates version 1 of all accounts: `sizes` upstreams per service, on consecutive hosts.
     pub(super) fn new(sizes: &[usize], max_flows: u32) -> Self {
         let mut host = 0;
         let mut services = Vec::new();
         for &size in sizes {
-            let listed = (0..size).map(|name| initial(name, host + name)).collect();
+            let listed = (0..size).map(|name| new_listed(name, host + name)).collect();
             services.push(listed);
             host += size;
         }
@@ -134,7 +134,7 @@
         fleet
     }
 
-    /// Services in use.
+    /// Number of services in use.
     pub(super) fn service_count(&self) -> usize {
         self.services.len()
     }
@@ -144,7 +144,7 @@
         &self.services[service]
     }
 
-    /// Newest versions.
+    /// Newest version of each account.
     pub(super) fn newest(&self) -> Versions {
         std::array::from_fn(|account| self.history[account].len())
     }
@@ -166,38 +166,38 @@
         }
     }
 
-    /// Publishes a change; `None` if nothing can be changed that way.
+    /// Publishes a change; `None` if it doesn't apply to any upstream.
     pub(super) fn publish(
         &mut self,
         service: usize,
         change: Change,
         pick: u8,
         hosts: &[Occupant],
-    ) -> Option<Demand> {
+    ) -> Option<HostAction> {
         let account = SERVICES[service].account;
         let version = self.history[account].len() + 1;
-        let demand = match change {
+        let action = match change {
             Change::Add => self.add(service, version, pick, hosts)?,
-            Change::Return => self.bring_back(service, version, pick, hosts)?,
+            Change::Return => self.restore_retired(service, version, pick, hosts)?,
             Change::Drain => self.drain(service, pick)?,
             Change::Undrain => {
                 self.pick(service, UpstreamState::Draining, pick)?.state = UpstreamState::Active;
-                Demand::Nothing
+                HostAction::Nothing
             }
             Change::Retire => {
                 let listed = self.pick(service, UpstreamState::Draining, pick)?;
                 listed.state = UpstreamState::Retired;
                 listed.retired = Some(version);
-                Demand::Nothing
+                HostAction::Nothing
             }
             Change::Reweigh => {
                 self.pick(service, UpstreamState::Active, pick)?.weight = 1 + u32::from(pick) * 3;
-                Demand::Nothing
+                HostAction::Nothing
             }
         };
         let spec = self.spec(account, version);
         self.history[account].push(spec);
-        Some(demand)
+        Some(action)
     }
 
     fn add(
@@ -206,49 +206,50 @@
         version: usize,
         pick: u8,
         hosts: &[Occupant],
-    ) -> Option<Demand> {
+    ) -> Option<HostAction> {
         let name = self.services[service].len();
         let free: Vec<usize> = (0..hosts.len()).filter(|host| hosts[*host].is_none()).collect();
         let host = *pick_of(&free, pick)?;
-        if name >= NAMES_MAX || self.unretired(service) >= LISTED_MAX {
+        if name >= NAMES_MAX || self.count_unretired(service) >= LISTED_MAX {
             return None;
         }
-        self.services[service].push(Listed { since: version, ..initial(name, host) });
-        Some(Demand::Start { name, host })
+        self.services[service].push(Listed { since: version, ..new_listed(name, host) });
+        Some(HostAction::Start { name, host })
     }
 
-    fn bring_back(
+    fn restore_retired(
         &mut self,
         service: usize,
         version: usize,
         pick: u8,
         hosts: &[Occupant],
-    ) -> Option<Demand> {
-        if self.unretired(service) >= LISTED_MAX {
+    ) -> Option<HostAction> {
+        if self.count_unretired(service) >= LISTED_MAX {
             return None;
         }
         let listed = self.pick(service, UpstreamState::Retired, pick)?;
         let (name, host) = (listed.name, listed.host);
-        let demand = match hosts[host] {
-            None => Demand::Start { name, host },
-            Some(occupant) if occupant == (service, name) => Demand::Nothing,
+        let action = match hosts[host] {
+            None => HostAction::Start { name, host },
+            Some(occupant) if occupant == (service, name) => HostAction::Nothing,
             Some(_) => return None,
         };
-        *listed = Listed { since: version, ..initial(name, host) };
-        Some(demand)
+        *listed = Listed { since: version, ..new_listed(name, host) };
+        Some(action)
     }
 
-    /// Keeps one upstream active, so that refusing everything is never right.
-    fn drain(&mut self, service: usize, pick: u8) -> Option<Demand> {
+    /// Starts to drain an upstream. Keeps one active, so that refusing all openings is always a
+    /// violation.
+    fn drain(&mut self, service: usize, pick: u8) -> Option<HostAction> {
         let active = |listed: &&Listed| listed.state == UpstreamState::Active;
         if self.services[service].iter().filter(active).count() < 2 {
             return None;
         }
         self.pick(service, UpstreamState::Active, pick)?.state = UpstreamState::Draining;
-        Some(Demand::Nothing)
+        Some(HostAction::Nothing)
     }
 
-    fn unretired(&self, service: usize) -> usize {
+    fn count_unretired(&self, service: usize) -> usize {
         let retired = |listed: &&Listed| listed.state != UpstreamState::Retired;
         self.services[service].iter().filter(retired).count()
     }
@@ -293,7 +294,7 @@
     }
 }
 
-/// The host behind an agent's address.
+/// The host of an agent's address.
 pub(super) fn host_at(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => usize::from(ip.octets()[3]),
@@ -306,7 +307,7 @@
     candidates.get(usize::from(pick).checked_rem(candidates.len())?)
 }
 
-fn initial(name: usize, host: usize) -> Listed {
+fn new_listed(name: usize, host: usize) -> Listed {
     Listed { name, host, state: UpstreamState::Active, weight: 100, since: 1, retired: None }
 }
 
--- a/crates/fuzzing/src/world/mod.rs
+++ b/crates/fuzzing/src/world/mod.rs
@@ -1,8 +1,9 @@
-//! The world around the core: network, callers, upstreams, hosts, balancers and published settings.
+//! Simulated environment of the decision core: network, callers, upstreams, hosts, balancers and
+//! published settings.
 //!
-//! Everything is driven by one queue of events in true time. Applying a [`Step`] either changes the
-//! world at once or lets time pass. Nothing is drawn from a global source of random numbers: the
-//! same setup and steps give the same run.
+//! One event queue in true time drives everything. Applying a [`Step`] either changes the world at
+//! once or lets time pass. There is no global random number generator, so the same setup and steps
+//! give the same run.
 
 mod agents;
 mod balancers;
@@ -24,33 +25,33 @@
 
 pub use balancers::{Balancing, DirectInput, DirectPolicy};
 
-use crate::oracle::{Life, Oracle, Seen, Violation};
+use crate::oracle::{IncarnationId, Observation, Oracle, Violation};
 use crate::step::Step;
 use agents::Incoming;
 use balancers::Balancer;
 use callers::{Caller, Inner, Reply};
 use fleet::{Fleet, Occupant, SERVICES, Versions};
-use network::{LIFETIME_MS, Network, mix};
+use network::{Network, PACKET_LIFETIME_MS, mix};
 
-/// What an episode starts from.
+/// Initial state of an episode.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Setup {
-    /// Seed of fates, flows and clocks.
+    /// Seed for the delivery of packets, flow ids and clock offsets.
     pub seed: u64,
-    /// Upstreams of each service, one to three services.
+    /// Number of upstreams of each service, for one to three services.
     pub sizes: Vec<usize>,
-    /// Balancers.
+    /// Number of balancers.
     pub balancers: usize,
-    /// Callers of each service.
+    /// Number of callers of each service.
     pub callers: usize,
-    /// Published limit of each upstream.
+    /// Published flow limit of each upstream.
     pub max_flows: u32,
     /// Whether the end of the episode waits until restarted witnesses vote again and ended flows
-    /// are forgotten. That takes as long as a thousand steps, so few episodes do.
+    /// have expired. That takes as long as a thousand steps, so only some episodes do.
     pub patient: bool,
 }
 
-/// A process of the system.
+/// A process of the system under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Node {
     /// A balancer.
@@ -59,13 +60,13 @@
     Host(usize),
 }
 
-/// Balancers at most, so that every node has its bit in a partition.
+/// Maximum number of balancers, so that every node has its own bit in a partition.
 const BALANCERS_MAX: usize = 4;
-/// Hosts that run nothing at the start.
+/// Hosts that are empty at the start.
 const SPARE_HOSTS: usize = 1;
 
 impl Node {
-    /// Bit of the node in a partition.
+    /// Bit number of the node in a partition.
     fn bit(self) -> u32 {
         match self {
             Self::Balancer(index) => index as u32,
@@ -74,75 +75,75 @@
     }
 }
 
-/// A caller's packet on its way.
+/// A caller's packet in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Carried {
-    /// The packet.
+struct CallerPacket {
+    /// Contents of the packet.
     inner: Inner,
-    /// The caller's address and ports.
+    /// Flow id, which stands for the caller's address and ports.
     flow: decision::keys::FlowId,
-    /// Sequence number of the TCP segment: of the connection that it belongs to.
+    /// TCP sequence number, from the sequence space of the connection that the segment belongs to.
     sequence: u32,
-    /// True time at which the caller sent it; for an opening, sent it first.
+    /// True time at which the caller sent it; for an opening, of the first transmission.
     sent_ms: u64,
 }
 
-impl std::hash::Hash for Carried {
-    /// The sequence number follows from the rest.
+impl std::hash::Hash for CallerPacket {
+    /// Leaves out the sequence number, which is determined by the other fields.
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
         (self.inner, self.flow, self.sent_ms).hash(state);
     }
 }
 
-impl Carried {
+impl CallerPacket {
     fn is_dead(&self, now_ms: u64) -> bool {
-        self.sent_ms + LIFETIME_MS < now_ms
+        self.sent_ms + PACKET_LIFETIME_MS < now_ms
     }
 }
 
 #[derive(Clone, Debug)]
-enum Due {
-    AtBalancer { balancer: usize, carried: Carried },
+enum QueuedEvent {
+    AtBalancer { balancer: usize, caller_packet: CallerPacket },
     AtAgent { from: Node, host: usize, incoming: Incoming },
     AtCaller { caller: usize, reply: Reply },
     Timer { caller: usize, timer: u32 },
-    Tick { host: usize, life: Life },
+    Tick { host: usize, incarnation: IncarnationId },
     Wake { node: Node },
     Settings { node: Node, versions: Versions },
     StartAgent { host: usize },
     StartHost { host: usize, occupant: Occupant },
-    StopAgent { host: usize, life: Life, gap_ms: u64 },
-    StopHost { host: usize, life: Life },
+    StopAgent { host: usize, incarnation: IncarnationId, gap_ms: u64 },
+    StopHost { host: usize, incarnation: IncarnationId },
 }
 
 #[derive(Debug)]
-struct Queued {
+struct QueueEntry {
     due_ms: u64,
     sequence: u64,
-    what: Due,
+    event: QueuedEvent,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for QueueEntry {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Queued {}
+impl Eq for QueueEntry {}
 
-impl PartialOrd for Queued {
+impl PartialOrd for QueueEntry {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
+impl Ord for QueueEntry {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.due_ms, self.sequence).cmp(&(other.due_ms, other.sequence))
     }
 }
 
-/// What a run has cost and achieved.
+/// Event counters of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Openings that began at an upstream.
@@ -151,13 +152,13 @@
     pub refused: u64,
     /// Flows established.
     pub established: u64,
-    /// Packets delivered in the middle of a flow.
+    /// Packets handed to an upstream.
     pub delivered: u64,
-    /// Packets passed from agent to agent.
+    /// Packets forwarded from agent to agent.
     pub forwarded: u64,
     /// Control messages sent between agents.
     pub control: u64,
-    /// Open flows cut, by whatever cause.
+    /// Open flows that were reset, for any reason.
     pub broken: u64,
     /// Requests that ran more than once.
     pub ran_again: u64,
@@ -184,13 +185,13 @@
     }
 }
 
-/// The whole world.
+/// State of the simulation.
 pub struct World {
     now_ms: u64,
     seed: u64,
-    queue: BinaryHeap<Reverse<Queued>>,
+    queue: BinaryHeap<Reverse<QueueEntry>>,
     sequence: u64,
-    lives: Life,
+    incarnations: IncarnationId,
     fleet: Fleet,
     network: Network,
     outage_until_ms: u64,
@@ -201,31 +202,31 @@
     oracle: Oracle,
     faulted: bool,
     patient: bool,
-    /// True time of the last restart of an agent, zero before the first.
-    started_ms: u64,
+    /// True time of the last start of an agent after the initial ones, zero if there was none.
+    last_agent_start_ms: u64,
     losses: losses::Losses,
     violation: Option<Violation>,
     tally: Tally,
     timeline: Option<Vec<String>>,
     flows: Vec<(decision::keys::FlowId, String)>,
-    #[cfg_attr(not(feature = "mutants"), expect(dead_code, reason = "nothing to take out"))]
-    sabotage: Sabotage,
+    #[cfg_attr(not(feature = "mutants"), expect(dead_code, reason = "used by mutants only"))]
+    defects: Defects,
 }
 
-/// What is broken on purpose; nothing unless the feature `mutants` is on.
+/// Deliberate defects; none unless the feature `mutants` is enabled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sabotage {
-    /// A safeguard that is taken out of every agent.
+pub struct Defects {
+    /// A safeguard that is removed from every agent.
     #[cfg(feature = "mutants")]
     pub mutant: Option<decision::agent::Mutant>,
 }
 
-/// Time for the agents to get to know one another before the first step.
+/// Time for the agents to discover one another before the first step.
 const WARM_UP_MS: u64 = 3_000;
 
 impl World {
-    /// A world in which all agents have just started beside fresh upstreams.
-    pub fn new(setup: &Setup, balancing: Balancing, sabotage: Sabotage) -> Self {
+    /// Creates a world in which all agents have just started beside fresh upstreams.
+    pub fn new(setup: &Setup, balancing: Balancing, defects: Defects) -> Self {
         let hosts = setup.sizes.iter().sum::<usize>() + SPARE_HOSTS;
         let callers = (0..setup.sizes.len() * setup.callers)
             .map(|number| Caller::new(number, number % setup.sizes.len(), setup.seed))
@@ -235,7 +236,7 @@
             seed: setup.seed,
             queue: BinaryHeap::new(),
             sequence: 0,
-            lives: 0,
+            incarnations: 0,
             fleet: Fleet::new(&setup.sizes, setup.max_flows),
             network: Network::default(),
             outage_until_ms: 0,
@@ -246,13 +247,13 @@
             oracle: Oracle::default(),
             faulted: false,
             patient: setup.patient,
-            started_ms: 0,
+            last_agent_start_ms: 0,
             losses: losses::Losses::default(),
             violation: None,
             tally: Tally::default(),
             timeline: None,
             flows: Vec::new(),
-            sabotage,
+            defects,
         };
         world.start(setup.balancers.clamp(1, BALANCERS_MAX));
         world
@@ -263,39 +264,39 @@
         self.note(|| format!("step {step:?}"));
         if !step.is_planned() {
             self.faulted = true;
-            self.see(Seen::Fault);
+            self.observe(Observation::Fault);
         }
-        self.losses.hinder(self.now_ms, step);
+        self.losses.delay_repairs(self.now_ms, step);
         self.change(step);
     }
 
-    /// Lets time pass and handles what falls due.
+    /// Advances true time and handles the events that become due.
     pub fn advance(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
         while self.violation.is_none() {
-            let next_ms = self.queue.peek().map(|Reverse(queued)| queued.due_ms);
+            let next_ms = self.queue.peek().map(|Reverse(entry)| entry.due_ms);
             if next_ms.is_none_or(|next_ms| next_ms > until_ms) {
                 break;
             }
-            if let Some(Reverse(queued)) = self.queue.pop() {
-                self.now_ms = queued.due_ms;
-                self.handle(queued.what);
+            if let Some(Reverse(entry)) = self.queue.pop() {
+                self.now_ms = entry.due_ms;
+                self.handle(entry.event);
             }
         }
         self.now_ms = until_ms;
     }
 
-    /// The first broken promise.
+    /// The first violated promise.
     pub fn violation(&self) -> Option<&Violation> {
         self.violation.as_ref()
     }
 
-    /// What the run has cost and achieved.
+    /// Event counters so far.
     pub fn tally(&self) -> &Tally {
         &self.tally
     }
 
-    /// Milliseconds of true time since the start.
+    /// True time since the start, in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
@@ -312,57 +313,61 @@
         self.advance(WARM_UP_MS);
     }
 
-    fn handle(&mut self, due: Due) {
+    fn handle(&mut self, due: QueuedEvent) {
         match due {
-            Due::AtBalancer { balancer, carried } => self.at_balancer(balancer, carried),
-            Due::AtAgent { from, host, incoming } => {
-                if !self.network.cuts(self.now_ms, from, Node::Host(host)) {
+            QueuedEvent::AtBalancer { balancer, caller_packet } => {
+                self.at_balancer(balancer, caller_packet)
+            }
+            QueuedEvent::AtAgent { from, host, incoming } => {
+                if !self.network.separates(self.now_ms, from, Node::Host(host)) {
                     self.at_agent(host, incoming);
                 }
             }
-            Due::AtCaller { caller, reply } => self.at_caller(caller, reply),
-            Due::Timer { caller, timer } if self.callers[caller].timer == timer => {
+            QueuedEvent::AtCaller { caller, reply } => self.at_caller(caller, reply),
+            QueuedEvent::Timer { caller, timer } if self.callers[caller].timer == timer => {
                 self.transmit(caller);
             }
-            Due::Timer { .. } => {}
-            Due::Tick { host, life } => self.tick(host, life),
-            Due::Wake { node } => self.wake(node),
-            Due::Settings { node, versions } => self.settings_arrive(node, versions),
-            Due::StartAgent { host } => self.start_agent(host, true),
-            Due::StartHost { host, occupant } => {
+            QueuedEvent::Timer { .. } => {}
+            QueuedEvent::Tick { host, incarnation } => self.tick(host, incarnation),
+            QueuedEvent::Wake { node } => self.wake(node),
+            QueuedEvent::Settings { node, versions } => self.receive_settings(node, versions),
+            QueuedEvent::StartAgent { host } => self.start_agent(host, true),
+            QueuedEvent::StartHost { host, occupant } => {
                 if self.hosts[host].upstream.is_none() {
                     self.start_host(host, occupant);
                 }
             }
-            Due::StopAgent { host, life, gap_ms } => self.stop_agent(host, life, gap_ms),
-            Due::StopHost { host, life } => self.stop_host(host, life),
+            QueuedEvent::StopAgent { host, incarnation, gap_ms } => {
+                self.stop_agent(host, incarnation, gap_ms)
+            }
+            QueuedEvent::StopHost { host, incarnation } => self.stop_host(host, incarnation),
         }
     }
 
-    fn schedule(&mut self, delay_ms: u64, what: Due) {
+    fn schedule(&mut self, delay_ms: u64, event: QueuedEvent) {
         self.sequence += 1;
         let due_ms = self.now_ms + delay_ms;
-        self.queue.push(Reverse(Queued { due_ms, sequence: self.sequence, what }));
+        self.queue.push(Reverse(QueueEntry { due_ms, sequence: self.sequence, event }));
     }
 
-    /// Schedules the copies of a packet that the network lets through.
-    fn transmit_over(&mut self, hash: u64, what: impl Fn() -> Due) {
+    /// Schedules the arrival of each copy of a packet that the network delivers.
+    fn transmit_over(&mut self, hash: u64, event: impl Fn() -> QueuedEvent) {
         let hash = mix(hash ^ self.seed ^ mix(self.now_ms));
-        for delay_ms in self.network.fates(self.now_ms, hash) {
-            self.schedule(delay_ms, what());
+        for delay_ms in self.network.delays(self.now_ms, hash) {
+            self.schedule(delay_ms, event());
         }
     }
 
-    fn see(&mut self, seen: Seen) {
-        if let Err(violation) = self.oracle.see(self.now_ms, seen) {
+    fn observe(&mut self, seen: Observation) {
+        if let Err(violation) = self.oracle.observe(self.now_ms, seen) {
             self.note(|| format!("VIOLATION {}: {:?}", violation.promise, violation.seen));
             self.violation.get_or_insert(violation);
         }
     }
 
-    fn new_life(&mut self) -> Life {
-        self.lives += 1;
-        self.lives
+    fn new_incarnation(&mut self) -> IncarnationId {
+        self.incarnations += 1;
+        self.incarnations
     }
 
     fn promise(service: usize) -> crate::oracle::Promise {
--- a/crates/fuzzing/src/world/settings.rs
+++ b/crates/fuzzing/src/world/settings.rs
@@ -1,40 +1,41 @@
-//! How published settings reach the processes: late, unevenly, or not at all.
+//! Distribution of published settings to the processes: delayed, at different times, or not at all.
 
 use super::agents::Incoming;
 use super::balancers::hash_of;
-use super::fleet::{Demand, Occupant, Versions};
-use super::{Due, Node, World};
+use super::fleet::{HostAction, Occupant, Versions};
+use super::{Node, QueuedEvent, World};
 use crate::step::Change;
 
-/// Time to fetch settings on demand.
+/// Time that an agent's fetch of settings takes.
 const FETCH_MS: u64 = 100;
 
 impl World {
-    /// Publishes a change and lets every process hear of it after its own delay.
+    /// Publishes a change and schedules its arrival at each process after a delay of its own.
     pub(super) fn publish(&mut self, service: u8, change: Change, pick: u8, lag_ms: u32) {
         let service = usize::from(service) % self.fleet.service_count();
         let hosts: Vec<Occupant> = self.hosts.iter().map(|host| host.occupant).collect();
-        let Some(demand) = self.fleet.publish(service, change, pick, &hosts) else { return };
+        let Some(action) = self.fleet.publish(service, change, pick, &hosts) else { return };
         let newest = self.fleet.newest();
         let listed = self.fleet.listed(service).to_vec();
         self.note(|| format!("published {newest:?}: {listed:?}"));
-        if let Demand::Start { name, host } = demand {
+        if let HostAction::Start { name, host } = action {
             self.start_host(host, Some((service, name)));
         }
         for node in self.nodes() {
             let delay_ms = hash_of(&(node, newest, pick)) % (u64::from(lag_ms) + 1);
-            self.schedule(delay_ms, Due::Settings { node, versions: newest });
+            self.schedule(delay_ms, QueuedEvent::Settings { node, versions: newest });
         }
     }
 
-    /// All processes.
+    /// All processes: balancers, then agents.
     pub(super) fn nodes(&self) -> Vec<Node> {
         let balancers = (0..self.balancers.len()).map(Node::Balancer);
         balancers.chain((0..self.hosts.len()).map(Node::Host)).collect()
     }
 
-    /// Hands settings to a process. A shell never goes back by itself.
-    pub(super) fn settings_arrive(&mut self, node: Node, versions: Versions) {
+    /// Delivers settings to a process. The process keeps the newer version of each account, so it
+    /// never goes back to older settings by itself.
+    pub(super) fn receive_settings(&mut self, node: Node, versions: Versions) {
         if self.outage_until_ms > self.now_ms {
             return;
         }
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Newest settings that a starting process can hear of.
+    /// Newest settings that a starting process can learn of: during an outage only those that
+    /// another process has.
     pub(super) fn known_settings(&self) -> Versions {
         if self.outage_until_ms <= self.now_ms {
             return self.fleet.newest();
@@ -68,12 +70,12 @@
         balancers.chain(agents).reduce(newer).unwrap_or_else(|| self.fleet.newest())
     }
 
-    /// Fetches the newest settings for an agent that has heard of them.
+    /// Fetches the newest settings for an agent that has learned of a newer version.
     pub(super) fn fetch(&mut self, host: usize) {
         let versions = self.fleet.newest();
         let Some(shell) = &mut self.hosts[host].agent else { return };
         if !std::mem::replace(&mut shell.fetching, true) {
-            self.schedule(FETCH_MS, Due::Settings { node: Node::Host(host), versions });
+            self.schedule(FETCH_MS, QueuedEvent::Settings { node: Node::Host(host), versions });
         }
     }
 }
