--- a/crates/loadgen/src/fit.rs
+++ b/crates/loadgen/src/fit.rs
@@ -22,12 +22,12 @@
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
-        let spread = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum::<f64>();
-        if points.len() < 2 || spread == 0.0 {
+        let squares_x = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum::<f64>();
+        if points.len() < 2 || squares_x == 0.0 {
             return None;
         }
-        let product = points.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y));
-        let slope = product.sum::<f64>() / spread;
+        let products_xy = points.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y));
+        let slope = products_xy.sum::<f64>() / squares_x;
         let intercept = mean_y - slope * mean_x;
         let mut fit = Self { slope, intercept, residual_percent: 0.0 };
         let largest = points.iter().map(|point| point.1.abs()).fold(f64::MIN_POSITIVE, f64::max);
--- a/crates/loadgen/src/flows/mod.rs
+++ b/crates/loadgen/src/flows/mod.rs
@@ -18,10 +18,10 @@
 pub use report::{latency_series, plot};
 
 use crate::results::Results;
-use crate::traffic::{Frames, Stamper, stamped_flood};
+use crate::traffic::{Frames, StampSchedule, stamped_flood};
 
 /// Time in which late packets still count.
-const LINGER: Duration = Duration::from_millis(200);
+const LATE_PACKET_WINDOW: Duration = Duration::from_millis(200);
 
 /// What one run at one rate showed.
 #[derive(Clone, Debug)]
@@ -58,22 +58,24 @@
 fn run_once(experiment: &Experiment, frames: &mut Frames, rate: u64) -> anyhow::Result<Outcome> {
     let start = Instant::now();
     let count_from = Duration::from_millis(experiment.warm_up_ms);
-    let end = AtomicBool::new(false);
+    let stop = AtomicBool::new(false);
     let sockets = probe::bind(&experiment.receivers)?;
     std::thread::scope(|scope| {
-        let end = &end;
-        let readers: Vec<_> = sockets
+        let stop = &stop;
+        let receivers: Vec<_> = sockets
             .iter()
-            .map(|socket| scope.spawn(move || probe::read(socket, start, count_from, end)))
+            .map(|socket| {
+                scope.spawn(move || probe::record_latencies(socket, start, count_from, stop))
+            })
             .collect();
         let duration = count_from + Duration::from_millis(experiment.duration_ms);
-        let stamper = Stamper { start, rate, count_from };
-        let sent = stamped_flood(frames, experiment.to, duration, stamper);
-        std::thread::sleep(LINGER);
-        end.store(true, Ordering::Relaxed);
+        let schedule = StampSchedule { start, rate, count_from };
+        let sent = stamped_flood(frames, experiment.to, duration, schedule);
+        std::thread::sleep(LATE_PACKET_WINDOW);
+        stop.store(true, Ordering::Relaxed);
         let mut latency_ns = probe::histogram()?;
-        for reader in readers {
-            latency_ns.add(reader.join().ok().context("a reader panicked")??)?;
+        for receiver in receivers {
+            latency_ns.add(receiver.join().ok().context("a reader panicked")??)?;
         }
         Ok(Outcome { rate, sent: sent?, received: latency_ns.len(), latency_ns })
     })
--- a/crates/loadgen/src/flows/probe.rs
+++ b/crates/loadgen/src/flows/probe.rs
@@ -10,31 +10,31 @@
 use crate::traffic::read_stamp;
 
 /// How soon a reader notices the end.
-const TIMEOUT: Duration = Duration::from_millis(50);
+const READ_TIMEOUT: Duration = Duration::from_millis(50);
 /// Latencies from a microsecond to ten seconds, three digits.
-const BOUNDS_NS: (u64, u64) = (1_000, 10_000_000_000);
-const DIGITS: u8 = 3;
+const LATENCY_BOUNDS_NS: (u64, u64) = (1_000, 10_000_000_000);
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// An empty histogram.
 pub(super) fn histogram() -> anyhow::Result<Histogram<u64>> {
-    Ok(Histogram::new_with_bounds(BOUNDS_NS.0, BOUNDS_NS.1, DIGITS)?)
+    Ok(Histogram::new_with_bounds(LATENCY_BOUNDS_NS.0, LATENCY_BOUNDS_NS.1, SIGNIFICANT_DIGITS)?)
 }
 
 /// Listens on all receivers.
 pub(super) fn bind(receivers: &[SocketAddr]) -> anyhow::Result<Vec<UdpSocket>> {
-    receivers.iter().map(|address| Ok(udp::bind(*address, false, TIMEOUT)?)).collect()
+    receivers.iter().map(|address| Ok(udp::bind(*address, false, READ_TIMEOUT)?)).collect()
 }
 
 /// Records the latency of every packet that was due after `count_from`.
-pub(super) fn read(
+pub(super) fn record_latencies(
     socket: &UdpSocket,
     start: Instant,
     count_from: Duration,
-    end: &AtomicBool,
+    stop: &AtomicBool,
 ) -> anyhow::Result<Histogram<u64>> {
     let mut latency_ns = histogram()?;
     let mut receiver = Receiver::<()>::default();
-    while !end.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         receiver.receive(socket)?;
         let now_ns = start.elapsed().as_nanos() as u64;
         for datagram in receiver.datagrams() {
--- a/crates/loadgen/src/flows/report.rs
+++ b/crates/loadgen/src/flows/report.rs
@@ -19,17 +19,22 @@
     let mut series = Vec::new();
     for (name, quantile) in QUANTILES {
         let value = |outcome: &Outcome| outcome.latency_ns.value_at_quantile(quantile) as f64 / 1e3;
-        for (suffix, pick) in [("", MEDIAN), ("_least", LEAST), ("_most", MOST)] {
+        for (suffix, pick) in [("", MEDIAN), ("_least", MINIMUM), ("_most", MAXIMUM)] {
             let points = by_rate(outcomes, value, pick);
             let y = "us from when a packet was due";
             series.push(Series::new(&format!("{name}{suffix}"), "packets/s", y, &points));
         }
     }
-    let lost = |outcome: &Outcome| match outcome.sent {
+    let lost_percent = |outcome: &Outcome| match outcome.sent {
         0 => 0.0,
         sent => (1.0 - outcome.received as f64 / sent as f64) * 100.0,
     };
-    series.push(Series::new("lost", "packets/s", "percent", &by_rate(outcomes, lost, MEDIAN)));
+    series.push(Series::new(
+        "lost",
+        "packets/s",
+        "percent",
+        &by_rate(outcomes, lost_percent, MEDIAN),
+    ));
     series
 }
 
@@ -54,13 +59,13 @@
 }
 
 /// Picks one of sorted values.
-type Pick = fn(&[f64]) -> f64;
+type PickFn = fn(&[f64]) -> f64;
 
-const MEDIAN: Pick = |sorted| sorted[sorted.len() / 2];
-const LEAST: Pick = |sorted| sorted[0];
-const MOST: Pick = |sorted| sorted[sorted.len() - 1];
+const MEDIAN: PickFn = |sorted| sorted[sorted.len() / 2];
+const MINIMUM: PickFn = |sorted| sorted[0];
+const MAXIMUM: PickFn = |sorted| sorted[sorted.len() - 1];
 
-fn by_rate(outcomes: &[Outcome], value: impl Fn(&Outcome) -> f64, pick: Pick) -> Vec<(f64, f64)> {
+fn by_rate(outcomes: &[Outcome], value: impl Fn(&Outcome) -> f64, pick: PickFn) -> Vec<(f64, f64)> {
     let mut rates: Vec<u64> = outcomes.iter().map(|outcome| outcome.rate).collect();
     rates.sort_unstable();
     rates.dedup();
--- a/crates/loadgen/src/main.rs
+++ b/crates/loadgen/src/main.rs
@@ -115,11 +115,11 @@
     let (listen, receivers) = values.split_first().context("LISTEN is missing")?;
     let receivers = receivers.iter().map(|it| it.parse()).collect::<Result<_, _>>()?;
     let relay = Relay::bind(listen.parse()?, receivers)?;
-    let moved = relay.moved();
+    let forwarded = relay.forwarded();
     std::thread::Builder::new().name("relay".into()).spawn(move || {
         if let Err(error) = relay.run() {
             eprintln!("gooseberrysill-load: relay: {error:#}");
         }
     })?;
-    serve_counts(&moved)
+    serve_counts(&forwarded)
 }
--- a/crates/loadgen/src/plot.rs
+++ b/crates/loadgen/src/plot.rs
@@ -6,7 +6,7 @@
 use anyhow::anyhow;
 use plotters::prelude::*;
 
-const SIZE: (u32, u32) = (800, 480);
+const SIZE_PX: (u32, u32) = (800, 480);
 
 /// A named line through points.
 #[derive(Clone, Debug, PartialEq)]
@@ -30,7 +30,7 @@
     let first = points().map(|point| point.0).reduce(f64::min).ok_or(anyhow!("no point"))?;
     let last = points().map(|point| point.0).fold(first, f64::max);
     let top = points().map(|point| point.1).fold(0.0, f64::max) * 1.1;
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 20))
@@ -41,9 +41,9 @@
     chart.configure_mesh().x_desc(x).y_desc(y).draw()?;
     for (index, line) in lines.iter().enumerate() {
         let color = Palette99::pick(index).to_rgba();
-        let drawn = LineSeries::new(line.points.iter().copied(), color.stroke_width(2));
-        let key = move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color);
-        chart.draw_series(drawn)?.label(&*line.name).legend(key);
+        let line_series = LineSeries::new(line.points.iter().copied(), color.stroke_width(2));
+        let legend_entry = move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color);
+        chart.draw_series(line_series)?.label(&*line.name).legend(legend_entry);
     }
     chart.configure_series_labels().background_style(WHITE).border_style(BLACK).draw()?;
     Ok(area.present()?)
--- a/crates/loadgen/src/traffic/flood.rs
+++ b/crates/loadgen/src/traffic/flood.rs
@@ -12,7 +12,7 @@
 use super::{Frames, check_loopback};
 
 /// No run sends for longer.
-const LONGEST: Duration = Duration::from_secs(20);
+const MAX_SEND_DURATION: Duration = Duration::from_secs(20);
 
 /// How much is sent.
 #[derive(Clone, Copy, Debug)]
@@ -47,21 +47,21 @@
     let mut headers = MultiHeaders::<SockaddrStorage>::preallocate(BATCH, None);
     let start = Instant::now();
     let mut sent = 0;
-    while sent < run.packets && start.elapsed() < run.duration.min(LONGEST) {
-        let due = run.rate.map_or(u64::MAX, |rate| due(rate, start.elapsed()));
+    while sent < run.packets && start.elapsed() < run.duration.min(MAX_SEND_DURATION) {
+        let due = run.rate.map_or(u64::MAX, |rate| packets_due(rate, start.elapsed()));
         let count = due.min(run.packets).saturating_sub(sent).min(BATCH as u64) as usize;
         if count == 0 {
             std::thread::sleep(Duration::from_micros(50));
             continue;
         }
-        sent += send(&socket, &mut headers, frames, sent as usize, count)?;
+        sent += send_batch(&socket, &mut headers, frames, sent as usize, count)?;
     }
     Ok(sent)
 }
 
 /// How packets get their times.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Stamper {
+pub(crate) struct StampSchedule {
     /// Start of the run.
     pub(crate) start: Instant,
     /// Packets a second.
@@ -75,37 +75,37 @@
     frames: &mut Frames,
     to: SocketAddr,
     duration: Duration,
-    stamper: Stamper,
+    schedule: StampSchedule,
 ) -> anyhow::Result<u64> {
     check_loopback(to)?;
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
     socket.connect(to)?;
     let mut headers = MultiHeaders::<SockaddrStorage>::preallocate(BATCH, None);
     let (mut sent, mut counted) = (0, 0);
-    while stamper.start.elapsed() < duration.min(LONGEST) {
-        let waiting = due(stamper.rate, stamper.start.elapsed()).saturating_sub(sent);
-        let count = waiting.min(BATCH as u64) as usize;
+    while schedule.start.elapsed() < duration.min(MAX_SEND_DURATION) {
+        let unsent = packets_due(schedule.rate, schedule.start.elapsed()).saturating_sub(sent);
+        let count = unsent.min(BATCH as u64) as usize;
         if count == 0 {
             std::thread::sleep(Duration::from_micros(20));
             continue;
         }
         for number in sent..sent + count as u64 {
-            let due_ns = (u128::from(number) * 1_000_000_000 / u128::from(stamper.rate)) as u64;
+            let due_ns = (u128::from(number) * 1_000_000_000 / u128::from(schedule.rate)) as u64;
             frames.stamp(number as usize, due_ns);
-            counted += u64::from(u128::from(due_ns) >= stamper.count_from.as_nanos());
+            counted += u64::from(u128::from(due_ns) >= schedule.count_from.as_nanos());
         }
         // What the kernel does not take is lost, as it would be for any caller.
-        send(&socket, &mut headers, frames, sent as usize, count)?;
+        send_batch(&socket, &mut headers, frames, sent as usize, count)?;
         sent += count as u64;
     }
     Ok(counted)
 }
 
-fn due(rate: u64, elapsed: Duration) -> u64 {
+fn packets_due(rate: u64, elapsed: Duration) -> u64 {
     (elapsed.as_secs_f64() * rate as f64) as u64
 }
 
-fn send(
+fn send_batch(
     socket: &UdpSocket,
     headers: &mut MultiHeaders<SockaddrStorage>,
     frames: &Frames,
@@ -114,10 +114,10 @@
 ) -> anyhow::Result<u64> {
     let slices: [[IoSlice<'_>; 1]; BATCH] =
         std::array::from_fn(|offset| [IoSlice::new(frames.get(first + offset))]);
-    let nobody: [Option<SockaddrStorage>; BATCH] = [None; BATCH];
+    let no_addresses: [Option<SockaddrStorage>; BATCH] = [None; BATCH];
     let no_control: [ControlMessage<'_>; 0] = [];
     let (fd, flags) = (socket.as_raw_fd(), MsgFlags::empty());
-    match sendmmsg(fd, headers, slices[..count].iter(), &nobody[..count], no_control, flags) {
+    match sendmmsg(fd, headers, slices[..count].iter(), &no_addresses[..count], no_control, flags) {
         Ok(results) => Ok(results.count() as u64),
         // A receiver that is just starting or full is no fault of the sender's socket.
         Err(Errno::ECONNREFUSED | Errno::EINTR | Errno::ENOBUFS | Errno::EAGAIN) => Ok(0),
--- a/crates/loadgen/src/traffic/frames.rs
+++ b/crates/loadgen/src/traffic/frames.rs
@@ -12,8 +12,8 @@
 
 /// Bytes after the TCP header: a small record of an open feed.
 const PAYLOAD_BYTES: usize = 64;
-/// Ports of one caller address.
-const PORTS: usize = 50_000;
+/// Ports of one client address.
+const PORTS_PER_CLIENT: usize = 50_000;
 const FIRST_PORT: usize = 10_000;
 
 /// Bytes of a time at the end of a datagram.
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Frames {
     bytes: Vec<u8>,
-    length: usize,
+    frame_bytes: usize,
 }
 
 /// Whether packets open flows or belong to open ones.
@@ -50,24 +50,24 @@
     /// assert_ne!(frames.get(0), frames.get(1));
     /// ```
     pub fn get(&self, number: usize) -> &[u8] {
-        let start = number % self.count() * self.length;
-        &self.bytes[start..start + self.length]
+        let start = number % self.count() * self.frame_bytes;
+        &self.bytes[start..start + self.frame_bytes]
     }
 
     /// Writes a time into the end of a datagram. That is behind what a MAC covers, and no process on
     /// the way looks at the transport's checksum.
     pub(super) fn stamp(&mut self, number: usize, due_ns: u64) {
-        let end = (number % self.count() + 1) * self.length;
+        let end = (number % self.count() + 1) * self.frame_bytes;
         self.bytes[end - STAMP_BYTES..end].copy_from_slice(&due_ns.to_be_bytes());
     }
 
     /// How many there are.
     pub fn count(&self) -> usize {
-        self.bytes.len() / self.length.max(1)
+        self.bytes.len() / self.frame_bytes.max(1)
     }
 
     fn push(&mut self, frame: &[u8]) {
-        self.length = frame.len();
+        self.frame_bytes = frame.len();
         self.bytes.extend_from_slice(frame);
     }
 }
@@ -84,7 +84,7 @@
     for number in 0..flows {
         let service = services.get(number % services.len().max(1)).context("no service")?;
         let mut frame = Vec::new();
-        gue::encode(Content::Ipv4, &[], &packet(number, *service, opening)?, &mut frame);
+        gue::encode(Content::Ipv4, &[], &tcp_packet(number, *service, opening)?, &mut frame);
         frames.push(&frame);
     }
     Ok(frames)
@@ -102,7 +102,7 @@
 ) -> anyhow::Result<Frames> {
     let mut frames = Frames::default();
     for number in 0..flows {
-        let packet = packet(number, address, opening)?;
+        let packet = tcp_packet(number, address, opening)?;
         let inner = inner::parse(&packet)?;
         let header = Header {
             hops: 0,
@@ -124,10 +124,12 @@
 }
 
 /// A TCP packet of the flow with this number; no two numbers share address and port.
-fn packet(number: usize, service: SocketAddrV4, opening: Opening) -> anyhow::Result<Vec<u8>> {
-    let caller = Ipv4Addr::from(u32::from(Ipv4Addr::new(198, 18, 0, 1)) + (number / PORTS) as u32);
-    let port = (FIRST_PORT + number % PORTS) as u16;
-    let builder = PacketBuilder::ipv4(caller.octets(), service.ip().octets(), 64);
+fn tcp_packet(number: usize, service: SocketAddrV4, opening: Opening) -> anyhow::Result<Vec<u8>> {
+    let client = Ipv4Addr::from(
+        u32::from(Ipv4Addr::new(198, 18, 0, 1)) + (number / PORTS_PER_CLIENT) as u32,
+    );
+    let port = (FIRST_PORT + number % PORTS_PER_CLIENT) as u16;
+    let builder = PacketBuilder::ipv4(client.octets(), service.ip().octets(), 64);
     let tcp = builder.tcp(port, service.port(), 7, 1_024);
     let mut packet = Vec::new();
     match opening {
--- a/crates/loadgen/src/traffic/mod.rs
+++ b/crates/loadgen/src/traffic/mod.rs
@@ -5,7 +5,7 @@
 mod relay;
 
 pub use flood::{Flood, flood};
-pub(crate) use flood::{Stamper, stamped_flood};
+pub(crate) use flood::{StampSchedule, stamped_flood};
 pub(crate) use frames::read_stamp;
 pub use frames::{Frames, Opening, balancer_frames, sealed_frames};
 pub use relay::{Relay, serve_counts};
--- a/crates/loadgen/src/traffic/relay.rs
+++ b/crates/loadgen/src/traffic/relay.rs
@@ -13,13 +13,13 @@
 
 use super::check_loopback;
 
-const TIMEOUT: Duration = Duration::from_millis(100);
+const READ_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A relay from one socket to receivers in turn.
 pub struct Relay {
     socket: UdpSocket,
     receivers: Vec<SocketAddr>,
-    moved: Arc<AtomicU64>,
+    forwarded: Arc<AtomicU64>,
 }
 
 impl Relay {
@@ -34,13 +34,13 @@
     pub fn bind(listen: SocketAddr, receivers: Vec<SocketAddr>) -> anyhow::Result<Self> {
         ensure!(!receivers.is_empty(), "a relay needs a receiver");
         receivers.iter().chain([&listen]).try_for_each(|address| check_loopback(*address))?;
-        let socket = udp::bind(listen, false, TIMEOUT)?;
-        Ok(Self { socket, receivers, moved: Arc::default() })
+        let socket = udp::bind(listen, false, READ_TIMEOUT)?;
+        Ok(Self { socket, receivers, forwarded: Arc::default() })
     }
 
     /// Packets moved so far.
-    pub fn moved(&self) -> Arc<AtomicU64> {
-        Arc::clone(&self.moved)
+    pub fn forwarded(&self) -> Arc<AtomicU64> {
+        Arc::clone(&self.forwarded)
     }
 
     /// Relays until the process ends.
@@ -62,7 +62,7 @@
                 next = (next + 1) % self.receivers.len();
             }
             let failed = sender.flush(&self.socket, &receiver);
-            self.moved.fetch_add((count - failed) as u64, Ordering::Relaxed);
+            self.forwarded.fetch_add((count - failed) as u64, Ordering::Relaxed);
         }
     }
 }
@@ -70,11 +70,11 @@
 /// Prints the count for each line of standard input, until that ends.
 ///
 /// Errors: those of the standard streams.
-pub fn serve_counts(moved: &AtomicU64) -> anyhow::Result<()> {
+pub fn serve_counts(forwarded: &AtomicU64) -> anyhow::Result<()> {
     let mut output = std::io::stdout().lock();
     for line in std::io::stdin().lock().lines() {
         line?;
-        writeln!(output, "{}", moved.load(Ordering::Relaxed))?;
+        writeln!(output, "{}", forwarded.load(Ordering::Relaxed))?;
         output.flush()?;
     }
     Ok(())
