--- a/crates/loadgen/src/cost/agent.rs
+++ b/crates/loadgen/src/cost/agent.rs
@@ -2,49 +2,54 @@
 
 use decision::view::WhenInDoubt;
 
-use super::{Service, Usage, resident_bytes};
+use super::{SimulatedService, Usage, resident_bytes};
 use crate::results::{Results, Series};
 
 /// Agents of a service at which slopes are taken. The target's mean is 5.3.
 const SERVICE_SIZES: [usize; 6] = [2, 4, 8, 16, 32, 64];
 /// Agents of a service where something else is varied: the target's mean, rounded up.
-const MEAN_SERVICE: usize = 6;
+const MEAN_SERVICE_AGENTS: usize = 6;
 /// Open flows an agent at which slopes are taken. 3,700 is the target's mean, 50,000 the most.
 const FLOWS: [u64; 5] = [1_000, 3_700, 10_000, 25_000, 50_000];
 /// New flows a second an agent at which slopes are taken. The target's mean is 12.
 const RATES: [u64; 5] = [4, 12, 24, 48, 96];
 /// Life of a flow where the rate is varied.
-const FLOW_LIFE_MS: u64 = 5_000;
-const IDLE_MS: u64 = 30_000;
+const FLOW_LIFETIME_MS: u64 = 5_000;
+const IDLE_DURATION_MS: u64 = 30_000;
 /// All open flows are announced again once in this time.
-const REFRESH_MS: u64 = 600_000;
+const REANNOUNCE_INTERVAL_MS: u64 = 600_000;
 /// Longest time that a storm is followed.
-const STORM_MS: u64 = 120_000;
+const STORM_TIMEOUT_MS: u64 = 120_000;
 
 /// Measures everything and returns the series.
 pub fn measure() -> Results {
     let mut series = Vec::new();
-    let idle = points(&SERVICE_SIZES.map(|count| count as u64), |count| {
-        per_agent(idle(count as usize, IDLE_MS), count, IDLE_MS)
+    let idle = measure_points(&SERVICE_SIZES.map(|count| count as u64), |count| {
+        per_agent(measure_idle(count as usize, IDLE_DURATION_MS), count, IDLE_DURATION_MS)
     });
-    push(&mut series, "service_size", "agents of the service", &idle);
-    let held = points(&FLOWS, |flows| {
-        let mut service = holding(MEAN_SERVICE, flows);
-        service.run(REFRESH_MS);
-        per_agent(service.take_usage(), MEAN_SERVICE as u64, REFRESH_MS)
+    push_usage_series(&mut series, "service_size", "agents of the service", &idle);
+    let with_open_flows = measure_points(&FLOWS, |flows| {
+        let mut service = service_with_flows(MEAN_SERVICE_AGENTS, flows);
+        service.run(REANNOUNCE_INTERVAL_MS);
+        per_agent(service.take_usage(), MEAN_SERVICE_AGENTS as u64, REANNOUNCE_INTERVAL_MS)
     });
-    push(&mut series, "open_flows", "open flows an agent (6 agents)", &held);
+    push_usage_series(
+        &mut series,
+        "open_flows",
+        "open flows an agent (6 agents)",
+        &with_open_flows,
+    );
     for (name, when_in_doubt) in [("admit", WhenInDoubt::Admit), ("refuse", WhenInDoubt::Refuse)] {
-        let opened = points(&RATES, |rate| opening(rate, when_in_doubt));
+        let with_new_flows = measure_points(&RATES, |rate| measure_new_flows(rate, when_in_doubt));
         let x = "new flows a second an agent (6 agents)";
-        push(&mut series, &format!("new_flows_{name}"), x, &opened);
+        push_usage_series(&mut series, &format!("new_flows_{name}"), x, &with_new_flows);
     }
-    push_storm(&mut series, "relearn", |flows| {
-        let mut service = holding(MEAN_SERVICE, flows);
+    push_storm_series(&mut series, "relearn", |flows| {
+        let mut service = service_with_flows(MEAN_SERVICE_AGENTS, flows);
         restart_storm(&mut service)
     });
-    push_storm(&mut series, "zone_lost_and_back", zone_storm);
-    push_storm(&mut series, "replaced_in_a_minute", replacement_storm);
+    push_storm_series(&mut series, "zone_lost_and_back", zone_outage_storm);
+    push_storm_series(&mut series, "replaced_in_a_minute", replacement_storm);
     Results { command: "gooseberrysill-load agent".into(), series }
 }
 
@@ -55,11 +60,14 @@
 /// Errors: the kernel does not say how much memory is in use.
 pub fn memory(flows: u64) -> anyhow::Result<f64> {
     let before = resident_bytes()?;
-    let service = holding(MEAN_SERVICE, flows);
+    let service = service_with_flows(MEAN_SERVICE_AGENTS, flows);
     let used = resident_bytes()? - before;
     let open: usize = service.agents().iter().map(decision::agent::Agent::open_flows).sum();
-    anyhow::ensure!(open as u64 >= flows * MEAN_SERVICE as u64, "{open} flows were admitted");
-    Ok(used as f64 / MEAN_SERVICE as f64)
+    anyhow::ensure!(
+        open as u64 >= flows * MEAN_SERVICE_AGENTS as u64,
+        "{open} flows were admitted"
+    );
+    Ok(used as f64 / MEAN_SERVICE_AGENTS as f64)
 }
 
 /// What one agent uses, or how a storm went.
@@ -69,16 +77,16 @@
     messages: f64,
     processor_us: f64,
     peak_bytes: f64,
-    calm_ms: f64,
+    recovery_ms: f64,
 }
 
 type Points = Vec<(f64, Sample)>;
 
-fn points(sizes: &[u64], measure: impl Fn(u64) -> Sample) -> Points {
+fn measure_points(sizes: &[u64], measure: impl Fn(u64) -> Sample) -> Points {
     sizes.iter().map(|&size| (size as f64, measure(size))).collect()
 }
 
-fn push(series: &mut Vec<Series>, name: &str, x: &str, points: &Points) {
+fn push_usage_series(series: &mut Vec<Series>, name: &str, x: &str, points: &Points) {
     let mut add = |suffix: &str, y: &str, pick: fn(&Sample) -> f64| {
         let points: Vec<(f64, f64)> = points.iter().map(|(x, it)| (*x, pick(it))).collect();
         series.push(Series::new(&format!("{name}_{suffix}"), x, y, &points));
@@ -88,15 +96,15 @@
     add("processor", "us/s an agent", |it| it.processor_us);
 }
 
-fn push_storm(series: &mut Vec<Series>, name: &str, measure: fn(u64) -> Sample) {
-    let points = points(&[1_000, 2_000, 3_700, 10_000, 20_000], measure);
+fn push_storm_series(series: &mut Vec<Series>, name: &str, measure: fn(u64) -> Sample) {
+    let points = measure_points(&[1_000, 2_000, 3_700, 10_000, 20_000], measure);
     let mut add = |suffix: &str, y: &str, pick: fn(&Sample) -> f64| {
         let points: Vec<(f64, f64)> = points.iter().map(|(x, it)| (*x, pick(it))).collect();
         let x = "open flows an agent";
         series.push(Series::new(&format!("{name}_{suffix}"), x, y, &points));
     };
     add("peak", "B/s peak of an agent", |it| it.peak_bytes);
-    add("ms", "ms until calm", |it| it.calm_ms);
+    add("ms", "ms until calm", |it| it.recovery_ms);
 }
 
 fn per_agent(usage: Usage, agents: u64, duration_ms: u64) -> Sample {
@@ -106,22 +114,22 @@
         messages: usage.messages as f64 / seconds,
         processor_us: usage.processor.as_secs_f64() * 1e6 / seconds,
         peak_bytes: usage.peak_bytes as f64,
-        calm_ms: duration_ms as f64,
+        recovery_ms: duration_ms as f64,
     }
 }
 
-fn idle(count: usize, duration_ms: u64) -> Usage {
-    let mut service = Service::new(count, WhenInDoubt::Admit);
+fn measure_idle(count: usize, duration_ms: u64) -> Usage {
+    let mut service = SimulatedService::new(count, WhenInDoubt::Admit);
     service.run(duration_ms);
     service.take_usage()
 }
 
 /// A service whose agents hold `flows` each on average, all announced.
-fn holding(count: usize, flows: u64) -> Service {
-    let mut service = Service::new(count, WhenInDoubt::Admit);
+fn service_with_flows(count: usize, flows: u64) -> SimulatedService {
+    let mut service = SimulatedService::new(count, WhenInDoubt::Admit);
     let batch = 200 * count as u64;
     for number in 0..flows * count as u64 {
-        service.open(number);
+        service.open_flow(number);
         if number.is_multiple_of(batch) {
             service.run(100);
         }
@@ -131,17 +139,17 @@
     service
 }
 
-fn opening(rate: u64, when_in_doubt: WhenInDoubt) -> Sample {
-    let mut service = Service::new(MEAN_SERVICE, when_in_doubt);
+fn measure_new_flows(rate: u64, when_in_doubt: WhenInDoubt) -> Sample {
+    let mut service = SimulatedService::new(MEAN_SERVICE_AGENTS, when_in_doubt);
     let step_ms = 250;
-    let per_step = rate * MEAN_SERVICE as u64 * step_ms / 1_000;
-    let life = FLOW_LIFE_MS / step_ms * per_step;
+    let per_step = rate * MEAN_SERVICE_AGENTS as u64 * step_ms / 1_000;
+    let flows_per_lifetime = FLOW_LIFETIME_MS / step_ms * per_step;
     let mut next = 0;
-    let mut step = |service: &mut Service| {
+    let mut step = |service: &mut SimulatedService| {
         for number in next..next + per_step {
-            service.open(number);
-            if let Some(old) = number.checked_sub(life) {
-                service.close(old);
+            service.open_flow(number);
+            if let Some(ended) = number.checked_sub(flows_per_lifetime) {
+                service.close_flow(ended);
             }
         }
         next += per_step;
@@ -150,43 +158,45 @@
     (0..40).for_each(|_| step(&mut service));
     service.take_usage();
     (0..80).for_each(|_| step(&mut service));
-    per_agent(service.take_usage(), MEAN_SERVICE as u64, 80 * step_ms)
+    per_agent(service.take_usage(), MEAN_SERVICE_AGENTS as u64, 80 * step_ms)
 }
 
 /// One agent restarts; calm once it holds what it held before.
-fn restart_storm(service: &mut Service) -> Sample {
+fn restart_storm(service: &mut SimulatedService) -> Sample {
     let before = service.agents()[0].open_flows();
     service.restart(0);
-    let calm_ms = service.run_until(STORM_MS, |it| it.agents()[0].open_flows() >= before);
-    storm(service, calm_ms)
+    let recovery_ms =
+        service.run_until(STORM_TIMEOUT_MS, |it| it.agents()[0].open_flows() >= before);
+    storm_sample(service, recovery_ms)
 }
 
 /// A third of the agents (one zone of three) is lost for ten seconds and comes back with a new life
 /// that knows nothing. Calm once each holds what it held before.
-fn zone_storm(flows: u64) -> Sample {
-    let mut service = holding(MEAN_SERVICE, flows);
+fn zone_outage_storm(flows: u64) -> Sample {
+    let mut service = service_with_flows(MEAN_SERVICE_AGENTS, flows);
     let before: Vec<usize> = (0..2).map(|index| service.agents()[index].open_flows()).collect();
-    (0..2).for_each(|index| service.cut(index, true));
+    (0..2).for_each(|index| service.set_partitioned(index, true));
     service.run(10_000);
     for index in 0..2 {
-        service.cut(index, false);
+        service.set_partitioned(index, false);
         service.restart(index);
     }
-    let all_back =
-        |it: &Service| (0..2).all(|index| it.agents()[index].open_flows() >= before[index]);
-    let calm_ms = service.run_until(STORM_MS, all_back);
-    storm(&mut service, calm_ms)
+    let all_recovered = |it: &SimulatedService| {
+        (0..2).all(|index| it.agents()[index].open_flows() >= before[index])
+    };
+    let recovery_ms = service.run_until(STORM_TIMEOUT_MS, all_recovered);
+    storm_sample(&mut service, recovery_ms)
 }
 
 /// Ten agents, one of which is replaced in the minute: 10 %. The peak is taken over all of them.
 fn replacement_storm(flows: u64) -> Sample {
-    let mut service = holding(10, flows);
+    let mut service = service_with_flows(10, flows);
     restart_storm(&mut service)
 }
 
-fn storm(service: &mut Service, calm_ms: u64) -> Sample {
+fn storm_sample(service: &mut SimulatedService, recovery_ms: u64) -> Sample {
     // A peak is taken over whole seconds, so the last one is run to its end.
     service.run(1_000);
     let usage = service.take_usage();
-    Sample { calm_ms: calm_ms as f64, ..per_agent(usage, 1, calm_ms.max(1)) }
+    Sample { recovery_ms: recovery_ms as f64, ..per_agent(usage, 1, recovery_ms.max(1)) }
 }
--- a/crates/loadgen/src/cost/mod.rs
+++ b/crates/loadgen/src/cost/mod.rs
@@ -7,4 +7,4 @@
 pub mod tree;
 
 pub use meter::{processor_time, resident_bytes};
-pub use service::{Service, Usage};
+pub use service::{SimulatedService, Usage};
--- a/crates/loadgen/src/cost/service.rs
+++ b/crates/loadgen/src/cost/service.rs
@@ -24,11 +24,11 @@
 /// IP and UDP headers of a datagram.
 const IP_UDP_BYTES: u64 = 20 + 8;
 /// One-way delay of a message, a zone's distance in the users' sizes of today.
-const DELAY_MS: u64 = 1;
+const ONE_WAY_DELAY_MS: u64 = 1;
 /// After this time a caller goes on after its opening.
-const ANSWER_MS: u64 = 100;
+const FOLLOW_UP_DELAY_MS: u64 = 100;
 /// Ticks in a second.
-const TICKS: usize = 1_000 / MAX_TICK_INTERVAL_MS as usize;
+const TICKS_PER_SECOND: usize = 1_000 / MAX_TICK_INTERVAL_MS as usize;
 /// Time after which nobody doubts anything any more.
 const SETTLE_MS: u64 = 12_000;
 /// Initial sequence number of every flow.
@@ -50,39 +50,39 @@
 }
 
 /// The agents of one service.
-pub struct Service {
+pub struct SimulatedService {
     now: Millis,
     view: Arc<View>,
     id: ServiceId,
     keyring: AccountKeyring,
     agents: Vec<Agent>,
     ids: Vec<UpstreamId>,
-    cut: Vec<bool>,
+    partitioned: Vec<bool>,
     queue: Vec<(usize, usize, Vec<u8>)>,
     held: Vec<(usize, HoldKey, Packet)>,
     /// Openings whose callers go on at a time, oldest first.
-    opened: VecDeque<(Millis, FlowId)>,
+    follow_ups: VecDeque<(Millis, FlowId)>,
     /// Bytes of each agent in each tick of the last second.
-    recent: Vec<[u64; TICKS]>,
+    recent_bytes: Vec<[u64; TICKS_PER_SECOND]>,
     slot: usize,
     usage: Usage,
-    started: Duration,
+    processor_start: Duration,
 }
 
-impl Service {
+impl SimulatedService {
     /// `count` agents that have met and doubt nothing.
     ///
     /// ```
     /// use decision::view::WhenInDoubt;
-    /// let mut service = loadgen::cost::Service::new(3, WhenInDoubt::Admit);
+    /// let mut service = loadgen::cost::SimulatedService::new(3, WhenInDoubt::Admit);
     /// service.run(1_000);
     /// assert!(service.take_usage().messages > 0);
     /// ```
     pub fn new(count: usize, when_in_doubt: WhenInDoubt) -> Self {
-        let (view, id, ids) = settings(count, when_in_doubt);
+        let (view, id, ids) = build_service_view(count, when_in_doubt);
         let now = Millis(1_000_000);
         let agents =
-            ids.iter().map(|upstream| agent(id, *upstream, 1, view.clone(), now)).collect();
+            ids.iter().map(|upstream| new_agent(id, *upstream, 1, view.clone(), now)).collect();
         let key = [(KeyId(1), [7; 32])];
         let mut service = Self {
             now,
@@ -92,14 +92,14 @@
             keyring: AccountKeyring::new(&key).expect("a keyring of one key"),
             agents,
             ids,
-            cut: vec![false; count],
+            partitioned: vec![false; count],
             queue: Vec::new(),
             held: Vec::new(),
-            opened: VecDeque::new(),
-            recent: vec![[0; TICKS]; count],
+            follow_ups: VecDeque::new(),
+            recent_bytes: vec![[0; TICKS_PER_SECOND]; count],
             slot: 0,
             usage: Usage::default(),
-            started: processor_time(),
+            processor_start: processor_time(),
         };
         service.run(SETTLE_MS);
         service.take_usage();
@@ -115,8 +115,8 @@
     pub fn take_usage(&mut self) -> Usage {
         let now = processor_time();
         let mut usage = std::mem::take(&mut self.usage);
-        usage.processor = now - std::mem::replace(&mut self.started, now);
-        self.recent.fill([0; TICKS]);
+        usage.processor = now - std::mem::replace(&mut self.processor_start, now);
+        self.recent_bytes.fill([0; TICKS_PER_SECOND]);
         usage
     }
 
@@ -138,110 +138,115 @@
     }
 
     /// Opens a flow at its home, and lets its caller go on. Flows are told apart by `number`.
-    pub fn open(&mut self, number: u64) {
-        let flow = flow(number);
-        let home = self.home(flow);
-        self.arrive(home, self.packet(flow, PacketKind::Opening { nonce: OPENING_NONCE }));
-        self.opened.push_back((self.now.after(ANSWER_MS), flow));
+    pub fn open_flow(&mut self, number: u64) {
+        let flow = flow_id(number);
+        let home = self.home_of(flow);
+        self.handle_packet(
+            home,
+            self.new_packet(flow, PacketKind::Opening { nonce: OPENING_NONCE }),
+        );
+        self.follow_ups.push_back((self.now.after(FOLLOW_UP_DELAY_MS), flow));
     }
 
     /// The caller ends a flow.
-    pub fn close(&mut self, number: u64) {
-        let flow = flow(number);
-        self.arrive(self.home(flow), self.packet(flow, PacketKind::Reset));
+    pub fn close_flow(&mut self, number: u64) {
+        let flow = flow_id(number);
+        self.handle_packet(self.home_of(flow), self.new_packet(flow, PacketKind::Reset));
     }
 
     /// An agent is cut off from its peers, or back.
-    pub fn cut(&mut self, agent: usize, is_cut: bool) {
-        self.cut[agent] = is_cut;
+    pub fn set_partitioned(&mut self, agent: usize, is_partitioned: bool) {
+        self.partitioned[agent] = is_partitioned;
     }
 
     /// An agent is replaced by a new life of itself; its upstream keeps its flows.
     pub fn restart(&mut self, index: usize) {
-        let life = self.now.0;
-        self.agents[index] = agent(self.id, self.ids[index], life, self.view.clone(), self.now);
+        let incarnation = self.now.0;
+        self.agents[index] =
+            new_agent(self.id, self.ids[index], incarnation, self.view.clone(), self.now);
         self.held.retain(|(at, _, _)| *at != index);
     }
 
     fn tick(&mut self) {
-        for _ in 0..MAX_TICK_INTERVAL_MS / DELAY_MS {
-            self.now = self.now.after(DELAY_MS);
-            self.deliver();
+        for _ in 0..MAX_TICK_INTERVAL_MS / ONE_WAY_DELAY_MS {
+            self.now = self.now.after(ONE_WAY_DELAY_MS);
+            self.deliver_messages();
         }
-        while let Some((_, flow)) = self.opened.pop_front_if(|(at, _)| *at <= self.now) {
-            self.arrive(self.home(flow), self.packet(flow, PacketKind::Middle));
+        while let Some((_, flow)) = self.follow_ups.pop_front_if(|(at, _)| *at <= self.now) {
+            self.handle_packet(self.home_of(flow), self.new_packet(flow, PacketKind::Middle));
         }
         for index in 0..self.agents.len() {
-            self.event(index, Event::Tick);
+            self.handle_event(index, Event::Tick);
         }
-        self.note_peak();
+        self.update_peak();
     }
 
     /// The second slides with the ticks, so that no burst is cut in two by a whole second's end.
-    fn note_peak(&mut self) {
-        let peak = self.recent.iter().map(|slots| slots.iter().sum::<u64>()).max().unwrap_or(0);
+    fn update_peak(&mut self) {
+        let peak =
+            self.recent_bytes.iter().map(|slots| slots.iter().sum::<u64>()).max().unwrap_or(0);
         self.usage.peak_bytes = self.usage.peak_bytes.max(peak);
-        self.slot = (self.slot + 1) % TICKS;
-        self.recent.iter_mut().for_each(|slots| slots[self.slot] = 0);
+        self.slot = (self.slot + 1) % TICKS_PER_SECOND;
+        self.recent_bytes.iter_mut().for_each(|slots| slots[self.slot] = 0);
     }
 
-    fn packet(&self, flow: FlowId, kind: PacketKind) -> Packet {
+    fn new_packet(&self, flow: FlowId, kind: PacketKind) -> Packet {
         let (service, view) = (self.id, Version(1));
         let (sequence, hops) = (OPENING_NONCE, 0);
         Packet { service, flow, kind, sequence, view, hops, forwarding: Forwarding::Direct }
     }
 
-    fn home(&self, flow: FlowId) -> usize {
+    fn home_of(&self, flow: FlowId) -> usize {
         // Only one service is in the view.
         let service = &self.view.services()[0];
         let home = service.ranking(rank::bucket_of(flow))[0];
-        self.index(self.view.upstream(home).id)
+        self.index_of(self.view.upstream(home).id)
     }
 
-    fn index(&self, id: UpstreamId) -> usize {
+    fn index_of(&self, id: UpstreamId) -> usize {
         self.ids.iter().position(|known| *known == id).unwrap_or(0)
     }
 
-    fn event(&mut self, at: usize, event: Event) {
+    fn handle_event(&mut self, index: usize, event: Event) {
         let mut out = Vec::new();
-        self.agents[at].handle(self.now, event, &mut out);
-        self.act(at, out);
+        self.agents[index].handle(self.now, event, &mut out);
+        self.perform_actions(index, out);
     }
 
-    fn arrive(&mut self, at: usize, packet: Packet) {
-        if self.cut[at] {
+    fn handle_packet(&mut self, index: usize, packet: Packet) {
+        if self.partitioned[index] {
             return;
         }
         let mut out = Vec::new();
-        let verdict = self.agents[at].handle_packet(self.now, &packet, &mut out);
-        self.act(at, out);
-        self.follow(at, packet, verdict);
+        let verdict = self.agents[index].handle_packet(self.now, &packet, &mut out);
+        self.perform_actions(index, out);
+        self.apply_verdict(index, packet, verdict);
     }
 
-    fn follow(&mut self, at: usize, packet: Packet, verdict: Verdict) {
+    fn apply_verdict(&mut self, index: usize, packet: Packet, verdict: Verdict) {
         match verdict {
             Verdict::Deliver => {
                 let is_opening = matches!(packet.kind, PacketKind::Opening { .. });
                 self.usage.admitted += u64::from(is_opening);
             }
-            Verdict::Hold(hold) => self.held.push((at, hold, packet)),
+            Verdict::Hold(hold) => self.held.push((index, hold, packet)),
             Verdict::Forward { to, forwarding } => {
-                let to = self.index(to);
-                self.arrive(to, Packet { hops: packet.hops + 1, forwarding, ..packet });
+                let to = self.index_of(to);
+                self.handle_packet(to, Packet { hops: packet.hops + 1, forwarding, ..packet });
             }
             Verdict::Refuse(_) | Verdict::Drop(_) => {}
         }
     }
 
-    fn act(&mut self, at: usize, actions: Vec<Action>) {
+    fn perform_actions(&mut self, index: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { to, message } => self.send(at, to, message),
+                Action::Send { to, message } => self.send(index, to, message),
                 Action::Resolve { hold, verdict } => {
-                    let found = self.held.iter().position(|held| (held.0, held.1) == (at, hold));
+                    let found = self.held.iter().position(|held| (held.0, held.1) == (index, hold));
                     if let Some(found) = found {
                         let (_, _, packet) = self.held.swap_remove(found);
-                        self.follow(at, packet, verdict);
+                        self.apply_verdict(index, packet, verdict);
                     }
                 }
                 Action::FetchSettings { .. } | Action::Report(_) | Action::Record(_) => {}
@@ -250,72 +255,75 @@
     }
 
     fn send(&mut self, from: usize, to: UpstreamId, message: Message) {
-        let to = self.index(to);
+        let to = self.index_of(to);
         let mut body = Vec::new();
         control::encode(&Envelope { clock: self.now.0 << 16, message }, &mut body)
             .expect("the core's messages fit into a datagram");
         let bytes = IP_UDP_BYTES + (gue::HEADER_BYTES + SEALED_BYTES + body.len()) as u64;
-        self.count(from, bytes);
-        if self.cut[from] || self.cut[to] {
+        self.count_message(from, bytes);
+        if self.partitioned[from] || self.partitioned[to] {
             return;
         }
-        self.count(to, bytes);
+        self.count_message(to, bytes);
         let mut private = [0; SEALED_BYTES];
         let payload = Payload::Control(&body);
-        let header = header(self.id, self.ids[from]);
+        let header = control_header(self.id, self.ids[from]);
         self.keyring.seal(&header, payload, &mut private).expect("a body can be sealed");
         let mut datagram = Vec::with_capacity(body.len() + 80);
         gue::encode(gue::Content::Control(control::CONTROL_TYPE), &private, &body, &mut datagram);
         self.queue.push((from, to, datagram));
     }
 
-    fn count(&mut self, agent: usize, bytes: u64) {
+    fn count_message(&mut self, agent: usize, bytes: u64) {
         self.usage.bytes += bytes;
         self.usage.messages += 1;
-        self.recent[agent][self.slot] += bytes;
+        self.recent_bytes[agent][self.slot] += bytes;
     }
 
     /// Hands over what was sent one delay ago.
-    fn deliver(&mut self) {
+    fn deliver_messages(&mut self) {
         for (from, to, datagram) in std::mem::take(&mut self.queue) {
             let frame = gue::parse(&datagram).expect("a frame of ours");
             let payload = Payload::Control(frame.payload);
             self.keyring.open(frame.private, payload).expect("sealed by us");
             let message = control::decode(frame.payload).expect("encoded by us").message;
-            self.event(to, Event::Message { from: self.ids[from], message });
+            self.handle_event(to, Event::Message { from: self.ids[from], message });
         }
     }
 }
 
 /// The view of one service with so many agents, its id and theirs.
-fn settings(count: usize, when_in_doubt: WhenInDoubt) -> (Arc<View>, ServiceId, Vec<UpstreamId>) {
+fn build_service_view(
+    count: usize,
+    when_in_doubt: WhenInDoubt,
+) -> (Arc<View>, ServiceId, Vec<UpstreamId>) {
     let mut accounts = WorldSize { accounts: 1, services: 1, upstreams: count }.accounts();
     accounts[0].services[0].when_in_doubt = when_in_doubt;
     let (account, service) = (&accounts[0].name, &accounts[0].services[0]);
-    let id_of = |name: &str| UpstreamId::of(account, &service.name, name);
-    let ids = service.upstreams.iter().map(|upstream| id_of(&upstream.name)).collect();
+    let upstream_id = |name: &str| UpstreamId::of(account, &service.name, name);
+    let ids = service.upstreams.iter().map(|upstream| upstream_id(&upstream.name)).collect();
     let id = ServiceId::of(account, &service.name);
     (Arc::new(view::build(&accounts)), id, ids)
 }
 
-fn agent(
+fn new_agent(
     service: ServiceId,
     upstream: UpstreamId,
-    life: u64,
+    incarnation: u64,
     view: Arc<View>,
     now: Millis,
 ) -> Agent {
     let config = AgentConfig {
         upstream,
         service,
-        incarnation: Incarnation(life),
-        may_have_prior_flows: life > 1,
+        incarnation: Incarnation(incarnation),
+        may_have_prior_flows: incarnation > 1,
         seed: upstream.0,
     };
     Agent::new(config, view, now)
 }
 
-fn header(service: ServiceId, from: UpstreamId) -> Header {
+fn control_header(service: ServiceId, from: UpstreamId) -> Header {
     Header {
         hops: 0,
         passed: Forwarding::Direct,
@@ -328,7 +336,7 @@
 }
 
 /// A flow id as the keyed hash would draw it: a bijection, so no two numbers meet.
-fn flow(number: u64) -> FlowId {
+fn flow_id(number: u64) -> FlowId {
     let mixed = (number ^ (number >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     FlowId((mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9))
 }
--- a/crates/loadgen/tests/service.rs
+++ b/crates/loadgen/tests/service.rs
@@ -1,13 +1,13 @@
 //! What the slopes of an agent rest on: every opening runs once, and equal runs cost the same.
 
 use decision::view::WhenInDoubt;
-use loadgen::cost::{Service, Usage};
+use loadgen::cost::{SimulatedService, Usage};
 use rstest::rstest;
 
 /// Opens flows at a service, lets ten seconds pass and gives what was used.
-fn opened(agents: usize, when_in_doubt: WhenInDoubt, flows: u64) -> Usage {
-    let mut service = Service::new(agents, when_in_doubt);
-    (0..flows).for_each(|number| service.open(number));
+fn usage_after_opening(agents: usize, when_in_doubt: WhenInDoubt, flows: u64) -> Usage {
+    let mut service = SimulatedService::new(agents, when_in_doubt);
+    (0..flows).for_each(|number| service.open_flow(number));
     service.run(10_000);
     service.take_usage()
 }
@@ -16,30 +16,37 @@
 #[case::admit_alone(1, WhenInDoubt::Admit, 50)]
 #[case::admit_of_six(6, WhenInDoubt::Admit, 50)]
 #[case::refuse_of_six(6, WhenInDoubt::Refuse, 50)]
-fn opened_runs_once(#[case] agents: usize, #[case] in_doubt: WhenInDoubt, #[case] flows: u64) {
-    assert_eq!(opened(agents, in_doubt, flows).admitted, flows);
+fn each_opening_is_admitted_once(
+    #[case] agents: usize,
+    #[case] when_in_doubt: WhenInDoubt,
+    #[case] flows: u64,
+) {
+    assert_eq!(usage_after_opening(agents, when_in_doubt, flows).admitted, flows);
 }
 
 #[rstest]
 #[case::admit(WhenInDoubt::Admit)]
 #[case::refuse(WhenInDoubt::Refuse)]
-fn opened_costs_the_same_twice(#[case] in_doubt: WhenInDoubt) {
+fn equal_runs_have_equal_cost(#[case] when_in_doubt: WhenInDoubt) {
     let counts = |usage: Usage| (usage.bytes, usage.messages, usage.peak_bytes);
-    assert_eq!(counts(opened(4, in_doubt, 20)), counts(opened(4, in_doubt, 20)));
+    assert_eq!(
+        counts(usage_after_opening(4, when_in_doubt, 20)),
+        counts(usage_after_opening(4, when_in_doubt, 20))
+    );
 }
 
 #[test]
-fn opened_refuse_asks_every_peer() {
+fn refuse_sends_a_claim_to_every_peer() {
     // A claim and its answer for each of five peers, counted at both ends.
-    let extra =
-        opened(6, WhenInDoubt::Refuse, 100).messages - opened(6, WhenInDoubt::Admit, 100).messages;
+    let extra = usage_after_opening(6, WhenInDoubt::Refuse, 100).messages
+        - usage_after_opening(6, WhenInDoubt::Admit, 100).messages;
     assert_eq!(extra, 100 * 5 * 2 * 2);
 }
 
 #[test]
-fn restart_finds_all_flows_again() {
-    let mut service = Service::new(3, WhenInDoubt::Admit);
-    (0..300).for_each(|number| service.open(number));
+fn restarted_agent_recovers_all_flows() {
+    let mut service = SimulatedService::new(3, WhenInDoubt::Admit);
+    (0..300).for_each(|number| service.open_flow(number));
     service.run(10_000);
     let before = service.agents()[0].open_flows();
     service.restart(0);
