--- a/crates/loadgen/benches/core.rs
+++ b/crates/loadgen/benches/core.rs
@@ -9,43 +9,43 @@
 use decision::time::Millis;
 use decision::view::{self, Endpoint, View};
 use divan::{Bencher, black_box};
-use loadgen::world::{TARGET, WorldSize, account_yaml, root_yaml};
+use loadgen::world::{DeploymentSize, TARGET_SIZE, account_yaml, root_yaml};
 use settings::ActiveSettings;
 
 /// Flow tables; the largest is the bound of the agent's.
-const FLOWS: [u64; 4] = [1_000, 10_000, 50_000, 131_072];
+const FLOW_COUNTS: [u64; 4] = [1_000, 10_000, 50_000, 131_072];
 /// Initial sequence number of every flow.
 const OPENING_NONCE: u32 = 7;
 /// Packets in one measured call.
-const PACKETS: u64 = 1_024;
+const PACKETS_PER_CALL: u64 = 1_024;
 
 fn main() {
     divan::main();
 }
 
-fn target() -> Arc<View> {
-    Arc::new(view::build(&TARGET.accounts()))
+fn target_view() -> Arc<View> {
+    Arc::new(view::build(&TARGET_SIZE.accounts()))
 }
 
-fn flow(number: u64) -> FlowId {
+fn flow_id(number: u64) -> FlowId {
     FlowId(number.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
 /// Finding the service and the home of 1,024 packets.
 #[divan::bench]
 fn lookup_and_route(bencher: Bencher) {
-    let router = Router::new(target(), vec![]);
-    let endpoints: Vec<Endpoint> = TARGET
+    let router = Router::new(target_view(), vec![]);
+    let endpoints: Vec<Endpoint> = TARGET_SIZE
         .accounts()
         .iter()
         .flat_map(|account| &account.services)
         .flat_map(|service| service.endpoints.clone())
         .collect();
-    bencher.counter(PACKETS).bench_local(|| {
-        for number in 0..PACKETS {
+    bencher.counter(PACKETS_PER_CALL).bench_local(|| {
+        for number in 0..PACKETS_PER_CALL {
             let endpoint = endpoints[number as usize * 31 % endpoints.len()];
             let service = router.service(black_box(endpoint));
-            black_box(service.and_then(|service| router.route(service, flow(number))));
+            black_box(service.and_then(|service| router.route(service, flow_id(number))));
         }
     });
 }
@@ -65,14 +65,14 @@
 /// The whole view of 1,900 services and 10,000 upstreams.
 #[divan::bench(sample_count = 20)]
 fn build_view(bencher: Bencher) {
-    let accounts = TARGET.accounts();
+    let accounts = TARGET_SIZE.accounts();
     bencher.bench_local(|| view::build(black_box(&accounts)));
 }
 
 /// One changed weight: its subtree parsed and checked, and the next view.
 #[divan::bench(sample_count = 20)]
 fn rebuild_after_change(bencher: Bencher) {
-    let mut accounts = TARGET.accounts();
+    let mut accounts = TARGET_SIZE.accounts();
     let mut active = ActiveSettings::default();
     active.accept_root(&root_yaml(accounts.len()));
     for account in &accounts {
@@ -88,39 +88,41 @@
 }
 
 /// 1,024 packets of known flows at an agent that holds so many.
-#[divan::bench(args = FLOWS)]
+#[divan::bench(args = FLOW_COUNTS)]
 fn find_flow(bencher: Bencher, flows: u64) {
-    let mut agent = holding(flows);
+    let mut agent = agent_with_flows(flows);
     let (mut out, mut next) = (Vec::new(), 0);
-    bencher.counter(PACKETS).bench_local(|| {
+    bencher.counter(PACKETS_PER_CALL).bench_local(|| {
         // The next call goes on with other flows, as the cache would not know them either.
-        for number in next..next + PACKETS {
-            let packet = packet(flow(number * 127 % flows), PacketKind::Middle);
-            black_box(agent.handle_packet(START, &packet, &mut out));
+        for number in next..next + PACKETS_PER_CALL {
+            let packet = packet(flow_id(number * 127 % flows), PacketKind::Middle);
+            black_box(agent.handle_packet(START_TIME, &packet, &mut out));
         }
-        next += PACKETS;
+        next += PACKETS_PER_CALL;
         out.clear();
     });
 }
 
 /// 1,024 openings at an agent that holds so many flows.
-#[divan::bench(args = FLOWS, sample_count = 20)]
+#[divan::bench(args = FLOW_COUNTS, sample_count = 20)]
 fn insert_flow(bencher: Bencher, flows: u64) {
-    let make = || (holding(flows - PACKETS.min(flows / 2)), Vec::new());
-    bencher.counter(PACKETS).with_inputs(make).bench_local_values(|(mut agent, mut out)| {
-        for number in flows..flows + PACKETS {
-            let packet = packet(flow(number), PacketKind::Opening { nonce: OPENING_NONCE });
-            black_box(agent.handle_packet(START, &packet, &mut out));
-        }
-        (agent, out)
-    });
+    let make = || (agent_with_flows(flows - PACKETS_PER_CALL.min(flows / 2)), Vec::new());
+    bencher.counter(PACKETS_PER_CALL).with_inputs(make).bench_local_values(
+        |(mut agent, mut out)| {
+            for number in flows..flows + PACKETS_PER_CALL {
+                let packet = packet(flow_id(number), PacketKind::Opening { nonce: OPENING_NONCE });
+                black_box(agent.handle_packet(START_TIME, &packet, &mut out));
+            }
+            (agent, out)
+        },
+    );
 }
 
-const START: Millis = Millis(1_000_000);
+const START_TIME: Millis = Millis(1_000_000);
 
 /// An agent alone in its service, so that it decides by itself.
-fn holding(flows: u64) -> Agent {
-    let mut accounts = WorldSize { accounts: 1, services: 1, upstreams: 1 }.accounts();
+fn agent_with_flows(flows: u64) -> Agent {
+    let mut accounts = DeploymentSize { accounts: 1, services: 1, upstreams: 1 }.accounts();
     let service = &mut accounts[0].services[0];
     service.upstreams[0].max_flows = u32::MAX;
     let (account, service) = (&accounts[0].name, &accounts[0].services[0]);
@@ -131,16 +133,16 @@
         may_have_prior_flows: false,
         seed: 1,
     };
-    let mut agent = Agent::new(config, Arc::new(view::build(&accounts)), START);
+    let mut agent = Agent::new(config, Arc::new(view::build(&accounts)), START_TIME);
     let mut out: Vec<Action> = Vec::new();
     for number in 0..flows {
         agent.handle_packet(
-            START,
-            &packet(flow(number), PacketKind::Opening { nonce: OPENING_NONCE }),
+            START_TIME,
+            &packet(flow_id(number), PacketKind::Opening { nonce: OPENING_NONCE }),
             &mut out,
         );
         // The caller goes on, or the upstream would soon count as sick.
-        agent.handle_packet(START, &packet(flow(number), PacketKind::Middle), &mut out);
+        agent.handle_packet(START_TIME, &packet(flow_id(number), PacketKind::Middle), &mut out);
         out.clear();
     }
     assert_eq!(agent.open_flows() as u64, flows);
--- a/crates/loadgen/src/control/fleet.rs
+++ b/crates/loadgen/src/control/fleet.rs
@@ -15,22 +15,22 @@
 /// Bytes of one HTTP exchange besides path and body: request and reply heads as the daemons send
 /// them, TCP and IP headers of a connection of its own (nine segments). An assumption on the high
 /// side: a connection that is kept open costs less.
-const HEADS_BYTES: u64 = 9 * 40 + 220;
+const HTTP_HEADERS_BYTES: u64 = 9 * 40 + 220;
 
-/// Bytes of one HTTP exchange besides its body: [`HEADS_BYTES`], the path with the proof of who
+/// Bytes of one HTTP exchange besides its body: [`HTTP_HEADERS_BYTES`], the path with the proof of who
 /// asks, and the proof of the answer.
-pub(crate) fn exchange_bytes() -> u64 {
-    let ring = AccountKeyring::new(&[(KeyId(1), [7; 32])]).expect("a keyring of one key");
+pub(crate) fn exchange_overhead_bytes() -> u64 {
+    let keyring = AccountKeyring::new(&[(KeyId(1), [7; 32])]).expect("a keyring of one key");
     let account = account_name(0).into();
     let question = Question { kind: Kind::Subtree, account, nonce: u64::MAX };
-    let path = question.signed_path(&ring).expect("the ring has a key");
-    let answer = question.seal_answer(&ring, &()).expect("nothing can be sealed");
+    let path = question.signed_path(&keyring).expect("the keyring has a key");
+    let answer = question.seal_answer(&keyring, &()).expect("nothing can be sealed");
     // One byte of the answer is the body that stands for nothing.
-    HEADS_BYTES + (path.len() + answer.len() - 1) as u64
+    HTTP_HEADERS_BYTES + (path.len() + answer.len() - 1) as u64
 }
 
 /// Bytes of a datagram besides its body: IP and UDP headers, GUE header, sealed private data.
-pub(crate) const DATAGRAM_BYTES: u64 = 28 + 4 + wire::sealed::SEALED_BYTES as u64;
+pub(crate) const DATAGRAM_OVERHEAD_BYTES: u64 = 28 + 4 + wire::sealed::SEALED_BYTES as u64;
 
 /// What went over the network, summed over all nodes.
 #[derive(Clone, Copy, Debug, Default)]
@@ -49,11 +49,11 @@
 pub struct Fleet {
     nodes: Vec<Spread>,
     ids: Vec<NodeId>,
-    queue: Vec<(usize, SpreadEvent)>,
+    pending_events: Vec<(usize, SpreadEvent)>,
     node_bytes: Vec<u64>,
     traffic: Traffic,
     delta_bytes: u64,
-    exchange_bytes: u64,
+    exchange_overhead_bytes: u64,
     message_overhead_bytes: u64,
     now: Millis,
 }
@@ -84,30 +84,30 @@
         delta_bytes: u64,
         tuning: Tuning,
     ) -> Self {
-        let list: Vec<Peer> = (0..count).map(|index| peer(index, zones)).collect();
+        let peers: Vec<Peer> = (0..count).map(|index| peer(index, zones)).collect();
         let start = Millis(0);
         let mut nodes: Vec<Spread> =
-            list.iter().map(|own| Spread::new(own.clone(), own.id.0, start)).collect();
+            peers.iter().map(|own| Spread::new(own.clone(), own.id.0, start)).collect();
         for node in &mut nodes {
             node.set_tuning(tuning);
-            node.handle(start, SpreadEvent::Peers(list.clone()), &mut Vec::new());
+            node.handle(start, SpreadEvent::Peers(peers.clone()), &mut Vec::new());
             for account in 1..=accounts {
-                node.handle(start, installed(account, 1), &mut Vec::new());
+                node.handle(start, installed_event(account, 1), &mut Vec::new());
             }
             node.handle(start, SpreadEvent::Confirmed { age_ms: 0 }, &mut Vec::new());
         }
-        let ids = list.iter().map(|peer| peer.id).collect();
+        let ids = peers.iter().map(|peer| peer.id).collect();
         let traffic = Traffic::default();
         let node_bytes = vec![0; count];
         let mut fleet = Self {
             nodes,
             ids,
-            queue: Vec::new(),
+            pending_events: Vec::new(),
             node_bytes,
             traffic,
             delta_bytes,
-            exchange_bytes: exchange_bytes(),
-            message_overhead_bytes: DATAGRAM_BYTES,
+            exchange_overhead_bytes: exchange_overhead_bytes(),
+            message_overhead_bytes: DATAGRAM_OVERHEAD_BYTES,
             now: start,
         };
         fleet.run(2_000);
@@ -117,14 +117,14 @@
 
     /// Counts messages as HTTP exchanges instead of datagrams, for comparison.
     pub fn use_http(&mut self) {
-        self.message_overhead_bytes = self.exchange_bytes;
+        self.message_overhead_bytes = self.exchange_overhead_bytes;
     }
 
     /// Lets time pass.
     pub fn run(&mut self, duration_ms: u64) {
         let end = self.now.after(duration_ms);
         while self.now < end {
-            self.round();
+            self.run_round();
         }
     }
 
@@ -132,7 +132,7 @@
     pub fn run_until(&mut self, limit_ms: u64, done: impl Fn(&Spread) -> bool) -> Option<u64> {
         let start = self.now;
         while self.now.since(start) < limit_ms {
-            self.round();
+            self.run_round();
             if self.nodes.iter().all(&done) {
                 return Some(self.now.since(start));
             }
@@ -142,12 +142,12 @@
 
     /// Hands an event to a node.
     pub fn inject(&mut self, node: usize, event: SpreadEvent) {
-        self.queue.push((node, event));
+        self.pending_events.push((node, event));
     }
 
     /// Puts a settings version in force on a node, as its watch of the service would.
     pub fn install(&mut self, node: usize, account: u64, version: u64) {
-        self.inject(node, installed(account, version));
+        self.inject(node, installed_event(account, version));
     }
 
     /// What went over the network since the start.
@@ -155,9 +155,9 @@
         self.traffic
     }
 
-    fn round(&mut self) {
+    fn run_round(&mut self) {
         self.now = self.now.after(ROUND_INTERVAL_MS);
-        for (node, event) in std::mem::take(&mut self.queue) {
+        for (node, event) in std::mem::take(&mut self.pending_events) {
             self.dispatch(node, event);
         }
         for node in 0..self.nodes.len() {
@@ -174,11 +174,11 @@
         let mut actions = Vec::new();
         self.nodes[node].handle(self.now, event, &mut actions);
         for action in actions {
-            self.perform(node, action);
+            self.perform_action(node, action);
         }
     }
 
-    fn perform(&mut self, node: usize, action: SpreadAction) {
+    fn perform_action(&mut self, node: usize, action: SpreadAction) {
         match action {
             SpreadAction::Send { to, message } => self.send(node, to, message),
             SpreadAction::FetchFromPeer { from, missing } => {
@@ -186,9 +186,13 @@
                 let entry_bytes = 26;
                 let exchanges = missing.len().div_ceil(SUBTREES_MAX) as u64;
                 let bodies = missing.len() as u64 * (self.delta_bytes + entry_bytes);
-                self.count(node, from.0 as usize, exchanges * self.exchange_bytes + bodies);
+                self.count_message(
+                    node,
+                    from.0 as usize,
+                    exchanges * self.exchange_overhead_bytes + bodies,
+                );
                 for MissingVersion { account, version } in missing {
-                    self.queue.push((node, SpreadEvent::Installed { account, version }));
+                    self.pending_events.push((node, SpreadEvent::Installed { account, version }));
                 }
             }
             SpreadAction::FetchFromService { .. } => self.traffic.service_reads += 1,
@@ -198,14 +202,14 @@
 
     fn send(&mut self, from: usize, to: NodeId, message: SpreadMessage) {
         let body = wire::spread::encode(&message);
-        self.count(from, to.0 as usize, body.len() as u64 + self.message_overhead_bytes);
+        self.count_message(from, to.0 as usize, body.len() as u64 + self.message_overhead_bytes);
         // The receiver decodes, so that processor time is measured with it.
         let message = wire::spread::decode(&body).expect("encoded by us");
         let event = SpreadEvent::Message { from: self.ids[from], message };
-        self.queue.push((to.0 as usize, event));
+        self.pending_events.push((to.0 as usize, event));
     }
 
-    fn count(&mut self, from: usize, to: usize, bytes: u64) {
+    fn count_message(&mut self, from: usize, to: usize, bytes: u64) {
         self.traffic.messages += 1;
         self.traffic.bytes += 2 * bytes;
         self.node_bytes[from] += bytes;
@@ -217,6 +221,6 @@
     Peer { id: NodeId(index as u64), zone: format!("zone-{}", index % zones).into() }
 }
 
-fn installed(account: u64, version: u64) -> SpreadEvent {
+fn installed_event(account: u64, version: u64) -> SpreadEvent {
     SpreadEvent::Installed { account: AccountId(account), version: Version(version) }
 }
--- a/crates/loadgen/src/control/mod.rs
+++ b/crates/loadgen/src/control/mod.rs
@@ -4,5 +4,5 @@
 mod fleet;
 pub mod spread;
 
-pub(crate) use fleet::exchange_bytes;
+pub(crate) use fleet::exchange_overhead_bytes;
 pub use fleet::{Fleet, Traffic};
--- a/crates/loadgen/src/control/spread.rs
+++ b/crates/loadgen/src/control/spread.rs
@@ -5,33 +5,35 @@
 
 use super::Fleet;
 use crate::cost::processor_time;
-use crate::cost::tree::usual_delta_bytes;
+use crate::cost::tree::typical_delta_bytes;
 use crate::results::{Results, Series};
 
 /// Balancers at which the slopes are taken; the last is the size in two years.
-const SIZES: [usize; 5] = [100, 200, 400, 800, 1_600];
+const BALANCER_COUNTS: [usize; 5] = [100, 200, 400, 800, 1_600];
 /// Availability zones in two years.
 const ZONES: usize = 17;
 /// Client accounts assumed for 1,900 addresses.
 const ACCOUNTS: u64 = 300;
 /// Time over which idle traffic is averaged.
-const IDLE_MS: u64 = 60_000;
+const IDLE_DURATION_MS: u64 = 60_000;
 /// Longest time that a storm is followed.
-const STORM_MS: u64 = 120_000;
+const STORM_TIMEOUT_MS: u64 = 120_000;
 
 /// Measures everything and returns the series.
 pub fn measure() -> Results {
     let mut series = vec![
-        over_sizes("idle_bytes", "B/s/node", idle_bytes),
-        over_sizes("idle_processor", "us/s/node", idle_processor_us),
-        over_sizes("idle_bytes_http", "B/s/node", idle_bytes_http),
-        over_sizes("change_bytes", "B/node/change", change_bytes),
-        over_sizes("change_ms", "ms until in force everywhere", |count| {
-            settings_storm(count, 1, Tuning::default()).ms
+        series_over_balancers("idle_bytes", "B/s/node", idle_bytes),
+        series_over_balancers("idle_processor", "us/s/node", idle_processor_us),
+        series_over_balancers("idle_bytes_http", "B/s/node", idle_bytes_http),
+        series_over_balancers("change_bytes", "B/node/change", change_bytes),
+        series_over_balancers("change_ms", "ms until in force everywhere", |count| {
+            settings_storm(count, 1, Tuning::default()).duration_ms
+        }),
+        storm_series("settings_storm_ms", "ms until in force everywhere", |storm| {
+            storm.duration_ms
         }),
-        storm_series("settings_storm_ms", "ms until in force everywhere", |storm| storm.ms),
         storm_series("settings_storm_peak", "B/s peak of a node", |storm| storm.peak_bytes),
-        zone_series("zone_loss_ms", "ms until known everywhere", |storm| storm.ms),
+        zone_series("zone_loss_ms", "ms until known everywhere", |storm| storm.duration_ms),
         zone_series("zone_loss_peak", "B/s peak of a node", |storm| storm.peak_bytes),
     ];
     series.extend(TUNINGS.iter().flat_map(|&tuning| tuning_series(tuning)));
@@ -59,7 +61,7 @@
         Series::new(&name, "changes at once (400 balancers)", y, &points)
     };
     [
-        pick("ms", "ms until in force everywhere", |storm| storm.ms),
+        pick("ms", "ms until in force everywhere", |storm| storm.duration_ms),
         pick("peak", "B/s peak of a node", |storm| storm.peak_bytes),
     ]
 }
@@ -67,14 +69,14 @@
 /// How a storm went.
 #[derive(Clone, Copy)]
 struct Storm {
-    ms: f64,
+    duration_ms: f64,
     peak_bytes: f64,
     bytes: f64,
 }
 
-fn over_sizes(name: &str, y: &str, measure: impl Fn(usize) -> f64) -> Series {
+fn series_over_balancers(name: &str, y: &str, measure: impl Fn(usize) -> f64) -> Series {
     let points: Vec<(f64, f64)> =
-        SIZES.iter().map(|&count| (count as f64, measure(count))).collect();
+        BALANCER_COUNTS.iter().map(|&count| (count as f64, measure(count))).collect();
     Series::new(name, "balancers", y, &points)
 }
 
@@ -95,58 +97,58 @@
 }
 
 fn idle_bytes(count: usize) -> f64 {
-    let mut fleet = Fleet::new(count, ZONES, ACCOUNTS, usual_delta_bytes());
-    fleet.run(IDLE_MS);
-    per_node_second(fleet.traffic().bytes, count, IDLE_MS)
+    let mut fleet = Fleet::new(count, ZONES, ACCOUNTS, typical_delta_bytes());
+    fleet.run(IDLE_DURATION_MS);
+    per_node_second(fleet.traffic().bytes, count, IDLE_DURATION_MS)
 }
 
 fn idle_processor_us(count: usize) -> f64 {
-    let mut fleet = Fleet::new(count, ZONES, ACCOUNTS, usual_delta_bytes());
+    let mut fleet = Fleet::new(count, ZONES, ACCOUNTS, typical_delta_bytes());
     let start = processor_time();
-    fleet.run(IDLE_MS);
+    fleet.run(IDLE_DURATION_MS);
     let used = processor_time() - start;
-    used.as_secs_f64() * 1e6 / count as f64 / (IDLE_MS as f64 / 1_000.0)
+    used.as_secs_f64() * 1e6 / count as f64 / (IDLE_DURATION_MS as f64 / 1_000.0)
 }
 
 fn idle_bytes_http(count: usize) -> f64 {
-    let mut fleet = Fleet::new(count, ZONES, ACCOUNTS, usual_delta_bytes());
+    let mut fleet = Fleet::new(count, ZONES, ACCOUNTS, typical_delta_bytes());
     fleet.use_http();
-    fleet.run(IDLE_MS);
-    per_node_second(fleet.traffic().bytes, count, IDLE_MS)
+    fleet.run(IDLE_DURATION_MS);
+    per_node_second(fleet.traffic().bytes, count, IDLE_DURATION_MS)
 }
 
 /// Bytes of one change on top of the idle traffic of the same time.
 fn change_bytes(count: usize) -> f64 {
     let storm = settings_storm(count, 1, Tuning::default());
-    storm.bytes / count as f64 - idle_bytes(count) * storm.ms / 1_000.0
+    storm.bytes / count as f64 - idle_bytes(count) * storm.duration_ms / 1_000.0
 }
 
 fn settings_storm(count: usize, changes: u64, tuning: Tuning) -> Storm {
-    let mut fleet = Fleet::with_tuning(count, ZONES, ACCOUNTS, usual_delta_bytes(), tuning);
+    let mut fleet = Fleet::with_tuning(count, ZONES, ACCOUNTS, typical_delta_bytes(), tuning);
     for account in 1..=changes {
         fleet.install(account as usize % count, account, 2);
     }
     let done = |node: &Spread| {
         (1..=changes).all(|account| node.version(AccountId(account)) == Some(Version(2)))
     };
-    finish(fleet, done)
+    run_storm(fleet, done)
 }
 
 fn zone_loss(count: usize, agents: u64) -> Storm {
-    let mut fleet = Fleet::new(count, ZONES, ACCOUNTS, usual_delta_bytes());
+    let mut fleet = Fleet::new(count, ZONES, ACCOUNTS, typical_delta_bytes());
     for agent in 0..agents {
         let member = Member { upstream: UpstreamId(agent), beat: 1, up: false };
         fleet.inject(agent as usize % count, SpreadEvent::Observed(member));
     }
-    finish(fleet, |node| node.down().len() as u64 == agents)
+    run_storm(fleet, |node| node.down().len() as u64 == agents)
 }
 
-fn finish(mut fleet: Fleet, done: impl Fn(&Spread) -> bool) -> Storm {
-    let ms = fleet.run_until(STORM_MS, done).unwrap_or(STORM_MS) as f64;
+fn run_storm(mut fleet: Fleet, done: impl Fn(&Spread) -> bool) -> Storm {
+    let duration_ms = fleet.run_until(STORM_TIMEOUT_MS, done).unwrap_or(STORM_TIMEOUT_MS) as f64;
     // A peak is taken over whole seconds, so the last one is run to its end.
     fleet.run(1_000);
     let traffic = fleet.traffic();
-    Storm { ms, peak_bytes: traffic.peak_node_bytes as f64, bytes: traffic.bytes as f64 }
+    Storm { duration_ms, peak_bytes: traffic.peak_node_bytes as f64, bytes: traffic.bytes as f64 }
 }
 
 fn per_node_second(bytes: u64, count: usize, duration_ms: u64) -> f64 {
--- a/crates/loadgen/src/cost/service.rs
+++ b/crates/loadgen/src/cost/service.rs
@@ -19,7 +19,7 @@
 use wire::sealed::{AccountKeyring, Header, KeyId, Payload, SEALED_BYTES, SenderId};
 
 use super::processor_time;
-use crate::world::WorldSize;
+use crate::world::DeploymentSize;
 
 /// IP and UDP headers of a datagram.
 const IP_UDP_BYTES: u64 = 20 + 8;
@@ -297,7 +297,7 @@
     count: usize,
     when_in_doubt: WhenInDoubt,
 ) -> (Arc<View>, ServiceId, Vec<UpstreamId>) {
-    let mut accounts = WorldSize { accounts: 1, services: 1, upstreams: count }.accounts();
+    let mut accounts = DeploymentSize { accounts: 1, services: 1, upstreams: count }.accounts();
     accounts[0].services[0].when_in_doubt = when_in_doubt;
     let (account, service) = (&accounts[0].name, &accounts[0].services[0]);
     let upstream_id = |name: &str| UpstreamId::of(account, &service.name, name);
--- a/crates/loadgen/src/cost/tree.rs
+++ b/crates/loadgen/src/cost/tree.rs
@@ -11,31 +11,31 @@
 use wire::sealed::{AccountKeyring, KeyId};
 
 use super::{list, processor_time, resident_bytes};
-use crate::control::exchange_bytes;
+use crate::control::exchange_overhead_bytes;
 use crate::results::{Results, Series};
-use crate::world::{WorldSize, account_name, account_yaml, root_yaml};
+use crate::world::{DeploymentSize, account_name, account_yaml, root_yaml};
 
 /// Quarters of the target: services at which slopes are taken.
-const SERVICES: [usize; 4] = [475, 950, 1_425, 1_900];
+const SERVICE_COUNTS: [usize; 4] = [475, 950, 1_425, 1_900];
 /// Services in one account's subtree.
-const ACCOUNT_SERVICES: [usize; 5] = [1, 6, 12, 25, 50];
+const SERVICES_PER_ACCOUNT: [usize; 5] = [1, 6, 12, 25, 50];
 /// Services of the target's mean account: 1,900 over 300.
-const MEAN_ACCOUNT_SERVICES: usize = 6;
+const MEAN_SERVICES_PER_ACCOUNT: usize = 6;
 /// Every time is the median of so many runs.
 const RUNS: usize = 5;
 
 /// Measures everything and returns the series.
 pub fn measure() -> Results {
-    let services = "services (and accounts and upstreams in proportion)";
+    let x = "services (and accounts and upstreams in proportion)";
     let mut series = vec![
-        over("view_build_ms", services, "ms of processor", &SERVICES, view_build_ms),
-        over("keys_derive_ms", services, "ms of processor", &SERVICES, keys_derive_ms),
-        over("start_ms", services, "ms of processor", &SERVICES, start_ms),
-        over("change_ms", services, "ms of processor a change", &SERVICES, change_ms),
-        over("tree_bytes", services, "B of YAML", &SERVICES, tree_bytes),
-        over("digest_bytes", services, "B a full digest", &SERVICES, digest_bytes),
+        series_over("view_build_ms", x, "ms of processor", &SERVICE_COUNTS, view_build_ms),
+        series_over("keys_derive_ms", x, "ms of processor", &SERVICE_COUNTS, keys_derive_ms),
+        series_over("start_ms", x, "ms of processor", &SERVICE_COUNTS, start_ms),
+        series_over("change_ms", x, "ms of processor a change", &SERVICE_COUNTS, change_ms),
+        series_over("tree_bytes", x, "B of YAML", &SERVICE_COUNTS, tree_bytes),
+        series_over("digest_bytes", x, "B a full digest", &SERVICE_COUNTS, digest_bytes),
     ];
-    let exchange = [(1.0, exchange_bytes() as f64)];
+    let exchange = [(1.0, exchange_overhead_bytes() as f64)];
     series.push(Series::new("exchange_bytes", "exchanges", "B besides the body", &exchange));
     series.extend(account_series());
     series.extend(list::series());
@@ -46,9 +46,9 @@
 ///
 /// Errors: the kernel does not say how much memory is in use.
 pub fn memory(services: u64) -> anyhow::Result<f64> {
-    let size = WorldSize::of_services(services as usize);
+    let size = DeploymentSize::with_services(services as usize);
     let before = resident_bytes()?;
-    let active = started(&texts(size));
+    let active = load_settings(&subtree_yamls(size));
     let view = active.view();
     let keys = derive_keys(size.accounts);
     let used = resident_bytes()? - before;
@@ -57,8 +57,8 @@
 }
 
 /// Body of one fetched change of a mean account: one weight in the middle of the subtree.
-pub(crate) fn usual_delta_bytes() -> u64 {
-    delta_bytes(MEAN_ACCOUNT_SERVICES, set_weight) as u64
+pub(crate) fn typical_delta_bytes() -> u64 {
+    delta_bytes(MEAN_SERVICES_PER_ACCOUNT, set_weight) as u64
 }
 
 /// Sizes of one account's text and of three usual changes.
@@ -66,17 +66,29 @@
     let x = "services of the account (6 upstreams each)";
     let delta = |edit: fn(&mut AccountSpec)| move |services: usize| delta_bytes(services, edit);
     [
-        over("subtree_bytes", x, "B of YAML", &ACCOUNT_SERVICES, |services| {
-            account_yaml(&account(services)).len() as f64
+        series_over("subtree_bytes", x, "B of YAML", &SERVICES_PER_ACCOUNT, |services| {
+            account_yaml(&account_spec(services)).len() as f64
         }),
-        over("delta_weight_bytes", x, "B of delta", &ACCOUNT_SERVICES, delta(set_weight)),
-        over("delta_add_bytes", x, "B of delta", &ACCOUNT_SERVICES, delta(add_upstream)),
-        over("delta_replace_bytes", x, "B of delta", &ACCOUNT_SERVICES, delta(replace_all)),
+        series_over(
+            "delta_weight_bytes",
+            x,
+            "B of delta",
+            &SERVICES_PER_ACCOUNT,
+            delta(set_weight),
+        ),
+        series_over("delta_add_bytes", x, "B of delta", &SERVICES_PER_ACCOUNT, delta(add_upstream)),
+        series_over(
+            "delta_replace_bytes",
+            x,
+            "B of delta",
+            &SERVICES_PER_ACCOUNT,
+            delta(set_all_weights),
+        ),
     ]
 }
 
 /// A series of one measurement over sizes.
-pub(super) fn over(
+pub(super) fn series_over(
     name: &str,
     x: &str,
     y: &str,
@@ -88,14 +100,14 @@
 }
 
 fn view_build_ms(services: usize) -> f64 {
-    let accounts = WorldSize::of_services(services).accounts();
+    let accounts = DeploymentSize::with_services(services).accounts();
     median_ms(|| {
         std::hint::black_box(view::build(&accounts));
     })
 }
 
 fn keys_derive_ms(services: usize) -> f64 {
-    let accounts = WorldSize::of_services(services).accounts;
+    let accounts = DeploymentSize::with_services(services).accounts;
     median_ms(|| {
         std::hint::black_box(derive_keys(accounts));
     })
@@ -109,16 +121,16 @@
 
 /// Parsing, checking and building everything, as at the start of a balancer.
 fn start_ms(services: usize) -> f64 {
-    let texts = texts(WorldSize::of_services(services));
+    let subtrees = subtree_yamls(DeploymentSize::with_services(services));
     median_ms(|| {
-        std::hint::black_box(started(&texts).view());
+        std::hint::black_box(load_settings(&subtrees).view());
     })
 }
 
 /// One changed weight: parsing and checking the subtree, and the new view.
 fn change_ms(services: usize) -> f64 {
-    let size = WorldSize::of_services(services);
-    let mut active = started(&texts(size));
+    let size = DeploymentSize::with_services(services);
+    let mut active = load_settings(&subtree_yamls(size));
     let mut spec = size.accounts().swap_remove(0);
     median_ms(|| {
         spec.version = Version(spec.version.0 + 1);
@@ -130,12 +142,12 @@
 }
 
 fn tree_bytes(services: usize) -> f64 {
-    let texts = texts(WorldSize::of_services(services));
-    texts.iter().map(|(_, yaml)| yaml.len()).sum::<usize>() as f64
+    let subtrees = subtree_yamls(DeploymentSize::with_services(services));
+    subtrees.iter().map(|(_, yaml)| yaml.len()).sum::<usize>() as f64
 }
 
 fn digest_bytes(services: usize) -> f64 {
-    let accounts = WorldSize::of_services(services).accounts;
+    let accounts = DeploymentSize::with_services(services).accounts;
     let entry = |account| DigestEntry { account: account_name(account).into(), version: 3_800 };
     let digest = Digest {
         current: true,
@@ -146,12 +158,12 @@
     encoded_bytes(&digest)
 }
 
-fn account(services: usize) -> AccountSpec {
-    WorldSize { accounts: 1, services, upstreams: services * 6 }.accounts().swap_remove(0)
+fn account_spec(services: usize) -> AccountSpec {
+    DeploymentSize { accounts: 1, services, upstreams: services * 6 }.accounts().swap_remove(0)
 }
 
 fn delta_bytes(services: usize, edit: fn(&mut AccountSpec)) -> f64 {
-    let old = account(services);
+    let old = account_spec(services);
     let mut new = old.clone();
     new.version = Version(2);
     edit(&mut new);
@@ -175,7 +187,7 @@
     upstreams.push(added);
 }
 
-fn replace_all(account: &mut AccountSpec) {
+fn set_all_weights(account: &mut AccountSpec) {
     for service in &mut account.services {
         service.upstreams.iter_mut().for_each(|upstream| upstream.weight = 90);
     }
@@ -186,14 +198,14 @@
     rmp_serde::to_vec(value).map_or(0, |bytes| bytes.len()) as f64
 }
 
-fn texts(size: WorldSize) -> Vec<(Arc<str>, String)> {
+fn subtree_yamls(size: DeploymentSize) -> Vec<(Arc<str>, String)> {
     size.accounts().iter().map(|spec| (spec.name.clone(), account_yaml(spec))).collect()
 }
 
-fn started(texts: &[(Arc<str>, String)]) -> ActiveSettings {
+fn load_settings(subtrees: &[(Arc<str>, String)]) -> ActiveSettings {
     let mut active = ActiveSettings::default();
-    active.accept_root(&root_yaml(texts.len()));
-    for (name, yaml) in texts {
+    active.accept_root(&root_yaml(subtrees.len()));
+    for (name, yaml) in subtrees {
         let outcome = active.accept_account(name, yaml);
         assert!(matches!(outcome, settings::Outcome::Accepted(_)), "{outcome:?}");
     }
--- a/crates/loadgen/src/world/mod.rs
+++ b/crates/loadgen/src/world/mod.rs
@@ -17,7 +17,7 @@
 
 /// How many of everything.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WorldSize {
+pub struct DeploymentSize {
     /// Client accounts; each owns a /24.
     pub accounts: usize,
     /// Services, one address each, dealt out to the accounts in turn.
@@ -27,24 +27,29 @@
 }
 
 /// The size in two years. Users speak of hundreds of accounts; 300 is assumed.
-pub const TARGET: WorldSize = WorldSize { accounts: 300, services: 1_900, upstreams: 10_000 };
+pub const TARGET_SIZE: DeploymentSize =
+    DeploymentSize { accounts: 300, services: 1_900, upstreams: 10_000 };
 
-impl WorldSize {
+impl DeploymentSize {
     /// The target with one number of services; accounts and upstreams shrink in proportion.
     ///
     /// ```
-    /// let quarter = loadgen::world::WorldSize::of_services(475);
+    /// let quarter = loadgen::world::DeploymentSize::with_services(475);
     /// assert_eq!((quarter.accounts, quarter.upstreams), (75, 2_500));
     /// ```
-    pub fn of_services(services: usize) -> Self {
-        let part = |whole: usize| (whole * services / TARGET.services).max(1);
-        Self { accounts: part(TARGET.accounts), services, upstreams: part(TARGET.upstreams) }
+    pub fn with_services(services: usize) -> Self {
+        let scaled = |whole: usize| (whole * services / TARGET_SIZE.services).max(1);
+        Self {
+            accounts: scaled(TARGET_SIZE.accounts),
+            services,
+            upstreams: scaled(TARGET_SIZE.upstreams),
+        }
     }
 
     /// All accounts, checked, at version 1.
     ///
     /// ```
-    /// let size = loadgen::world::WorldSize { accounts: 2, services: 4, upstreams: 10 };
+    /// let size = loadgen::world::DeploymentSize { accounts: 2, services: 4, upstreams: 10 };
     /// let accounts = size.accounts();
     /// assert_eq!(accounts.iter().map(|account| account.services.len()).sum::<usize>(), 4);
     /// ```
@@ -55,7 +60,7 @@
     /// The platform's list with the agent of each upstream.
     ///
     /// ```
-    /// let size = loadgen::world::WorldSize { accounts: 1, services: 2, upstreams: 4 };
+    /// let size = loadgen::world::DeploymentSize { accounts: 1, services: 2, upstreams: 4 };
     /// assert_eq!(size.instances_json().matches("agent-").count(), 4);
     /// ```
     pub fn instances_json(&self) -> String {
@@ -136,7 +141,7 @@
 /// An account's subtree as text.
 ///
 /// ```
-/// let size = loadgen::world::WorldSize { accounts: 1, services: 2, upstreams: 4 };
+/// let size = loadgen::world::DeploymentSize { accounts: 1, services: 2, upstreams: 4 };
 /// let yaml = loadgen::world::account_yaml(&size.accounts()[0]);
 /// let root = settings::root::parse(&loadgen::world::root_yaml(1)).unwrap();
 /// assert_eq!(settings::account::parse(&yaml, &root, "account-000").unwrap().services.len(), 2);
@@ -145,13 +150,13 @@
     let mut yaml =
         format!("account: {}\nversion: {}\nservices:\n", account.name, account.version.0);
     for service in &account.services {
-        push_service(&mut yaml, service);
+        write_service_yaml(&mut yaml, service);
     }
     yaml
 }
 
-fn push_service(yaml: &mut String, service: &ServiceSpec) {
-    let in_doubt = match service.when_in_doubt {
+fn write_service_yaml(yaml: &mut String, service: &ServiceSpec) {
+    let when_in_doubt = match service.when_in_doubt {
         WhenInDoubt::Admit => "admit",
         WhenInDoubt::Refuse => "refuse",
     };
@@ -159,18 +164,18 @@
         service.endpoints.iter().map(|it| format!("\"{}:{}/tcp\"", it.address, it.port)).collect();
     let _ = write!(
         yaml,
-        "  - name: {}\n    addresses: [{}]\n    when_in_doubt: {in_doubt}\n    \
+        "  - name: {}\n    addresses: [{}]\n    when_in_doubt: {when_in_doubt}\n    \
          zone_spill_percent: {}\n    upstreams:\n",
         service.name,
         endpoints.join(", "),
         service.zone_spill_percent,
     );
     for upstream in &service.upstreams {
-        push_upstream(yaml, upstream);
+        write_upstream_yaml(yaml, upstream);
     }
 }
 
-fn push_upstream(yaml: &mut String, upstream: &UpstreamSpec) {
+fn write_upstream_yaml(yaml: &mut String, upstream: &UpstreamSpec) {
     let _ = write!(
         yaml,
         "      - name: {}\n        zone: {}\n        weight: {}\n        max_flows: {}\n        \
@@ -189,7 +194,7 @@
 
 /// The upstream with this number, at addresses of its own in 127.64.0.0/10.
 fn upstream(index: usize) -> UpstreamSpec {
-    let machine = |port: u16| -> SocketAddr {
+    let socket_address = |port: u16| -> SocketAddr {
         let [high, low] = (index as u16).to_be_bytes();
         SocketAddr::from((Ipv4Addr::new(127, 64, high, low), port))
     };
@@ -198,9 +203,9 @@
         zone: format!("zone-{}", index % ZONES).into(),
         weight: 100,
         max_flows: 60_000,
-        agent_address: machine(6_080),
-        control_address: machine(9_080),
-        address: machine(6_081),
+        agent_address: socket_address(6_080),
+        control_address: socket_address(9_080),
+        address: socket_address(6_081),
         state: UpstreamState::Active,
         since: Version(1),
         retired: None,
--- a/xtask/src/bench/documents.rs
+++ b/xtask/src/bench/documents.rs
@@ -6,7 +6,7 @@
 use decision::view::{
     AccountSpec, Endpoint, ServiceSpec, Transport, UpstreamSpec, UpstreamState, WhenInDoubt,
 };
-use loadgen::world::{TARGET, root_yaml};
+use loadgen::world::{TARGET_SIZE, root_yaml};
 use wire::sealed::{KeyId, derive_account_key};
 
 pub(super) const MASTER: [u8; 32] = [0x5a; 32];
@@ -38,7 +38,7 @@
 
 /// The root of the target with one account more.
 pub(super) fn root() -> String {
-    root_yaml(TARGET.accounts) + "  - name: bench\n    prefixes: [\"10.200.0.0/24\"]\n"
+    root_yaml(TARGET_SIZE.accounts) + "  - name: bench\n    prefixes: [\"10.200.0.0/24\"]\n"
 }
 
 /// The agent's account.
--- a/xtask/src/bench/report.rs
+++ b/xtask/src/bench/report.rs
@@ -4,7 +4,7 @@
 
 use anyhow::ensure;
 use loadgen::results::{Results, Series};
-use loadgen::world::TARGET;
+use loadgen::world::TARGET_SIZE;
 
 use super::KINDS;
 use super::subject::{Kind, Reading, Subject};
@@ -102,7 +102,7 @@
     let mut push = |name: &str, x: &str, y: &str, point| {
         series.push(Series::new(name, x, y, &[point]));
     };
-    let (services, flows) = (TARGET.services as f64, FLOWS as f64);
+    let (services, flows) = (TARGET_SIZE.services as f64, FLOWS as f64);
     let (balancer, agent) = (idle.balancer, idle.agent);
     push("balancer_memory", "services", "B of VmRSS", (services, balancer.memory_bytes));
     push("balancer_idle_processor", "services", "us/s", (services, balancer.processor_us));
--- a/xtask/src/bench/world.rs
+++ b/xtask/src/bench/world.rs
@@ -8,7 +8,7 @@
 use decision::keys::AccountId;
 use decision::view::AccountSpec;
 use loadgen::traffic::{Flood, Opening, balancer_frames, bind_sink, flood, sealed_frames};
-use loadgen::world::{TARGET, account_yaml};
+use loadgen::world::{TARGET_SIZE, account_yaml};
 use wire::sealed::AccountKeyring;
 
 use super::documents::{self, AGENT, BALANCER, PLATFORM, RELAY, UPSTREAM_ADDRESS};
@@ -39,7 +39,7 @@
     pub(super) fn start(listening: &[SocketAddr]) -> anyhow::Result<Self> {
         let folder = PathBuf::from("target/bench");
         std::fs::create_dir_all(&folder)?;
-        let accounts = TARGET.accounts();
+        let accounts = TARGET_SIZE.accounts();
         let loaded = &accounts[..LOADED_ACCOUNTS];
         let agents: Vec<SocketAddr> = upstream_addresses(loaded);
         let unread = agents.iter().chain([&UPSTREAM_ADDRESS]).filter(|it| !listening.contains(it));
@@ -64,7 +64,7 @@
     for account in accounts.iter().chain([&documents::account()]) {
         put(&format!("/admin/accounts/{}", account.name), &account_yaml(account))?;
     }
-    put("/admin/instances", &TARGET.instances_json())?;
+    put("/admin/instances", &TARGET_SIZE.instances_json())?;
     Ok(platform)
 }
 
@@ -105,7 +105,7 @@
     let process = daemon(folder, "balancer", &documents::balancer())?;
     let control = documents::control_of(BALANCER);
     let subject = Subject { kind: Kind::Balancer, process, data: BALANCER, control, frames };
-    let accounts = TARGET.accounts + 1;
+    let accounts = TARGET_SIZE.accounts + 1;
     subject.wait(|status| status["settings"].as_array().map(Vec::len) == Some(accounts))?;
     Ok(subject)
 }
