--- a/crates/loadgen/benches/core.rs
+++ b/crates/loadgen/benches/core.rs
@@ -1,4 +1,4 @@
-//! Micro-benchmarks of the decision core at target size: `cargo bench -p loadgen`.
+//! Micro-benchmarks of the decision core at target size. Run with `cargo bench -p loadgen`.
 
 use std::sync::Arc;
 
@@ -12,11 +12,11 @@
 use loadgen::world::{DeploymentSize, TARGET_SIZE, account_yaml, root_yaml};
 use settings::ActiveSettings;
 
-/// Flow tables; the largest is the bound of the agent's.
+/// Numbers of flows in the agent's table; the largest is the capacity of the table.
 const FLOW_COUNTS: [u64; 4] = [1_000, 10_000, 50_000, 131_072];
 /// Initial sequence number of every flow.
 const OPENING_NONCE: u32 = 7;
-/// Packets in one measured call.
+/// Packets processed in one measured call.
 const PACKETS_PER_CALL: u64 = 1_024;
 
 fn main() {
@@ -31,7 +31,7 @@
     FlowId(number.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// Finding the service and the home of 1,024 packets.
+/// Looks up the service and the home of 1,024 packets.
 #[divan::bench]
 fn lookup_and_route(bencher: Bencher) {
     let router = Router::new(target_view(), vec![]);
@@ -50,7 +50,7 @@
     });
 }
 
-/// Ranking of all 64 buckets of one service.
+/// Ranks the upstreams of one service for all 64 buckets.
 #[divan::bench(args = [6, 64])]
 fn rank_service(bencher: Bencher, upstreams: u64) {
     let candidates: Vec<(UpstreamId, u32)> =
@@ -62,14 +62,14 @@
     });
 }
 
-/// The whole view of 1,900 services and 10,000 upstreams.
+/// Builds the view of 1,900 services and 10,000 upstreams.
 #[divan::bench(sample_count = 20)]
 fn build_view(bencher: Bencher) {
     let accounts = TARGET_SIZE.accounts();
     bencher.bench_local(|| view::build(black_box(&accounts)));
 }
 
-/// One changed weight: its subtree parsed and checked, and the next view.
+/// Applies one changed weight: parses and validates the subtree and builds the next view.
 #[divan::bench(sample_count = 20)]
 fn rebuild_after_change(bencher: Bencher) {
     let mut accounts = TARGET_SIZE.accounts();
@@ -87,13 +87,14 @@
     });
 }
 
-/// 1,024 packets of known flows at an agent that holds so many.
+/// Handles 1,024 packets of known flows at an agent that holds `flows` flows.
 #[divan::bench(args = FLOW_COUNTS)]
 fn find_flow(bencher: Bencher, flows: u64) {
     let mut agent = agent_with_flows(flows);
     let (mut out, mut next) = (Vec::new(), 0);
     bencher.counter(PACKETS_PER_CALL).bench_local(|| {
-        // The next call goes on with other flows, as the cache would not know them either.
+        // Each call continues with other flows, so that their entries are not already in the
+        // processor's cache; packets of real traffic rarely find them there.
         for number in next..next + PACKETS_PER_CALL {
             let packet = packet(flow_id(number * 127 % flows), PacketKind::Middle);
             black_box(agent.handle_packet(START_TIME, &packet, &mut out));
@@ -103,7 +104,7 @@
     });
 }
 
-/// 1,024 openings at an agent that holds so many flows.
+/// Handles 1,024 openings at an agent that already holds up to `flows` flows.
 #[divan::bench(args = FLOW_COUNTS, sample_count = 20)]
 fn insert_flow(bencher: Bencher, flows: u64) {
     let make = || (agent_with_flows(flows - PACKETS_PER_CALL.min(flows / 2)), Vec::new());
@@ -120,7 +121,8 @@
 
 const START_TIME: Millis = Millis(1_000_000);
 
-/// An agent alone in its service, so that it decides by itself.
+/// Returns an agent that holds `flows` flows. It is the only agent of its service, so that it
+/// decides without asking peers.
 fn agent_with_flows(flows: u64) -> Agent {
     let mut accounts = DeploymentSize { accounts: 1, services: 1, upstreams: 1 }.accounts();
     let service = &mut accounts[0].services[0];
@@ -141,7 +143,8 @@
             &packet(flow_id(number), PacketKind::Opening { nonce: OPENING_NONCE }),
             &mut out,
         );
-        // The caller goes on, or the upstream would soon count as sick.
+        // The client sends another packet; otherwise the agent would soon regard the upstream as
+        // unhealthy.
         agent.handle_packet(START_TIME, &packet(flow_id(number), PacketKind::Middle), &mut out);
         out.clear();
     }
--- a/crates/loadgen/src/control/fleet.rs
+++ b/crates/loadgen/src/control/fleet.rs
@@ -1,4 +1,5 @@
-//! Many spreading nodes in one process. Messages arrive in the next round; time is a number.
+//! Simulates many gossiping nodes in one process. Messages arrive in the next round, and time is
+//! simulated.
 
 use decision::keys::{AccountId, Version};
 use decision::spread::{
@@ -12,30 +13,32 @@
 
 use crate::world::account_name;
 
-/// Bytes of one HTTP exchange besides path and body: request and reply heads as the daemons send
-/// them, TCP and IP headers of a connection of its own (nine segments). An assumption on the high
-/// side: a connection that is kept open costs less.
+/// Bytes of one HTTP exchange besides path and body: request and response headers as the daemons
+/// send them, and the TCP and IP headers of a separate connection (nine segments). This is an upper
+/// estimate: a connection that is kept open costs less.
 const HTTP_HEADERS_BYTES: u64 = 9 * 40 + 220;
 
-/// Bytes of one HTTP exchange besides its body: [`HTTP_HEADERS_BYTES`], the path with the proof of who
-/// asks, and the proof of the answer.
+/// Bytes of one HTTP exchange besides its body: [`HTTP_HEADERS_BYTES`], the path with the signature
+/// that authenticates the request, and the seal that authenticates the answer.
 pub(crate) fn exchange_overhead_bytes() -> u64 {
-    let keyring = AccountKeyring::new(&[(KeyId(1), [7; 32])]).expect("a keyring of one key");
+    let keyring =
+        AccountKeyring::new(&[(KeyId(1), [7; 32])]).expect("a keyring can be created from one key");
     let account = account_name(0).into();
     let question = Question { kind: Kind::Subtree, account, nonce: u64::MAX };
-    let path = question.signed_path(&keyring).expect("the keyring has a key");
-    let answer = question.seal_answer(&keyring, &()).expect("nothing can be sealed");
-    // One byte of the answer is the body that stands for nothing.
+    let path = question.signed_path(&keyring).expect("a keyring with a key can sign a path");
+    let answer = question.seal_answer(&keyring, &()).expect("an empty answer can be sealed");
+    // The unit value of the body is encoded as one byte, which is not overhead.
     HTTP_HEADERS_BYTES + (path.len() + answer.len() - 1) as u64
 }
 
-/// Bytes of a datagram besides its body: IP and UDP headers, GUE header, sealed private data.
+/// Bytes of a datagram besides its body: IP and UDP headers (28), GUE header (4) and the sealed
+/// private data.
 pub(crate) const DATAGRAM_OVERHEAD_BYTES: u64 = 28 + 4 + wire::sealed::SEALED_BYTES as u64;
 
-/// What went over the network, summed over all nodes.
+/// Network traffic, summed over all nodes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Messages and fetches.
+    /// Number of gossip messages and of fetches from peers.
     pub messages: u64,
     /// Bytes, counted once for the sender and once for the receiver.
     pub bytes: u64,
@@ -45,7 +48,7 @@
     pub service_reads: u64,
 }
 
-/// The nodes and the messages under way.
+/// A fleet of simulated nodes and the messages in transit between them.
 pub struct Fleet {
     nodes: Vec<Spread>,
     ids: Vec<NodeId>,
@@ -59,8 +62,8 @@
 }
 
 impl Fleet {
-    /// `count` nodes over `zones` availability zones that all hold `accounts` accounts at version 1;
-    /// fetching a change costs `delta_bytes` of body.
+    /// Creates `count` nodes in `zones` availability zones. Each holds `accounts` accounts at
+    /// version 1. The body of a fetched change has `delta_bytes` bytes.
     ///
     /// ```
     /// let fleet = loadgen::control::Fleet::new(10, 2, 5, 200);
@@ -70,7 +73,7 @@
         Self::with_tuning(count, zones, accounts, delta_bytes, Tuning::default())
     }
 
-    /// Like [`Fleet::new`], with another tuning.
+    /// Like [`Fleet::new`], with other gossip parameters.
     ///
     /// ```
     /// use decision::spread::Tuning;
@@ -120,7 +123,7 @@
         self.message_overhead_bytes = self.exchange_overhead_bytes;
     }
 
-    /// Lets time pass.
+    /// Advances simulated time by `duration_ms`.
     pub fn run(&mut self, duration_ms: u64) {
         let end = self.now.after(duration_ms);
         while self.now < end {
@@ -128,7 +131,8 @@
         }
     }
 
-    /// Runs until `done` holds for all nodes, at most `limit_ms`; the time it took.
+    /// Advances simulated time until `done` holds for all nodes and returns the elapsed
+    /// milliseconds, or `None` if that takes longer than `limit_ms`.
     pub fn run_until(&mut self, limit_ms: u64, done: impl Fn(&Spread) -> bool) -> Option<u64> {
         let start = self.now;
         while self.now.since(start) < limit_ms {
@@ -140,17 +144,18 @@
         None
     }
 
-    /// Hands an event to a node.
+    /// Queues an event for a node; it is handled in the next round.
     pub fn inject(&mut self, node: usize, event: SpreadEvent) {
         self.pending_events.push((node, event));
     }
 
-    /// Puts a settings version in force on a node, as its watch of the service would.
+    /// Makes a settings version active on a node, as if the node had received it from the
+    /// configuration service.
     pub fn install(&mut self, node: usize, account: u64, version: u64) {
         self.inject(node, installed_event(account, version));
     }
 
-    /// What went over the network since the start.
+    /// Network traffic since the fleet was created and settled.
     pub fn traffic(&self) -> Traffic {
         self.traffic
     }
@@ -182,7 +187,7 @@
         match action {
             SpreadAction::Send { to, message } => self.send(node, to, message),
             SpreadAction::FetchFromPeer { from, missing } => {
-                // A list entry is a name of 20 bytes, a version and two separators.
+                // A list entry consists of a name of 20 bytes, a version and two separators.
                 let entry_bytes = 26;
                 let exchanges = missing.len().div_ceil(SUBTREES_MAX) as u64;
                 let bodies = missing.len() as u64 * (self.delta_bytes + entry_bytes);
@@ -203,8 +208,9 @@
     fn send(&mut self, from: usize, to: NodeId, message: SpreadMessage) {
         let body = wire::spread::encode(&message);
         self.count_message(from, to.0 as usize, body.len() as u64 + self.message_overhead_bytes);
-        // The receiver decodes, so that processor time is measured with it.
-        let message = wire::spread::decode(&body).expect("encoded by us");
+        // The receiver's decoding is part of the measured processor time.
+        let message =
+            wire::spread::decode(&body).expect("a message encoded by `encode` can be decoded");
         let event = SpreadEvent::Message { from: self.ids[from], message };
         self.pending_events.push((to.0 as usize, event));
     }
--- a/crates/loadgen/src/control/mod.rs
+++ b/crates/loadgen/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! Cost of control: bytes, messages, processor time and memory of the core's own code, driven with
-//! many instances in one process and measured with the real encoding of every message.
+//! Cost of gossip among balancers: bytes, messages and processor time. The decision core of many
+//! simulated balancers runs in one process, and every message has its real encoding.
 
 mod fleet;
 pub mod spread;
--- a/crates/loadgen/src/control/spread.rs
+++ b/crates/loadgen/src/control/spread.rs
@@ -1,4 +1,4 @@
-//! Slopes and storms of spreading among the balancers.
+//! Measures the cost of gossip among balancers, by fleet size and in storms of changes.
 
 use decision::keys::{AccountId, UpstreamId, Version};
 use decision::spread::{Member, Spread, SpreadEvent, Tuning};
@@ -8,18 +8,18 @@
 use crate::cost::tree::typical_delta_bytes;
 use crate::results::{Results, Series};
 
-/// Balancers at which the slopes are taken; the last is the size in two years.
+/// Fleet sizes at which cost is measured; the last is the size expected in two years.
 const BALANCER_COUNTS: [usize; 5] = [100, 200, 400, 800, 1_600];
-/// Availability zones in two years.
+/// Availability zones expected in two years.
 const ZONES: usize = 17;
-/// Client accounts assumed for 1,900 addresses.
+/// Client accounts; 300 are assumed for 1,900 service addresses.
 const ACCOUNTS: u64 = 300;
-/// Time over which idle traffic is averaged.
+/// Time over which the cost of an idle fleet is averaged.
 const IDLE_DURATION_MS: u64 = 60_000;
-/// Longest time that a storm is followed.
+/// Limit for the duration of a storm; a longer one is reported with this duration.
 const STORM_TIMEOUT_MS: u64 = 120_000;
 
-/// Measures everything and returns the series.
+/// Runs all measurements and returns their series.
 pub fn measure() -> Results {
     let mut series = vec![
         series_over_balancers("idle_bytes", "B/s/node", idle_bytes),
@@ -40,7 +40,7 @@
     Results { command: "gooseberrysill-load control".into(), series }
 }
 
-/// Ways to pass on rumours that were compared.
+/// Gossip parameters to compare.
 const TUNINGS: [Tuning; 5] = [
     Tuning { fanout: 2, rounds: 1 },
     Tuning { fanout: 3, rounds: 1 },
@@ -49,7 +49,7 @@
     Tuning { fanout: 3, rounds: 2 },
 ];
 
-/// Time and peak of storms of settings changes under one tuning.
+/// Duration and peak rate of storms of settings changes under one tuning.
 fn tuning_series(tuning: Tuning) -> [Series; 2] {
     let storms: Vec<(f64, Storm)> = [1, 50, 200]
         .iter()
@@ -66,7 +66,7 @@
     ]
 }
 
-/// How a storm went.
+/// Measured duration and traffic of a storm: many changes at the same time.
 #[derive(Clone, Copy)]
 struct Storm {
     duration_ms: f64,
@@ -117,7 +117,7 @@
     per_node_second(fleet.traffic().bytes, count, IDLE_DURATION_MS)
 }
 
-/// Bytes of one change on top of the idle traffic of the same time.
+/// Bytes per node for one change, without the idle traffic of the same period.
 fn change_bytes(count: usize) -> f64 {
     let storm = settings_storm(count, 1, Tuning::default());
     storm.bytes / count as f64 - idle_bytes(count) * storm.duration_ms / 1_000.0
@@ -145,7 +145,7 @@
 
 fn run_storm(mut fleet: Fleet, done: impl Fn(&Spread) -> bool) -> Storm {
     let duration_ms = fleet.run_until(STORM_TIMEOUT_MS, done).unwrap_or(STORM_TIMEOUT_MS) as f64;
-    // A peak is taken over whole seconds, so the last one is run to its end.
+    // Peaks are evaluated at the end of each whole second: run to the end of the last one.
     fleet.run(1_000);
     let traffic = fleet.traffic();
     Storm { duration_ms, peak_bytes: traffic.peak_node_bytes as f64, bytes: traffic.bytes as f64 }
--- a/crates/loadgen/src/cost/agent.rs
+++ b/crates/loadgen/src/cost/agent.rs
@@ -1,27 +1,28 @@
-//! Slopes and storms of the agents of one service.
+//! Measures the cost of the agents of one service, by load and in storms after failures.
 
 use decision::view::WhenInDoubt;
 
 use super::{SimulatedService, Usage, resident_bytes};
 use crate::results::{Results, Series};
 
-/// Agents of a service at which slopes are taken. The target's mean is 5.3.
+/// Numbers of agents per service at which cost is measured. The mean at target size is 5.3.
 const SERVICE_SIZES: [usize; 6] = [2, 4, 8, 16, 32, 64];
-/// Agents of a service where something else is varied: the target's mean, rounded up.
+/// Agents per service where another quantity is varied: the mean at target size, rounded up.
 const MEAN_SERVICE_AGENTS: usize = 6;
-/// Open flows an agent at which slopes are taken. 3,700 is the target's mean, 50,000 the most.
+/// Open flows per agent at which cost is measured. At target size the mean is 3,700 and the maximum
+/// 50,000.
 const FLOWS: [u64; 5] = [1_000, 3_700, 10_000, 25_000, 50_000];
-/// New flows a second an agent at which slopes are taken. The target's mean is 12.
+/// New flows per second and agent at which cost is measured. The mean at target size is 12.
 const RATES: [u64; 5] = [4, 12, 24, 48, 96];
-/// Life of a flow where the rate is varied.
+/// Lifetime of a flow where the rate of new flows is varied.
 const FLOW_LIFETIME_MS: u64 = 5_000;
 const IDLE_DURATION_MS: u64 = 30_000;
-/// All open flows are announced again once in this time.
+/// Interval within which all open flows are announced again once.
 const REANNOUNCE_INTERVAL_MS: u64 = 600_000;
-/// Longest time that a storm is followed.
+/// Limit for the duration of a storm; a longer one is reported with this duration.
 const STORM_TIMEOUT_MS: u64 = 120_000;
 
-/// Measures everything and returns the series.
+/// Runs all measurements and returns their series.
 pub fn measure() -> Results {
     let mut series = Vec::new();
     let idle = measure_points(&SERVICE_SIZES.map(|count| count as u64), |count| {
@@ -53,11 +54,13 @@
     Results { command: "gooseberrysill-load agent".into(), series }
 }
 
-/// Memory of one agent by its open flows, redirects of its peers' flows included.
+/// Memory in bytes of one agent that holds `flows` open flows, including its redirects for flows of
+/// peers.
 ///
-/// Each size must be measured by a process of its own: an allocator rarely gives memory back.
+/// Each size must be measured in a separate process, because an allocator rarely returns memory to
+/// the kernel.
 ///
-/// Errors: the kernel does not say how much memory is in use.
+/// Errors: the kernel does not report the memory in use, or not all flows are open.
 pub fn memory(flows: u64) -> anyhow::Result<f64> {
     let before = resident_bytes()?;
     let service = service_with_flows(MEAN_SERVICE_AGENTS, flows);
@@ -65,12 +68,12 @@
     let open: usize = service.agents().iter().map(decision::agent::Agent::open_flows).sum();
     anyhow::ensure!(
         open as u64 >= flows * MEAN_SERVICE_AGENTS as u64,
-        "{open} flows were admitted"
+        "only {open} flows are open"
     );
     Ok(used as f64 / MEAN_SERVICE_AGENTS as f64)
 }
 
-/// What one agent uses, or how a storm went.
+/// Measured usage of one agent, or the measured course of a storm.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     bytes: f64,
@@ -124,7 +127,7 @@
     service.take_usage()
 }
 
-/// A service whose agents hold `flows` each on average, all announced.
+/// Returns a service whose agents hold `flows` flows each on average, all of them announced.
 fn service_with_flows(count: usize, flows: u64) -> SimulatedService {
     let mut service = SimulatedService::new(count, WhenInDoubt::Admit);
     let batch = 200 * count as u64;
@@ -161,7 +164,7 @@
     per_agent(service.take_usage(), MEAN_SERVICE_AGENTS as u64, 80 * step_ms)
 }
 
-/// One agent restarts; calm once it holds what it held before.
+/// One agent restarts. The storm ends once the agent holds as many flows as before.
 fn restart_storm(service: &mut SimulatedService) -> Sample {
     let before = service.agents()[0].open_flows();
     service.restart(0);
@@ -170,8 +173,8 @@
     storm_sample(service, recovery_ms)
 }
 
-/// A third of the agents (one zone of three) is lost for ten seconds and comes back with a new life
-/// that knows nothing. Calm once each holds what it held before.
+/// A third of the agents (one zone of three) is cut off for ten seconds and then restarts without
+/// state, as a new incarnation. The storm ends once each holds as many flows as before.
 fn zone_outage_storm(flows: u64) -> Sample {
     let mut service = service_with_flows(MEAN_SERVICE_AGENTS, flows);
     let before: Vec<usize> = (0..2).map(|index| service.agents()[index].open_flows()).collect();
@@ -188,14 +191,15 @@
     storm_sample(&mut service, recovery_ms)
 }
 
-/// Ten agents, one of which is replaced in the minute: 10 %. The peak is taken over all of them.
+/// One of ten agents is replaced within a minute, which is 10 %. The peak is the largest of all
+/// ten.
 fn replacement_storm(flows: u64) -> Sample {
     let mut service = service_with_flows(10, flows);
     restart_storm(&mut service)
 }
 
 fn storm_sample(service: &mut SimulatedService, recovery_ms: u64) -> Sample {
-    // A peak is taken over whole seconds, so the last one is run to its end.
+    // Peaks are taken over a full second: run to the end of the last one.
     service.run(1_000);
     let usage = service.take_usage();
     Sample { recovery_ms: recovery_ms as f64, ..per_agent(usage, 1, recovery_ms.max(1)) }
--- a/crates/loadgen/src/cost/list.rs
+++ b/crates/loadgen/src/cost/list.rs
@@ -1,4 +1,4 @@
-//! Cost of the platform's list of instances for each of its readers.
+//! Cost of the platform's list of instances for each process that reads it.
 
 use balancer::liveness::Liveness;
 use decision::view;
@@ -8,10 +8,12 @@
 use crate::results::Series;
 use crate::world::DeploymentSize;
 
-/// Services at which slopes are taken; the list has an entry for each of their upstreams.
+/// Numbers of services at which cost is measured; the list has an entry for each of their
+/// upstreams.
 const SERVICE_COUNTS: [usize; 4] = [475, 950, 1_425, 1_900];
 
-/// Bytes and time of the list, and of what a balancer works out from it.
+/// Size of the list, time to parse it, and time in which a balancer derives from it which agents
+/// are down.
 pub(super) fn series() -> [Series; 4] {
     let x = "services (5.3 entries each)";
     let lost = "agents missing in the list (1,900 services)";
@@ -36,7 +38,8 @@
     })
 }
 
-/// One look at an unchanged list from which `lost` agents have gone.
+/// Time of one evaluation of a list that lacks `lost` agents and has not changed since the previous
+/// evaluation.
 fn liveness_ms(services: usize, lost: usize) -> f64 {
     let size = DeploymentSize::with_services(services);
     let view = view::build(&size.accounts());
@@ -51,7 +54,7 @@
 }
 
 fn parse(json: &str) -> InstanceList {
-    serde_json::from_str(json).expect("the list is as the platform documents it")
+    serde_json::from_str(json).expect("the generated list has the documented format")
 }
 
 fn list_json(services: usize) -> String {
--- a/crates/loadgen/src/cost/mod.rs
+++ b/crates/loadgen/src/cost/mod.rs
@@ -1,4 +1,5 @@
-//! Cost of control and settings: bytes, messages, processor time and memory, by the core's own code.
+//! Cost of the agents and of the settings: bytes, messages, processor time and memory, measured
+//! with the product's own code.
 
 pub mod agent;
 mod list;
--- a/crates/loadgen/src/cost/service.rs
+++ b/crates/loadgen/src/cost/service.rs
@@ -1,5 +1,5 @@
-//! All agents of one service in one process. Every message is encoded, sealed, opened and decoded
-//! as on the wire; time is a number.
+//! Simulates all agents of one service in one process. Every message is encoded, sealed, opened and
+//! decoded as on the wire, and time is simulated.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -21,35 +21,34 @@
 use super::processor_time;
 use crate::world::DeploymentSize;
 
-/// IP and UDP headers of a datagram.
+/// Bytes of the IP and UDP headers of a datagram.
 const IP_UDP_BYTES: u64 = 20 + 8;
-/// One-way delay of a message, a zone's distance in the users' sizes of today.
+/// One-way network delay of a message: the delay between availability zones in today's deployments.
 const ONE_WAY_DELAY_MS: u64 = 1;
-/// After this time a caller goes on after its opening.
+/// Time from the opening of a flow to the client's next packet.
 const FOLLOW_UP_DELAY_MS: u64 = 100;
-/// Ticks in a second.
 const TICKS_PER_SECOND: usize = 1_000 / MAX_TICK_INTERVAL_MS as usize;
-/// Time after which nobody doubts anything any more.
+/// Time after which the state of every agent is complete and no agent may hold unknown flows.
 const SETTLE_MS: u64 = 12_000;
 /// Initial sequence number of every flow.
 const OPENING_NONCE: u32 = 7;
 
-/// What all agents of a service did in a span of time.
+/// Resources that all agents of a service used in a period.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// Bytes, counted once for the sender and once for the receiver.
     pub bytes: u64,
-    /// Messages, counted in the same way.
+    /// Messages, counted in the same way as the bytes.
     pub messages: u64,
     /// Largest number of bytes that one agent sent and received in one second.
     pub peak_bytes: u64,
     /// Processor time of all agents.
     pub processor: Duration,
-    /// Openings that were handed to an upstream.
+    /// Openings that were delivered to an upstream.
     pub admitted: u64,
 }
 
-/// The agents of one service.
+/// Simulation of the agents of one service.
 pub struct SimulatedService {
     now: Millis,
     view: Arc<View>,
@@ -60,7 +59,7 @@
     partitioned: Vec<bool>,
     queue: Vec<(usize, usize, Vec<u8>)>,
     held: Vec<(usize, HoldKey, Packet)>,
-    /// Openings whose callers go on at a time, oldest first.
+    /// Open flows whose client sends its next packet at the given time, earliest first.
     follow_ups: VecDeque<(Millis, FlowId)>,
     /// Bytes of each agent in each tick of the last second.
     recent_bytes: Vec<[u64; TICKS_PER_SECOND]>,
@@ -70,7 +69,7 @@
 }
 
 impl SimulatedService {
-    /// `count` agents that have met and doubt nothing.
+    /// Creates `count` agents and runs them until they know each other and their state is complete.
     ///
     /// ```
     /// use decision::view::WhenInDoubt;
@@ -88,8 +87,7 @@
             now,
             view,
             id,
-            // One key is given, so there is a keyring.
-            keyring: AccountKeyring::new(&key).expect("a keyring of one key"),
+            keyring: AccountKeyring::new(&key).expect("a keyring can be created from one key"),
             agents,
             ids,
             partitioned: vec![false; count],
@@ -106,12 +104,12 @@
         service
     }
 
-    /// Agents of the service.
+    /// The agents of the service.
     pub fn agents(&self) -> &[Agent] {
         &self.agents
     }
 
-    /// What was used since the last call.
+    /// Returns the usage since the previous call and resets it.
     pub fn take_usage(&mut self) -> Usage {
         let now = processor_time();
         let mut usage = std::mem::take(&mut self.usage);
@@ -120,7 +118,7 @@
         usage
     }
 
-    /// Lets time pass.
+    /// Advances simulated time by `duration_ms`.
     pub fn run(&mut self, duration_ms: u64) {
         let end = self.now.after(duration_ms);
         while self.now < end {
@@ -128,7 +126,8 @@
         }
     }
 
-    /// Lets time pass until `done` holds, at most `limit_ms`; how long it took.
+    /// Advances simulated time until `done` holds or `limit_ms` have passed. Returns the elapsed
+    /// milliseconds.
     pub fn run_until(&mut self, limit_ms: u64, done: impl Fn(&Self) -> bool) -> u64 {
         let start = self.now;
         while self.now.since(start) < limit_ms && !done(self) {
@@ -137,7 +136,8 @@
         self.now.since(start)
     }
 
-    /// Opens a flow at its home, and lets its caller go on. Flows are told apart by `number`.
+    /// Opens a flow at its home and schedules the client's next packet. `number` identifies the
+    /// flow.
     pub fn open_flow(&mut self, number: u64) {
         let flow = flow_id(number);
         let home = self.home_of(flow);
@@ -148,18 +148,18 @@
         self.follow_ups.push_back((self.now.after(FOLLOW_UP_DELAY_MS), flow));
     }
 
-    /// The caller ends a flow.
+    /// Ends a flow by a reset from its client.
     pub fn close_flow(&mut self, number: u64) {
         let flow = flow_id(number);
         self.handle_packet(self.home_of(flow), self.new_packet(flow, PacketKind::Reset));
     }
 
-    /// An agent is cut off from its peers, or back.
+    /// Cuts an agent off from its peers and from clients, or reconnects it.
     pub fn set_partitioned(&mut self, agent: usize, is_partitioned: bool) {
         self.partitioned[agent] = is_partitioned;
     }
 
-    /// An agent is replaced by a new life of itself; its upstream keeps its flows.
+    /// Replaces an agent by a new incarnation without state; its upstream keeps the open flows.
     pub fn restart(&mut self, index: usize) {
         let incarnation = self.now.0;
         self.agents[index] =
@@ -181,7 +181,8 @@
         self.update_peak();
     }
 
-    /// The second slides with the ticks, so that no burst is cut in two by a whole second's end.
+    /// Updates the peak over a sliding window of one second that moves by one tick. With fixed
+    /// windows a burst across a boundary would be split and its peak underestimated.
     fn update_peak(&mut self) {
         let peak =
             self.recent_bytes.iter().map(|slots| slots.iter().sum::<u64>()).max().unwrap_or(0);
@@ -197,7 +198,7 @@
     }
 
     fn home_of(&self, flow: FlowId) -> usize {
-        // Only one service is in the view.
+        // The view contains only one service.
         let service = &self.view.services()[0];
         let home = service.ranking(rank::bucket_of(flow))[0];
         self.index_of(self.view.upstream(home).id)
@@ -258,7 +259,7 @@
         let to = self.index_of(to);
         let mut body = Vec::new();
         control::encode(&Envelope { clock: self.now.0 << 16, message }, &mut body)
-            .expect("the core's messages fit into a datagram");
+            .expect("a message of the core fits into a datagram");
         let bytes = IP_UDP_BYTES + (gue::HEADER_BYTES + SEALED_BYTES + body.len()) as u64;
         self.count_message(from, bytes);
         if self.partitioned[from] || self.partitioned[to] {
@@ -268,7 +269,9 @@
         let mut private = [0; SEALED_BYTES];
         let payload = Payload::Control(&body);
         let header = control_header(self.id, self.ids[from]);
-        self.keyring.seal(&header, payload, &mut private).expect("a body can be sealed");
+        self.keyring
+            .seal(&header, payload, &mut private)
+            .expect("an encoded message can be sealed");
         let mut datagram = Vec::with_capacity(body.len() + 80);
         gue::encode(gue::Content::Control(control::CONTROL_TYPE), &private, &body, &mut datagram);
         self.queue.push((from, to, datagram));
@@ -280,19 +283,24 @@
         self.recent_bytes[agent][self.slot] += bytes;
     }
 
-    /// Hands over what was sent one delay ago.
+    /// Delivers the messages that were sent one network delay ago.
     fn deliver_messages(&mut self) {
         for (from, to, datagram) in std::mem::take(&mut self.queue) {
-            let frame = gue::parse(&datagram).expect("a frame of ours");
+            let frame = gue::parse(&datagram).expect("a frame encoded by `send` can be parsed");
             let payload = Payload::Control(frame.payload);
-            self.keyring.open(frame.private, payload).expect("sealed by us");
-            let message = control::decode(frame.payload).expect("encoded by us").message;
+            self.keyring
+                .open(frame.private, payload)
+                .expect("a payload sealed by `send` can be opened");
+            let message = control::decode(frame.payload)
+                .expect("a message encoded by `send` can be decoded")
+                .message;
             self.handle_event(to, Event::Message { from: self.ids[from], message });
         }
     }
 }
 
-/// The view of one service with so many agents, its id and theirs.
+/// Builds the view of one service with `count` agents. Returns it with the ids of the service and
+/// of its upstreams.
 fn build_service_view(
     count: usize,
     when_in_doubt: WhenInDoubt,
@@ -335,7 +343,8 @@
     }
 }
 
-/// A flow id as the keyed hash would draw it: a bijection, so no two numbers meet.
+/// A flow id that is spread like the output of the keyed hash. The mapping is a bijection, so that
+/// two numbers never collide.
 fn flow_id(number: u64) -> FlowId {
     let mixed = (number ^ (number >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     FlowId((mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9))
--- a/crates/loadgen/src/cost/tree.rs
+++ b/crates/loadgen/src/cost/tree.rs
@@ -1,4 +1,4 @@
-//! Cost of the settings tree: texts, views, changes and what is exchanged about them.
+//! Cost of the settings tree: parsing, building views, applying changes and exchanging them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use crate::results::{Results, Series};
 use crate::world::{DeploymentSize, account_name, account_yaml, root_yaml};
 
-/// Quarters of the target: services at which slopes are taken.
+/// Numbers of services at which cost is measured: one to four quarters of the target size.
 const SERVICE_COUNTS: [usize; 4] = [475, 950, 1_425, 1_900];
-/// Services in one account's subtree.
+/// Numbers of services in the subtree of one account at which its size is measured.
 const SERVICES_PER_ACCOUNT: [usize; 5] = [1, 6, 12, 25, 50];
-/// Services of the target's mean account: 1,900 over 300.
+/// Services of a mean account at target size: 1,900 services over 300 accounts, rounded.
 const MEAN_SERVICES_PER_ACCOUNT: usize = 6;
-/// Every time is the median of so many runs.
+/// Number of runs of which the median time is taken.
 const RUNS: usize = 5;
 
-/// Measures everything and returns the series.
+/// Runs all measurements and returns their series.
 pub fn measure() -> Results {
     let x = "services (and accounts and upstreams in proportion)";
     let mut series = vec![
@@ -42,9 +42,9 @@
     Results { command: "gooseberrysill-load tree".into(), series }
 }
 
-/// Memory of a balancer's settings: texts, checked specs, view and keys.
+/// Memory in bytes of a balancer's settings: YAML, parsed specs, view and keys.
 ///
-/// Errors: the kernel does not say how much memory is in use.
+/// Errors: the kernel does not report the memory in use, or the settings are incomplete.
 pub fn memory(services: u64) -> anyhow::Result<f64> {
     let size = DeploymentSize::with_services(services as usize);
     let before = resident_bytes()?;
@@ -56,12 +56,13 @@
     Ok(used as f64)
 }
 
-/// Body of one fetched change of a mean account: one weight in the middle of the subtree.
+/// Bytes of the body of a typical fetched change: one weight in the middle of the subtree of a mean
+/// account.
 pub(crate) fn typical_delta_bytes() -> u64 {
     delta_bytes(MEAN_SERVICES_PER_ACCOUNT, set_weight) as u64
 }
 
-/// Sizes of one account's text and of three usual changes.
+/// Size of one account's YAML and of the deltas for three typical changes.
 fn account_series() -> [Series; 4] {
     let x = "services of the account (6 upstreams each)";
     let delta = |edit: fn(&mut AccountSpec)| move |services: usize| delta_bytes(services, edit);
@@ -87,7 +88,7 @@
     ]
 }
 
-/// A series of one measurement over sizes.
+/// Runs one measurement at each size and returns the series.
 pub(super) fn series_over(
     name: &str,
     x: &str,
@@ -119,7 +120,7 @@
     ids.filter_map(|id| AccountKeyring::derive(&masters, id)).collect()
 }
 
-/// Parsing, checking and building everything, as at the start of a balancer.
+/// Time to parse and validate all settings and to build the view, as at the start of a balancer.
 fn start_ms(services: usize) -> f64 {
     let subtrees = subtree_yamls(DeploymentSize::with_services(services));
     median_ms(|| {
@@ -127,7 +128,7 @@
     })
 }
 
-/// One changed weight: parsing and checking the subtree, and the new view.
+/// Time to apply one changed weight: parse and validate the subtree, and build the new view.
 fn change_ms(services: usize) -> f64 {
     let size = DeploymentSize::with_services(services);
     let mut active = load_settings(&subtree_yamls(size));
@@ -173,7 +174,8 @@
     encoded_bytes(&delta)
 }
 
-/// In the middle of the text; the version stands in its second line.
+/// Changes a weight in the middle of the YAML. The delta also covers the version, which is in the
+/// second line.
 fn set_weight(account: &mut AccountSpec) {
     let middle = account.services.len() / 2;
     account.services[middle].upstreams[3].weight = 50;
@@ -194,7 +196,7 @@
 }
 
 fn encoded_bytes(value: &impl serde::Serialize) -> f64 {
-    // Plain lists of numbers and text can always be encoded.
+    // Encoding cannot fail: the values consist only of lists, numbers and text.
     rmp_serde::to_vec(value).map_or(0, |bytes| bytes.len()) as f64
 }
 
@@ -212,7 +214,7 @@
     active
 }
 
-/// Median processor time of a few runs.
+/// Median processor time of several runs of `work`, in milliseconds.
 pub(super) fn median_ms(mut work: impl FnMut()) -> f64 {
     let mut times: Vec<Duration> = (0..RUNS)
         .map(|_| {
--- a/crates/loadgen/src/fit.rs
+++ b/crates/loadgen/src/fit.rs
@@ -1,18 +1,18 @@
-//! Straight lines through measured points.
+//! Least-squares fit of a straight line to measured points.
 
-/// A least-squares line and how far the points lie from it.
+/// A least-squares line and its residual.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Fit {
-    /// Change of y for one more x.
+    /// Change of y per unit of x.
     pub slope: f64,
-    /// y where x is zero.
+    /// Value of y at x = 0.
     pub intercept: f64,
-    /// Largest distance of a point from the line, in percent of the largest y.
+    /// Largest vertical distance of a point from the line, in percent of the largest absolute y.
     pub residual_percent: f64,
 }
 
 impl Fit {
-    /// Fits a line through at least two points (x, y) with different x.
+    /// Fits a line to points (x, y). Returns `None` unless at least two points have different x.
     ///
     /// ```
     /// let fit = loadgen::fit::Fit::through(&[(1.0, 5.0), (2.0, 7.0), (3.0, 9.0)]).unwrap();
@@ -36,7 +36,7 @@
         Some(fit)
     }
 
-    /// The line's y at `x`.
+    /// Value of the line at `x`.
     ///
     /// ```
     /// let fit = loadgen::fit::Fit { slope: 2.0, intercept: 1.0, residual_percent: 0.0 };
--- a/crates/loadgen/src/flows/experiment.rs
+++ b/crates/loadgen/src/flows/experiment.rs
@@ -10,79 +10,80 @@
 
 use crate::traffic::{Frames, Opening, balancer_frames, check_loopback, sealed_frames};
 
-/// Most packets a second: beyond this the sender itself is the limit.
+/// Highest rate in packets/s; above it the sender itself is the bottleneck.
 const RATE_MAX: u64 = 1_000_000;
-/// Longest run.
+/// Longest duration of one run, warm-up included.
 const DURATION_MS_MAX: u64 = 10_000;
-/// Most flows: the ports of a few callers.
+/// Largest number of flows; it takes the source ports of four client addresses.
 const FLOWS_MAX: usize = 200_000;
-/// Longest sum of all runs.
+/// Longest total duration of all runs.
 const TOTAL_MS_MAX: u64 = 120_000;
 
-/// A file under `experiments/`.
+/// An experiment, as described by a file under `experiments/`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Name, in results and plots.
+    /// Name shown in results and plots.
     pub name: String,
-    /// Process under load.
+    /// Address of the process under load.
     pub to: SocketAddr,
-    /// Where its packets come out; the tool listens there.
+    /// Addresses to which that process sends the packets; the load tool listens on them.
     pub receivers: Vec<SocketAddr>,
-    /// What is sent.
+    /// Kind of packets to send.
     pub source: Source,
-    /// Flows over which packets are dealt out.
+    /// Number of flows; packets are sent on them round-robin.
     pub flows: usize,
-    /// Packets a second, one step after the other.
+    /// Rates in packets/s, measured one after the other.
     pub rates: Vec<u64>,
-    /// Runs at each rate; medians count.
+    /// Runs at each rate; the median of the runs is reported.
     pub runs: u64,
-    /// Time before packets count.
+    /// Time at the start of a run whose packets are not counted.
     pub warm_up_ms: u64,
-    /// Time in which they do.
+    /// Time after the warm-up whose packets are counted.
     pub duration_ms: u64,
 }
 
-/// What is sent.
+/// Kind of packets that an experiment sends.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case")]
 pub enum Source {
-    /// As the fabric sends to a balancer, or anything to a relay.
+    /// Packets as the network fabric sends them to a balancer; a relay accepts them too.
     Fabric {
         /// Addresses of services.
         services: Vec<SocketAddrV4>,
     },
-    /// As a balancer sends to an agent. The keys are those of `cargo xtask bench`.
+    /// Packets as a balancer sends them to an agent, sealed with the keys of `cargo xtask bench`.
     Sealed {
-        /// Client account.
+        /// Name of the client account.
         account: String,
-        /// Service.
+        /// Name of the service.
         service: String,
         /// Address of the service.
         address: SocketAddrV4,
-        /// Each byte of the master key.
+        /// Value of every byte of the master key.
         master_byte: u8,
-        /// Each byte of the flow key.
+        /// Value of every byte of the flow key.
         flow_key_byte: u8,
     },
 }
 
 impl Experiment {
-    /// Reads and checks a file.
+    /// Reads and validates an experiment file.
     ///
-    /// Errors: unreadable, not an experiment, not on loopback, or beyond the bounds of a load.
+    /// Errors: the file cannot be read or parsed, an address is not on loopback, or a value exceeds
+    /// the limits for load.
     ///
     /// ```
     /// use loadgen::flows::Experiment;
     /// assert!(Experiment::read("/nonexistent".as_ref()).is_err());
     /// ```
     pub fn read(path: &Path) -> anyhow::Result<Self> {
-        let shown = path.display().to_string();
-        let text = std::fs::read_to_string(path).with_context(|| shown.clone())?;
-        Self::parse(&text).context(shown)
+        let path_text = path.display().to_string();
+        let text = std::fs::read_to_string(path).with_context(|| path_text.clone())?;
+        Self::parse(&text).context(path_text)
     }
 
-    /// Parses and checks the text of a file.
+    /// Parses and validates the text of an experiment file.
     ///
     /// Errors: as for [`Experiment::read`].
     ///
@@ -107,16 +108,23 @@
         Ok(experiment)
     }
 
-    /// Makes the datagrams.
+    /// Builds the datagrams to send.
     pub(crate) fn frames(&self) -> anyhow::Result<Frames> {
         match &self.source {
             Source::Fabric { services } => balancer_frames(services, self.flows, Opening::No),
             Source::Sealed { account, service, address, master_byte, flow_key_byte } => {
                 let masters = [(KeyId(1), [*master_byte; 32])];
                 let keyring = AccountKeyring::derive(&masters, AccountId::of(account));
-                let keyring = keyring.context("no key")?;
-                let place = (*address, &[*flow_key_byte; 16]);
-                sealed_frames(&keyring, (account, service), place, self.flows, Opening::No)
+                let keyring =
+                    keyring.context("cannot derive the keyring of the account: no master key")?;
+                let service_address_and_key = (*address, &[*flow_key_byte; 16]);
+                sealed_frames(
+                    &keyring,
+                    (account, service),
+                    service_address_and_key,
+                    self.flows,
+                    Opening::No,
+                )
             }
         }
     }
--- a/crates/loadgen/src/flows/mod.rs
+++ b/crates/loadgen/src/flows/mod.rs
@@ -1,7 +1,9 @@
-//! Experiments with packets at set rates through a running process: latency and loss.
+//! Experiments that send packets at fixed rates through a running process and measure latency and
+//! loss.
 //!
-//! Latency counts from the moment at which a packet was due, not from when it left: a process that
-//! stalls would otherwise hold back the very packets that show it.
+//! Latency is measured from the time at which a packet was due, not from the time at which it was
+//! sent. A process that stalls could otherwise delay the sending of exactly those packets that
+//! would show the stall.
 
 mod experiment;
 mod probe;
@@ -20,25 +22,25 @@
 use crate::results::Results;
 use crate::traffic::{Frames, StampSchedule, stamped_flood};
 
-/// Time in which late packets still count.
+/// After the last packet is sent, packets that arrive within this time are still counted.
 const LATE_PACKET_WINDOW: Duration = Duration::from_millis(200);
 
-/// What one run at one rate showed.
+/// Result of one run at one rate.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Packets a second that were due.
+    /// Intended rate in packets/s.
     pub rate: u64,
     /// Packets sent after the warm-up.
     pub sent: u64,
-    /// Packets of these that came out.
+    /// How many of these packets came out of the process.
     pub received: u64,
-    /// Nanoseconds from when a packet was due until it came out.
+    /// Time in nanoseconds from when a packet was due until it was received.
     pub latency_ns: Histogram<u64>,
 }
 
 /// Runs an experiment and returns its series.
 ///
-/// Errors: an address that is taken or not on loopback, or frames that cannot be made.
+/// Errors: an address is in use or not on loopback, or the frames cannot be built.
 pub fn run(experiment: &Experiment) -> anyhow::Result<Results> {
     let bar = progress_bar(experiment)?;
     let mut frames = experiment.frames()?;
@@ -75,7 +77,7 @@
         stop.store(true, Ordering::Relaxed);
         let mut latency_ns = probe::histogram()?;
         for receiver in receivers {
-            latency_ns.add(receiver.join().ok().context("a reader panicked")??)?;
+            latency_ns.add(receiver.join().ok().context("a receiver thread panicked")??)?;
         }
         Ok(Outcome { rate, sent: sent?, received: latency_ns.len(), latency_ns })
     })
--- a/crates/loadgen/src/flows/probe.rs
+++ b/crates/loadgen/src/flows/probe.rs
@@ -1,4 +1,4 @@
-//! Reading what comes out of the process under load.
+//! Receives the packets that come out of the process under load.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,10 +9,11 @@
 
 use crate::traffic::read_stamp;
 
-/// How soon a reader notices the end.
+/// Receive timeout; bounds the time until a receiver notices that the run has ended.
 const READ_TIMEOUT: Duration = Duration::from_millis(50);
-/// Latencies from a microsecond to ten seconds, three digits.
+/// Range of the histogram: one microsecond to ten seconds.
 const LATENCY_BOUNDS_NS: (u64, u64) = (1_000, 10_000_000_000);
+/// Significant digits of the histogram.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// An empty histogram.
@@ -20,12 +21,12 @@
     Ok(Histogram::new_with_bounds(LATENCY_BOUNDS_NS.0, LATENCY_BOUNDS_NS.1, SIGNIFICANT_DIGITS)?)
 }
 
-/// Listens on all receivers.
+/// Binds a socket to each receiver address.
 pub(super) fn bind(receivers: &[SocketAddr]) -> anyhow::Result<Vec<UdpSocket>> {
     receivers.iter().map(|address| Ok(udp::bind(*address, false, READ_TIMEOUT)?)).collect()
 }
 
-/// Records the latency of every packet that was due after `count_from`.
+/// Records the latency of every packet that was due at `count_from` or later.
 pub(super) fn record_latencies(
     socket: &UdpSocket,
     start: Instant,
--- a/crates/loadgen/src/flows/report.rs
+++ b/crates/loadgen/src/flows/report.rs
@@ -1,4 +1,4 @@
-//! Outcomes as series and as a plot.
+//! Converts outcomes to series and plots them.
 
 use std::path::Path;
 
@@ -6,11 +6,11 @@
 use crate::plot::{self, Line};
 use crate::results::{Results, Series};
 
-/// Quantiles shown.
+/// Reported quantiles of the latency.
 const QUANTILES: [(&str, f64); 3] = [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)];
 
-/// Series over the rate, in microseconds and percent: the median of the runs, and for each quantile
-/// the least and largest run.
+/// Series by rate: for each latency quantile the median, lowest and highest run in microseconds,
+/// and the median loss in percent.
 ///
 /// ```
 /// assert!(loadgen::flows::latency_series(&[]).iter().all(|series| series.points.is_empty()));
@@ -38,9 +38,9 @@
     series
 }
 
-/// Draws the medians of the quantiles.
+/// Plots the median run of each latency quantile.
 ///
-/// Errors: no point, or a file that cannot be written.
+/// Errors: `results` contain no points, or the file cannot be written.
 ///
 /// ```
 /// let results = loadgen::results::Results { command: "true".into(), series: vec![] };
@@ -58,7 +58,7 @@
     plot::write(path, title, ("packets/s", "us"), &lines)
 }
 
-/// Picks one of sorted values.
+/// Selects one value from a sorted, non-empty slice.
 type PickFn = fn(&[f64]) -> f64;
 
 const MEDIAN: PickFn = |sorted| sorted[sorted.len() / 2];
--- a/crates/loadgen/src/lib.rs
+++ b/crates/loadgen/src/lib.rs
@@ -1,4 +1,4 @@
-//! Load and experiments: what the product costs, measured with the product's own code.
+//! Load generation and experiments that measure the cost of the product by running its own code.
 
 pub mod control;
 pub mod cost;
--- a/crates/loadgen/src/main.rs
+++ b/crates/loadgen/src/main.rs
@@ -1,4 +1,4 @@
-//! `gooseberrysill-load`: load and experiments against the product's own code.
+//! `gooseberrysill-load`: load generation and experiments that run the product's own code.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,24 +12,26 @@
 Usage: gooseberrysill-load COMMAND [OPTIONS]
 
 Commands:
-  control    slopes and storms of spreading among balancers, many nodes in one process
-  agent      slopes and storms of the agents of one service, in one process
-  tree       cost of the settings tree, its changes and what is exchanged about it
+  control    cost of gossip among balancers, by fleet size and in storms of changes;
+             simulates many nodes in one process
+  agent      cost of the agents of one service, by load and in storms after failures;
+             simulates them in one process
+  tree       cost of the settings tree, of its changes and of exchanging them
   agent-memory FLOWS
-             memory of an agent that holds FLOWS flows, in bytes
+             memory in bytes of an agent that holds FLOWS flows
   tree-memory SERVICES
-             memory of a balancer's settings with SERVICES services, in bytes
+             memory in bytes of a balancer's settings with SERVICES services
   flows --experiment FILE
-             packets at set rates through a running process: latency and loss; needs --out,
-             and writes a plot beside it. `cargo xtask bench --experiment FILE` starts the
-             processes as well
+             send packets at fixed rates through a running process and measure latency and
+             loss; needs --out, and writes a plot beside that file.
+             `cargo xtask bench --experiment FILE` starts the processes as well
   relay LISTEN TO...
-             move datagrams from LISTEN to each TO in turn, and print the count for each line
-             of standard input until it ends
+             forward datagrams from LISTEN to each TO in turn; for each line of standard
+             input, print the number of datagrams forwarded so far; end with standard input
 
 Options:
-  --out FILE   write the results there as JSON (default: standard output)
-  --help       this text
+  --out FILE   write the results to FILE as JSON (default: standard output)
+  --help       print this text
 
 Example:
   gooseberrysill-load control --out docs/results/control.json
@@ -45,7 +47,7 @@
     }
 }
 
-/// The command line, taken apart.
+/// Parsed command line.
 #[derive(Debug, Default)]
 struct Arguments {
     help: bool,
@@ -96,7 +98,7 @@
 }
 
 fn print_memory(values: &[String], measure: fn(u64) -> anyhow::Result<f64>) -> anyhow::Result<()> {
-    let size = values.first().context("the size is missing")?;
+    let size = values.first().context("the number of flows or services is missing")?;
     println!("{}", measure(size.parse()?)?);
     Ok(())
 }
@@ -110,7 +112,8 @@
     loadgen::flows::plot(&results, &experiment.name, &out.with_extension("svg"))
 }
 
-/// Relays in a thread of its own name, so that its processor time can be told from this one's.
+/// Runs the relay in a thread named `relay`, so that its processor time can be measured separately
+/// from that of the main thread.
 fn relay(values: &[String]) -> anyhow::Result<()> {
     let (listen, receivers) = values.split_first().context("LISTEN is missing")?;
     let receivers = receivers.iter().map(|it| it.parse()).collect::<Result<_, _>>()?;
--- a/crates/loadgen/src/plot.rs
+++ b/crates/loadgen/src/plot.rs
@@ -11,15 +11,15 @@
 /// A named line through points.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// Name for the legend.
+    /// Name in the legend.
     pub name: Arc<str>,
-    /// Points (x, y) by growing x.
+    /// Points (x, y) in ascending order of x.
     pub points: Vec<(f64, f64)>,
 }
 
-/// Writes a plot whose axes are named `x` and `y`; y begins at zero.
+/// Writes a plot whose axes are labelled `x` and `y`. The y axis starts at zero.
 ///
-/// Errors: no point, or a file that cannot be written.
+/// Errors: `lines` contain no points, or the file cannot be written.
 ///
 /// ```
 /// let path = std::env::temp_dir().join("gooseberrysill-plot-example.svg");
@@ -27,7 +27,10 @@
 /// ```
 pub fn write(path: &Path, title: &str, (x, y): (&str, &str), lines: &[Line]) -> anyhow::Result<()> {
     let points = || lines.iter().flat_map(|line| &line.points);
-    let first = points().map(|point| point.0).reduce(f64::min).ok_or(anyhow!("no point"))?;
+    let first = points()
+        .map(|point| point.0)
+        .reduce(f64::min)
+        .ok_or(anyhow!("there are no points to plot"))?;
     let last = points().map(|point| point.0).fold(first, f64::max);
     let top = points().map(|point| point.1).fold(0.0, f64::max) * 1.1;
     let area = SVGBackend::new(path, SIZE_PX).into_drawing_area();
--- a/crates/loadgen/src/results.rs
+++ b/crates/loadgen/src/results.rs
@@ -1,4 +1,5 @@
-//! Result files: what was measured, by which command, with the points behind each slope.
+//! Result files: the measured series, the command that measured them and the points behind each
+//! fit.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -8,41 +9,41 @@
 
 use crate::fit::Fit;
 
-/// One measured point: the varied quantity and what was measured at it.
+/// One measured point: a value of the varied quantity and the measurement at it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
     /// Value of the varied quantity.
     pub x: f64,
-    /// Median of the measured quantity.
+    /// Median of the measurements.
     pub y: f64,
 }
 
-/// A measured quantity over one varied quantity.
+/// A measured quantity as a function of one varied quantity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Series {
     /// Name, unique within its file.
     pub name: Arc<str>,
-    /// What was varied, with its unit.
+    /// Varied quantity with its unit.
     pub x: Arc<str>,
-    /// What was measured, with its unit.
+    /// Measured quantity with its unit.
     pub y: Arc<str>,
-    /// Points by growing x.
+    /// Points in ascending order of x.
     pub points: Vec<Point>,
-    /// Line through the points; none for fewer than two.
+    /// Line fitted to the points; `None` unless at least two have different x.
     pub fit: Option<Fit>,
 }
 
-/// All series of one command.
+/// All series measured by one command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Results {
-    /// Command that measured.
+    /// Command that produced the results.
     pub command: Arc<str>,
-    /// Series by name.
+    /// Measured series, each with a unique name.
     pub series: Vec<Series>,
 }
 
 impl Series {
-    /// A series with the line through its points.
+    /// Creates a series and fits a line to its points.
     ///
     /// ```
     /// let points = [(1.0, 2.0), (2.0, 4.0)];
@@ -78,7 +79,7 @@
         std::fs::write(path, text).with_context(|| path.display().to_string())
     }
 
-    /// Finds a series.
+    /// Finds a series by name.
     ///
     /// ```
     /// let results = loadgen::results::Results { command: "true".into(), series: vec![] };
--- a/crates/loadgen/src/traffic/flood.rs
+++ b/crates/loadgen/src/traffic/flood.rs
@@ -1,4 +1,4 @@
-//! Sending frames as fast as the machine can, or at a set rate.
+//! Sends frames as fast as possible or at a fixed rate.
 
 use std::io::IoSlice;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -11,25 +11,25 @@
 
 use super::{Frames, check_loopback};
 
-/// No run sends for longer.
+/// Longest time for which a run sends.
 const MAX_SEND_DURATION: Duration = Duration::from_secs(20);
 
-/// How much is sent.
+/// Parameters of a flood: receiver, rate and limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Flood {
-    /// Receiver, on loopback.
+    /// Address of the receiver; must be on loopback.
     pub to: SocketAddr,
-    /// Time after which it ends; cut to 20 s.
+    /// Time after which the flood ends; capped at 20 s.
     pub duration: Duration,
-    /// Packets a second; none for as many as possible.
+    /// Rate in packets/s; `None` sends as fast as possible.
     pub rate: Option<u64>,
-    /// Packets after which it ends.
+    /// Number of packets after which the flood ends.
     pub packets: u64,
 }
 
-/// Sends `frames` in turn. Returns how many the kernel took.
+/// Sends `frames` in turn, repeatedly. Returns the number of packets that the kernel accepted.
 ///
-/// Errors: a receiver that is not on loopback, or a socket that cannot be made.
+/// Errors: the receiver is not on loopback, or the socket cannot be created or fails.
 ///
 /// ```
 /// use std::time::Duration;
@@ -59,18 +59,19 @@
     Ok(sent)
 }
 
-/// How packets get their times.
+/// Determines the timestamp of each packet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StampSchedule {
     /// Start of the run.
     pub(crate) start: Instant,
-    /// Packets a second.
+    /// Rate in packets/s.
     pub(crate) rate: u64,
-    /// Packets due before this do not count.
+    /// Packets due before this time are not counted.
     pub(crate) count_from: Duration,
 }
 
-/// Sends packets at a rate, each with the time at which it was due. Returns how many count.
+/// Sends packets at a fixed rate, each stamped with the time at which it was due. Returns the
+/// number of packets that were due at `count_from` or later.
 pub(crate) fn stamped_flood(
     frames: &mut Frames,
     to: SocketAddr,
@@ -94,7 +95,7 @@
             frames.stamp(number as usize, due_ns);
             counted += u64::from(u128::from(due_ns) >= schedule.count_from.as_nanos());
         }
-        // What the kernel does not take is lost, as it would be for any caller.
+        // Packets that the kernel does not accept count as lost, as they would for any client.
         send_batch(&socket, &mut headers, frames, sent as usize, count)?;
         sent += count as u64;
     }
@@ -119,7 +120,7 @@
     let (fd, flags) = (socket.as_raw_fd(), MsgFlags::empty());
     match sendmmsg(fd, headers, slices[..count].iter(), &no_addresses[..count], no_control, flags) {
         Ok(results) => Ok(results.count() as u64),
-        // A receiver that is just starting or full is no fault of the sender's socket.
+        // The receiver is still starting or its buffer is full: the socket itself is usable.
         Err(Errno::ECONNREFUSED | Errno::EINTR | Errno::ENOBUFS | Errno::EAGAIN) => Ok(0),
         Err(errno) => Err(errno.into()),
     }
--- a/crates/loadgen/src/traffic/frames.rs
+++ b/crates/loadgen/src/traffic/frames.rs
@@ -1,4 +1,4 @@
-//! Datagrams made before a run, so that making them costs the run nothing.
+//! Datagrams built before a run, so that building them does not slow the run down.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -10,38 +10,38 @@
 use wire::inner;
 use wire::sealed::{AccountKeyring, Header, Payload, SEALED_BYTES, SenderId};
 
-/// Bytes after the TCP header: a small record of an open feed.
+/// Bytes after the TCP header: the size of a small record on an open flow.
 const PAYLOAD_BYTES: usize = 64;
-/// Ports of one client address.
+/// Number of source ports used per client address.
 const PORTS_PER_CLIENT: usize = 50_000;
 const FIRST_PORT: usize = 10_000;
 
-/// Bytes of a time at the end of a datagram.
+/// Bytes of the timestamp at the end of a datagram.
 const STAMP_BYTES: usize = size_of::<u64>();
 
-/// The time at the end of a datagram, in nanoseconds since the start of its run.
+/// Reads the timestamp at the end of a datagram, in nanoseconds since the start of the run.
 pub(crate) fn read_stamp(datagram: &[u8]) -> Option<u64> {
     datagram.last_chunk::<STAMP_BYTES>().map(|bytes| u64::from_be_bytes(*bytes))
 }
 
-/// Datagrams of one length, one after the other.
+/// Datagrams of equal length in one contiguous buffer.
 #[derive(Clone, Debug, Default)]
 pub struct Frames {
     bytes: Vec<u8>,
     frame_bytes: usize,
 }
 
-/// Whether packets open flows or belong to open ones.
+/// Whether packets open new flows or belong to open flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Opening {
-    /// SYN.
+    /// Packets with SYN, which open flows.
     Yes,
-    /// ACK with data.
+    /// Packets with ACK and data, which belong to open flows.
     No,
 }
 
 impl Frames {
-    /// The datagram with this number, counted around.
+    /// The datagram with this number, modulo [`Frames::count`].
     ///
     /// ```
     /// use loadgen::traffic::{Opening, balancer_frames};
@@ -54,14 +54,14 @@
         &self.bytes[start..start + self.frame_bytes]
     }
 
-    /// Writes a time into the end of a datagram. That is behind what a MAC covers, and no process on
-    /// the way looks at the transport's checksum.
+    /// Writes a timestamp into the last bytes of a datagram. The MAC does not cover these bytes,
+    /// and no process on the path verifies the checksum of the transport header.
     pub(super) fn stamp(&mut self, number: usize, due_ns: u64) {
         let end = (number % self.count() + 1) * self.frame_bytes;
         self.bytes[end - STAMP_BYTES..end].copy_from_slice(&due_ns.to_be_bytes());
     }
 
-    /// How many there are.
+    /// Number of datagrams.
     pub fn count(&self) -> usize {
         self.bytes.len() / self.frame_bytes.max(1)
     }
@@ -72,9 +72,10 @@
     }
 }
 
-/// Datagrams of `flows` flows as the fabric hands them to a balancer, dealt out to `services`.
+/// Builds one datagram for each of `flows` flows, as the network fabric sends them to a balancer.
+/// The flows are assigned to `services` round-robin.
 ///
-/// Errors: no service.
+/// Errors: `services` is empty.
 pub fn balancer_frames(
     services: &[SocketAddrV4],
     flows: usize,
@@ -82,7 +83,9 @@
 ) -> anyhow::Result<Frames> {
     let mut frames = Frames::default();
     for number in 0..flows {
-        let service = services.get(number % services.len().max(1)).context("no service")?;
+        let service = services
+            .get(number % services.len().max(1))
+            .context("at least one service is required")?;
         let mut frame = Vec::new();
         gue::encode(Content::Ipv4, &[], &tcp_packet(number, *service, opening)?, &mut frame);
         frames.push(&frame);
@@ -90,9 +93,10 @@
     Ok(frames)
 }
 
-/// The same as a balancer hands them to an agent of `service` at `address`.
+/// Builds one datagram for each of `flows` flows, as a balancer sends them to an agent of `service`
+/// at `address`.
 ///
-/// Errors: a packet that cannot be sealed.
+/// Errors: a packet cannot be sealed.
 pub fn sealed_frames(
     keyring: &AccountKeyring,
     (account, service): (&str, &str),
@@ -123,7 +127,8 @@
     Ok(frames)
 }
 
-/// A TCP packet of the flow with this number; no two numbers share address and port.
+/// A TCP packet of the flow with this number. Each number has its own pair of client address and
+/// port.
 fn tcp_packet(number: usize, service: SocketAddrV4, opening: Opening) -> anyhow::Result<Vec<u8>> {
     let client = Ipv4Addr::from(
         u32::from(Ipv4Addr::new(198, 18, 0, 1)) + (number / PORTS_PER_CLIENT) as u32,
--- a/crates/loadgen/src/traffic/mod.rs
+++ b/crates/loadgen/src/traffic/mod.rs
@@ -1,4 +1,5 @@
-//! Traffic over loopback: packets made ahead, sent in batches, and a relay to compare with.
+//! Generates traffic over loopback: packets built in advance and sent in batches, and a relay as a
+//! baseline for comparison.
 
 mod flood;
 mod frames;
@@ -14,10 +15,10 @@
 
 use anyhow::{Context as _, ensure};
 
-/// Binds a socket from which nobody reads: it takes packets until its small buffer is full, after
-/// which the kernel drops them without telling their sender.
+/// Binds a socket that is never read. It accepts packets until its small receive buffer is full;
+/// the kernel drops further packets without an error for the sender.
 ///
-/// Errors: the address is not on loopback, or taken.
+/// Errors: the address is not on loopback, or is in use.
 ///
 /// ```
 /// assert!(loadgen::traffic::bind_sink("127.0.0.1:0".parse().unwrap()).is_ok());
@@ -30,7 +31,7 @@
     Ok(socket)
 }
 
-/// Load must not leave the machine.
+/// Rejects addresses outside of loopback, because load must not leave the machine.
 pub(crate) fn check_loopback(address: SocketAddr) -> anyhow::Result<()> {
     ensure!(address.ip().is_loopback(), "{address} is not on loopback");
     Ok(())
--- a/crates/loadgen/src/traffic/relay.rs
+++ b/crates/loadgen/src/traffic/relay.rs
@@ -1,5 +1,5 @@
-//! A bare UDP relay: the same batched calls as the daemons make, and nothing else. What it moves is
-//! the limit for a process on plain sockets.
+//! A minimal UDP relay that makes the same batched system calls as the daemons and does nothing
+//! else. Its throughput is the upper bound for a process on plain sockets.
 
 use std::io::{BufRead as _, Write as _};
 use std::net::{SocketAddr, UdpSocket};
@@ -13,9 +13,10 @@
 
 use super::check_loopback;
 
+/// Receive timeout of the relay's socket.
 const READ_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A relay from one socket to receivers in turn.
+/// Forwards datagrams from one socket to several receivers, round-robin.
 pub struct Relay {
     socket: UdpSocket,
     receivers: Vec<SocketAddr>,
@@ -23,29 +24,29 @@
 }
 
 impl Relay {
-    /// Binds a relay.
+    /// Binds the listening socket.
     ///
-    /// Errors: an address that is not on loopback or is taken, or no receiver.
+    /// Errors: an address is not on loopback, `listen` is in use, or `receivers` is empty.
     ///
     /// ```
     /// use loadgen::traffic::Relay;
     /// assert!(Relay::bind("127.0.0.1:0".parse().unwrap(), vec![]).is_err());
     /// ```
     pub fn bind(listen: SocketAddr, receivers: Vec<SocketAddr>) -> anyhow::Result<Self> {
-        ensure!(!receivers.is_empty(), "a relay needs a receiver");
+        ensure!(!receivers.is_empty(), "a relay needs at least one receiver");
         receivers.iter().chain([&listen]).try_for_each(|address| check_loopback(*address))?;
         let socket = udp::bind(listen, false, READ_TIMEOUT)?;
         Ok(Self { socket, receivers, forwarded: Arc::default() })
     }
 
-    /// Packets moved so far.
+    /// Counter of the packets forwarded so far.
     pub fn forwarded(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.forwarded)
     }
 
-    /// Relays until the process ends.
+    /// Forwards datagrams until the process ends.
     ///
-    /// Errors: those of the receiving socket.
+    /// Errors: receiving from the socket fails.
     pub fn run(self) -> anyhow::Result<()> {
         let mut receiver = Receiver::<()>::default();
         let mut sender = Sender::default();
@@ -67,9 +68,9 @@
     }
 }
 
-/// Prints the count for each line of standard input, until that ends.
+/// Prints the number of forwarded packets for each line of standard input, until the input ends.
 ///
-/// Errors: those of the standard streams.
+/// Errors: a standard stream cannot be read or written.
 pub fn serve_counts(forwarded: &AtomicU64) -> anyhow::Result<()> {
     let mut output = std::io::stdout().lock();
     for line in std::io::stdin().lock().lines() {
--- a/crates/loadgen/src/world/mod.rs
+++ b/crates/loadgen/src/world/mod.rs
@@ -1,4 +1,5 @@
-//! Settings of any size, up to that of two years, as the platform would publish them.
+//! Generated settings as the platform would publish them, at any size up to the target, which is
+//! the size expected in two years.
 
 use std::fmt::Write as _;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,30 +9,31 @@
     AccountSpec, Endpoint, ServiceSpec, Transport, UpstreamSpec, UpstreamState, WhenInDoubt,
 };
 
-/// Availability zones in two years.
+/// Availability zones at target size.
 pub const ZONES: usize = 17;
-/// Regions in two years.
+/// Regions at target size.
 const REGIONS: usize = 5;
 /// Port of every service.
 pub const SERVICE_PORT: u16 = 443;
 
-/// How many of everything.
+/// Size of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeploymentSize {
-    /// Client accounts; each owns a /24.
+    /// Client accounts; each owns a /24 prefix.
     pub accounts: usize,
-    /// Services, one address each, dealt out to the accounts in turn.
+    /// Services with one address each, assigned to the accounts round-robin.
     pub services: usize,
-    /// Upstreams, dealt out to the services in turn.
+    /// Upstreams, assigned to the services round-robin.
     pub upstreams: usize,
 }
 
-/// The size in two years. Users speak of hundreds of accounts; 300 is assumed.
+/// Target size: the deployment expected in two years. Users expect hundreds of accounts; 300 is
+/// assumed.
 pub const TARGET_SIZE: DeploymentSize =
     DeploymentSize { accounts: 300, services: 1_900, upstreams: 10_000 };
 
 impl DeploymentSize {
-    /// The target with one number of services; accounts and upstreams shrink in proportion.
+    /// The target size scaled to `services`: accounts and upstreams change in proportion.
     ///
     /// ```
     /// let quarter = loadgen::world::DeploymentSize::with_services(475);
@@ -46,7 +48,7 @@
         }
     }
 
-    /// All accounts, checked, at version 1.
+    /// Specs of all accounts at version 1, as the settings parser would return them.
     ///
     /// ```
     /// let size = loadgen::world::DeploymentSize { accounts: 2, services: 4, upstreams: 10 };
@@ -57,7 +59,7 @@
         (0..self.accounts).map(|account| self.account(account)).collect()
     }
 
-    /// The platform's list with the agent of each upstream.
+    /// The platform's list of instances as JSON, with the agent of each upstream.
     ///
     /// ```
     /// let size = loadgen::world::DeploymentSize { accounts: 1, services: 2, upstreams: 4 };
@@ -121,7 +123,7 @@
     format!("account-{account:03}")
 }
 
-/// The root document, which gives each account its range.
+/// The root document, which assigns each account its prefix.
 ///
 /// ```
 /// let yaml = loadgen::world::root_yaml(2);
@@ -132,13 +134,13 @@
     for account in 0..accounts {
         let (name, base) = (account_name(account), service_address(account, 0));
         let [a, b, c, _] = base.octets();
-        // Writing to a string cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = writeln!(yaml, "  - name: {name}\n    prefixes: [\"{a}.{b}.{c}.0/24\"]");
     }
     yaml
 }
 
-/// An account's subtree as text.
+/// The subtree of an account as YAML.
 ///
 /// ```
 /// let size = loadgen::world::DeploymentSize { accounts: 1, services: 2, upstreams: 4 };
@@ -192,7 +194,7 @@
     );
 }
 
-/// The upstream with this number, at addresses of its own in 127.64.0.0/10.
+/// The upstream with this index; its addresses lie in 127.64.0.0/10 and are unique.
 fn upstream(index: usize) -> UpstreamSpec {
     let socket_address = |port: u16| -> SocketAddr {
         let [high, low] = (index as u16).to_be_bytes();
--- a/crates/loadgen/tests/experiment.rs
+++ b/crates/loadgen/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! Bounds of experiment files: a load must stay on loopback and end.
+//! Validation of experiment files: load must stay on loopback and must be limited in time.
 
 use loadgen::flows::Experiment;
 use rstest::rstest;
@@ -15,9 +15,10 @@
 duration_ms: 900
 ";
 
-/// Replaces `from` in a file without faults and compares the fault.
+/// Replaces `from` by `to` in a valid file and checks that parsing fails with `expected`, or
+/// succeeds if that is `None`.
 fn check_edit(from: &str, to: &str, expected: Option<&str>) {
-    assert!(YAML.contains(from), "the case replaces nothing: {from}");
+    assert!(YAML.contains(from), "the case has no effect, the file does not contain `{from}`");
     let error = Experiment::parse(&YAML.replacen(from, to, 1)).err();
     let actual = error.map(|error| error.to_string());
     match expected {
--- a/crates/loadgen/tests/service.rs
+++ b/crates/loadgen/tests/service.rs
@@ -1,10 +1,11 @@
-//! What the slopes of an agent rest on: every opening runs once, and equal runs cost the same.
+//! Assumptions behind the measured cost of an agent: every opening is admitted exactly once, and
+//! equal runs have equal cost.
 
 use decision::view::WhenInDoubt;
 use loadgen::cost::{SimulatedService, Usage};
 use rstest::rstest;
 
-/// Opens flows at a service, lets ten seconds pass and gives what was used.
+/// Opens flows at a new service and returns what its agents use in the next ten seconds.
 fn usage_after_opening(agents: usize, when_in_doubt: WhenInDoubt, flows: u64) -> Usage {
     let mut service = SimulatedService::new(agents, when_in_doubt);
     (0..flows).for_each(|number| service.open_flow(number));
@@ -37,7 +38,7 @@
 
 #[test]
 fn refuse_sends_a_claim_to_every_peer() {
-    // A claim and its answer for each of five peers, counted at both ends.
+    // A claim and its answer for each of five peers, each counted at sender and receiver.
     let extra = usage_after_opening(6, WhenInDoubt::Refuse, 100).messages
         - usage_after_opening(6, WhenInDoubt::Admit, 100).messages;
     assert_eq!(extra, 100 * 5 * 2 * 2);
