--- a/crates/loadgen/src/control/fleet.rs
+++ b/crates/loadgen/src/control/fleet.rs
@@ -1,4 +1,5 @@
-//! Many spreading nodes in one process. Messages arrive in the next round; time is a number.
+//! Simulates many gossiping nodes in one process. Messages arrive in the next round, and time is
+//! simulated.
 
 use decision::keys::{AccountId, Version};
 use decision::spread::{
@@ -12,30 +13,32 @@
 
 use crate::world::account_name;
 
-/// Bytes of one HTTP exchange besides path and body: request and reply heads as the daemons send
-/// them, TCP and IP headers of a connection of its own (nine segments). An assumption on the high
-/// side: a connection that is kept open costs less.
-const HEADS_BYTES: u64 = 9 * 40 + 220;
+/// Bytes of one HTTP exchange besides path and body: request and response headers as the daemons
+/// send them, and the TCP and IP headers of a separate connection (nine segments). This is an upper
+/// estimate: a connection that is kept open costs less.
+const HTTP_HEADERS_BYTES: u64 = 9 * 40 + 220;
 
-/// Bytes of one HTTP exchange besides its body: [`HEADS_BYTES`], the path with the proof of who
-/// asks, and the proof of the answer.
-pub(crate) fn exchange_bytes() -> u64 {
-    let ring = AccountKeyring::new(&[(KeyId(1), [7; 32])]).expect("a keyring of one key");
+/// Bytes of one HTTP exchange besides its body: [`HTTP_HEADERS_BYTES`], the path with the signature
+/// that authenticates the request, and the seal that authenticates the answer.
+pub(crate) fn exchange_overhead_bytes() -> u64 {
+    let keyring =
+        AccountKeyring::new(&[(KeyId(1), [7; 32])]).expect("a keyring can be created from one key");
     let account = account_name(0).into();
     let question = Question { kind: Kind::Subtree, account, nonce: u64::MAX };
-    let path = question.signed_path(&ring).expect("the ring has a key");
-    let answer = question.seal_answer(&ring, &()).expect("nothing can be sealed");
-    // One byte of the answer is the body that stands for nothing.
-    HEADS_BYTES + (path.len() + answer.len() - 1) as u64
+    let path = question.signed_path(&keyring).expect("a keyring with a key can sign a path");
+    let answer = question.seal_answer(&keyring, &()).expect("an empty answer can be sealed");
+    // The unit value of the body is encoded as one byte, which is not overhead.
+    HTTP_HEADERS_BYTES + (path.len() + answer.len() - 1) as u64
 }
 
-/// Bytes of a datagram besides its body: IP and UDP headers, GUE header, sealed private data.
-pub(crate) const DATAGRAM_BYTES: u64 = 28 + 4 + wire::sealed::SEALED_BYTES as u64;
+/// Bytes of a datagram besides its body: IP and UDP headers (28), GUE header (4) and the sealed
+/// private data.
+pub(crate) const DATAGRAM_OVERHEAD_BYTES: u64 = 28 + 4 + wire::sealed::SEALED_BYTES as u64;
 
-/// What went over the network, summed over all nodes.
+/// Network traffic, summed over all nodes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Messages and fetches.
+    /// Number of gossip messages and of fetches from peers.
     pub messages: u64,
     /// Bytes, counted once for the sender and once for the receiver.
     pub bytes: u64,
@@ -45,22 +48,22 @@
     pub service_reads: u64,
 }
 
-/// The nodes and the messages under way.
+/// A fleet of simulated nodes and the messages in transit between them.
 pub struct Fleet {
     nodes: Vec<Spread>,
     ids: Vec<NodeId>,
-    queue: Vec<(usize, SpreadEvent)>,
+    pending_events: Vec<(usize, SpreadEvent)>,
     node_bytes: Vec<u64>,
     traffic: Traffic,
     delta_bytes: u64,
-    exchange_bytes: u64,
+    exchange_overhead_bytes: u64,
     message_overhead_bytes: u64,
     now: Millis,
 }
 
 impl Fleet {
-    /// `count` nodes over `zones` availability zones that all hold `accounts` accounts at version 1;
-    /// fetching a change costs `delta_bytes` of body.
+    /// Creates `count` nodes in `zones` availability zones. Each holds `accounts` accounts at
+    /// version 1. The body of a fetched change has `delta_bytes` bytes.
     ///
     /// ```
     /// let fleet = loadgen::control::Fleet::new(10, 2, 5, 200);
@@ -70,7 +73,7 @@
         Self::with_tuning(count, zones, accounts, delta_bytes, Tuning::default())
     }
 
-    /// Like [`Fleet::new`], with another tuning.
+    /// Like [`Fleet::new`], with other gossip parameters.
     ///
     /// ```
     /// use decision::spread::Tuning;
@@ -84,30 +87,30 @@
         delta_bytes: u64,
         tuning: Tuning,
     ) -> Self {
-        let list: Vec<Peer> = (0..count).map(|index| peer(index, zones)).collect();
+        let peers: Vec<Peer> = (0..count).map(|index| peer(index, zones)).collect();
         let start = Millis(0);
         let mut nodes: Vec<Spread> =
-            list.iter().map(|own| Spread::new(own.clone(), own.id.0, start)).collect();
+            peers.iter().map(|own| Spread::new(own.clone(), own.id.0, start)).collect();
         for node in &mut nodes {
             node.set_tuning(tuning);
-            node.handle(start, SpreadEvent::Peers(list.clone()), &mut Vec::new());
+            node.handle(start, SpreadEvent::Peers(peers.clone()), &mut Vec::new());
             for account in 1..=accounts {
-                node.handle(start, installed(account, 1), &mut Vec::new());
+                node.handle(start, installed_event(account, 1), &mut Vec::new());
             }
             node.handle(start, SpreadEvent::Confirmed { age_ms: 0 }, &mut Vec::new());
         }
-        let ids = list.iter().map(|peer| peer.id).collect();
+        let ids = peers.iter().map(|peer| peer.id).collect();
         let traffic = Traffic::default();
         let node_bytes = vec![0; count];
         let mut fleet = Self {
             nodes,
             ids,
-            queue: Vec::new(),
+            pending_events: Vec::new(),
             node_bytes,
             traffic,
             delta_bytes,
-            exchange_bytes: exchange_bytes(),
-            message_overhead_bytes: DATAGRAM_BYTES,
+            exchange_overhead_bytes: exchange_overhead_bytes(),
+            message_overhead_bytes: DATAGRAM_OVERHEAD_BYTES,
             now: start,
         };
         fleet.run(2_000);
@@ -117,22 +120,23 @@
 
     /// Counts messages as HTTP exchanges instead of datagrams, for comparison.
     pub fn use_http(&mut self) {
-        self.message_overhead_bytes = self.exchange_bytes;
+        self.message_overhead_bytes = self.exchange_overhead_bytes;
     }
 
-    /// Lets time pass.
+    /// Advances simulated time by `duration_ms`.
     pub fn run(&mut self, duration_ms: u64) {
         let end = self.now.after(duration_ms);
         while self.now < end {
-            self.round();
+            self.run_round();
         }
     }
 
-    /// Runs until `done` holds for all nodes, at most `limit_ms`; the time it took.
+    /// Advances simulated time until `done` holds for all nodes and returns the elapsed
+    /// milliseconds, or `None` if that takes longer than `limit_ms`.
     pub fn run_until(&mut self, limit_ms: u64, done: impl Fn(&Spread) -> bool) -> Option<u64> {
         let start = self.now;
         while self.now.since(start) < limit_ms {
-            self.round();
+            self.run_round();
             if self.nodes.iter().all(&done) {
                 return Some(self.now.since(start));
             }
@@ -140,24 +144,25 @@
         None
     }
 
-    /// Hands an event to a node.
+    /// Queues an event for a node; it is handled in the next round.
     pub fn inject(&mut self, node: usize, event: SpreadEvent) {
-        self.queue.push((node, event));
+        self.pending_events.push((node, event));
     }
 
-    /// Puts a settings version in force on a node, as its watch of the service would.
+    /// Makes a settings version active on a node, as if the node had received it from the
+    /// configuration service.
     pub fn install(&mut self, node: usize, account: u64, version: u64) {
-        self.inject(node, installed(account, version));
+        self.inject(node, installed_event(account, version));
     }
 
-    /// What went over the network since the start.
+    /// Network traffic since the fleet was created and settled.
     pub fn traffic(&self) -> Traffic {
         self.traffic
     }
 
-    fn round(&mut self) {
+    fn run_round(&mut self) {
         self.now = self.now.after(ROUND_INTERVAL_MS);
-        for (node, event) in std::mem::take(&mut self.queue) {
+        for (node, event) in std::mem::take(&mut self.pending_events) {
             self.dispatch(node, event);
         }
         for node in 0..self.nodes.len() {
@@ -174,21 +179,25 @@
         let mut actions = Vec::new();
         self.nodes[node].handle(self.now, event, &mut actions);
         for action in actions {
-            self.perform(node, action);
+            self.perform_action(node, action);
         }
     }
 
-    fn perform(&mut self, node: usize, action: SpreadAction) {
+    fn perform_action(&mut self, node: usize, action: SpreadAction) {
         match action {
             SpreadAction::Send { to, message } => self.send(node, to, message),
             SpreadAction::FetchFromPeer { from, missing } => {
-                // A list entry is a name of 20 bytes, a version and two separators.
+                // A list entry consists of a name of 20 bytes, a version and two separators.
                 let entry_bytes = 26;
                 let exchanges = missing.len().div_ceil(SUBTREES_MAX) as u64;
                 let bodies = missing.len() as u64 * (self.delta_bytes + entry_bytes);
-                self.count(node, from.0 as usize, exchanges * self.exchange_bytes + bodies);
+                self.count_message(
+                    node,
+                    from.0 as usize,
+                    exchanges * self.exchange_overhead_bytes + bodies,
+                );
                 for MissingVersion { account, version } in missing {
-                    self.queue.push((node, SpreadEvent::Installed { account, version }));
+                    self.pending_events.push((node, SpreadEvent::Installed { account, version }));
                 }
             }
             SpreadAction::FetchFromService { .. } => self.traffic.service_reads += 1,
@@ -198,14 +207,15 @@
 
     fn send(&mut self, from: usize, to: NodeId, message: SpreadMessage) {
         let body = wire::spread::encode(&message);
-        self.count(from, to.0 as usize, body.len() as u64 + self.message_overhead_bytes);
-        // The receiver decodes, so that processor time is measured with it.
-        let message = wire::spread::decode(&body).expect("encoded by us");
+        self.count_message(from, to.0 as usize, body.len() as u64 + self.message_overhead_bytes);
+        // The receiver's decoding is part of the measured processor time.
+        let message =
+            wire::spread::decode(&body).expect("a message encoded by `encode` can be decoded");
         let event = SpreadEvent::Message { from: self.ids[from], message };
-        self.queue.push((to.0 as usize, event));
+        self.pending_events.push((to.0 as usize, event));
     }
 
-    fn count(&mut self, from: usize, to: usize, bytes: u64) {
+    fn count_message(&mut self, from: usize, to: usize, bytes: u64) {
         self.traffic.messages += 1;
         self.traffic.bytes += 2 * bytes;
         self.node_bytes[from] += bytes;
@@ -217,6 +227,6 @@
     Peer { id: NodeId(index as u64), zone: format!("zone-{}", index % zones).into() }
 }
 
-fn installed(account: u64, version: u64) -> SpreadEvent {
+fn installed_event(account: u64, version: u64) -> SpreadEvent {
     SpreadEvent::Installed { account: AccountId(account), version: Version(version) }
 }
--- a/crates/loadgen/src/cost/mod.rs
+++ b/crates/loadgen/src/cost/mod.rs
@@ -1,4 +1,5 @@
-//! Cost of control and settings: bytes, messages, processor time and memory, by the core's own code.
+//! Cost of the agents and of the settings: bytes, messages, processor time and memory, measured
+//! with the product's own code.
 
 pub mod agent;
 mod list;
@@ -7,4 +8,4 @@
 pub mod tree;
 
 pub use meter::{processor_time, resident_bytes};
-pub use service::{Service, Usage};
+pub use service::{SimulatedService, Usage};
--- a/crates/loadgen/src/fit.rs
+++ b/crates/loadgen/src/fit.rs
@@ -1,18 +1,18 @@
-//! Straight lines through measured points.
+//! Least-squares fit of a straight line to measured points.
 
-/// A least-squares line and how far the points lie from it.
+/// A least-squares line and its residual.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Fit {
-    /// Change of y for one more x.
+    /// Change of y per unit of x.
     pub slope: f64,
-    /// y where x is zero.
+    /// Value of y at x = 0.
     pub intercept: f64,
-    /// Largest distance of a point from the line, in percent of the largest y.
+    /// Largest vertical distance of a point from the line, in percent of the largest absolute y.
     pub residual_percent: f64,
 }
 
 impl Fit {
-    /// Fits a line through at least two points (x, y) with different x.
+    /// Fits a line to points (x, y). Returns `None` unless at least two points have different x.
     ///
     /// ```
     /// let fit = loadgen::fit::Fit::through(&[(1.0, 5.0), (2.0, 7.0), (3.0, 9.0)]).unwrap();
@@ -22,12 +22,12 @@
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
-        let spread = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum::<f64>();
-        if points.len() < 2 || spread == 0.0 {
+        let squares_x = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum::<f64>();
+        if points.len() < 2 || squares_x == 0.0 {
             return None;
         }
-        let product = points.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y));
-        let slope = product.sum::<f64>() / spread;
+        let products_xy = points.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y));
+        let slope = products_xy.sum::<f64>() / squares_x;
         let intercept = mean_y - slope * mean_x;
         let mut fit = Self { slope, intercept, residual_percent: 0.0 };
         let largest = points.iter().map(|point| point.1.abs()).fold(f64::MIN_POSITIVE, f64::max);
@@ -36,7 +36,7 @@
         Some(fit)
     }
 
-    /// The line's y at `x`.
+    /// Value of the line at `x`.
     ///
     /// ```
     /// let fit = loadgen::fit::Fit { slope: 2.0, intercept: 1.0, residual_percent: 0.0 };
