--- a/crates/standins/src/bin/standin-upstream.rs
+++ b/crates/standins/src/bin/standin-upstream.rs
@@ -112,9 +112,9 @@
     }
     let service = service.context("--service is missing")?;
     let name = name.context("--name is missing")?;
-    let answerer = UpstreamConfig::answerer(&service, &name);
+    let responder = UpstreamConfig::responder(&service, &name);
     Ok(Some(Options {
-        config: UpstreamConfig { answerer, endpoints, seed },
+        config: UpstreamConfig { responder, endpoints, seed },
         listen: listen.context("--listen is missing")?,
         gateway: gateway.context("--gateway is missing")?,
         control: control.context("--control is missing")?,
--- a/crates/standins/src/caller/connection.rs
+++ b/crates/standins/src/caller/connection.rs
@@ -7,7 +7,7 @@
 use smoltcp::socket::tcp;
 
 use super::{Incident, Kind, Outcome, Report, Workload};
-use crate::protocol::{Answer, AnswerReader, Answerer, Request, RequestId};
+use crate::protocol::{Answer, AnswerReader, Request, RequestId, Responder};
 use crate::stack::TcpStack;
 
 /// A feed without a line for this long counts as silent in a report.
@@ -229,8 +229,10 @@
 
     fn take(&mut self, now: Millis, answer: Answer, report: &mut Report) -> Result<(), Outcome> {
         match answer {
-            Answer::Confirmed(id, by) | Answer::Body { id, by, .. } | Answer::Feed(id, by) => {
-                self.check_answerer(by)?;
+            Answer::Confirmed(id, responder)
+            | Answer::Body { id, responder, .. }
+            | Answer::Feed(id, responder) => {
+                self.check_responder(responder)?;
                 self.complete(now, id, report)
             }
             Answer::Line { id, number, .. } => {
@@ -249,14 +251,14 @@
     }
 
     /// All answers on one connection come from one upstream of the right service.
-    fn check_answerer(&mut self, by: Answerer) -> Result<(), Outcome> {
-        if by.service != self.service {
+    fn check_responder(&mut self, responder: Responder) -> Result<(), Outcome> {
+        if responder.service != self.service {
             return Err(Outcome::WrongService);
         }
         match &self.upstream {
-            Some(known) if *known != by.upstream => Err(Outcome::Corrupt),
+            Some(known) if *known != responder.upstream => Err(Outcome::Corrupt),
             _ => {
-                self.upstream = Some(by.upstream);
+                self.upstream = Some(responder.upstream);
                 Ok(())
             }
         }
--- a/crates/standins/src/caller/datagrams.rs
+++ b/crates/standins/src/caller/datagrams.rs
@@ -55,7 +55,7 @@
         let outcome = match answer {
             // A late copy of the answer to an earlier request from the same port.
             Ok(Answer::Confirmed(id, _) | Answer::Shed(id)) if id != waiting.id => return,
-            Ok(Answer::Confirmed(_, by)) if by.service == waiting.service => {
+            Ok(Answer::Confirmed(_, responder)) if responder.service == waiting.service => {
                 report.answered(now, waiting.sent_at);
                 self.waiting.remove(place);
                 return;
--- a/crates/standins/src/protocol/answer.rs
+++ b/crates/standins/src/protocol/answer.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use super::{Answerer, Body, Malformed, RequestId, line_check, number};
+use super::{Body, Malformed, RequestId, Responder, line_checksum, parse_number};
 
 /// Longest line of the protocol; a longer one is garbage.
 const LINE_BYTES_MAX: usize = 256;
@@ -12,26 +12,26 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The confirmation has run.
-    Confirmed(RequestId, Answerer),
+    Confirmed(RequestId, Responder),
     /// Head of a body, or the whole of it when read by [`AnswerReader`].
     Body {
         /// Request.
         id: RequestId,
         /// Who answers.
-        by: Answerer,
+        responder: Responder,
         /// Length of the body.
         bytes: u32,
     },
     /// The feed begins.
-    Feed(RequestId, Answerer),
+    Feed(RequestId, Responder),
     /// One line of a feed.
     Line {
         /// Request.
         id: RequestId,
         /// Number of the line, from zero.
         number: u64,
-        /// Check word, see [`line_check`].
-        check: u64,
+        /// Check word, see [`line_checksum`].
+        checksum: u64,
     },
     /// The feed has ended after this many lines.
     Ended(RequestId, u64),
@@ -49,19 +49,19 @@
     pub fn parse(line: &str) -> Result<Self, Malformed> {
         let mut words = line.split(' ');
         let verb = words.next().ok_or(Malformed)?;
-        let id = RequestId(number(words.next())?);
+        let id = RequestId(parse_number(words.next())?);
         match verb {
-            "OK" => Ok(Self::Confirmed(id, answerer(&mut words)?)),
-            "FEED" => Ok(Self::Feed(id, answerer(&mut words)?)),
+            "OK" => Ok(Self::Confirmed(id, parse_responder(&mut words)?)),
+            "FEED" => Ok(Self::Feed(id, parse_responder(&mut words)?)),
             "BODY" => {
-                let by = answerer(&mut words)?;
-                Ok(Self::Body { id, by, bytes: number(words.next())? })
+                let responder = parse_responder(&mut words)?;
+                Ok(Self::Body { id, responder, bytes: parse_number(words.next())? })
             }
             "LINE" => {
-                let line = number(words.next())?;
-                Ok(Self::Line { id, number: line, check: number(words.next())? })
+                let line = parse_number(words.next())?;
+                Ok(Self::Line { id, number: line, checksum: parse_number(words.next())? })
             }
-            "END" => Ok(Self::Ended(id, number(words.next())?)),
+            "END" => Ok(Self::Ended(id, parse_number(words.next())?)),
             "SHED" => Ok(Self::Shed(id)),
             _ => Err(Malformed),
         }
@@ -70,7 +70,7 @@
     /// True if the content of a line is what its number says.
     pub fn is_intact(&self) -> bool {
         match *self {
-            Self::Line { id, number, check } => check == line_check(id, number),
+            Self::Line { id, number, checksum } => checksum == line_checksum(id, number),
             _ => true,
         }
     }
@@ -79,12 +79,16 @@
 impl fmt::Display for Answer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Confirmed(id, by) => write!(f, "OK {} {} {}", id.0, by.service, by.upstream),
-            Self::Body { id, by, bytes } => {
-                write!(f, "BODY {} {} {} {bytes}", id.0, by.service, by.upstream)
+            Self::Confirmed(id, responder) => {
+                write!(f, "OK {} {} {}", id.0, responder.service, responder.upstream)
             }
-            Self::Feed(id, by) => write!(f, "FEED {} {} {}", id.0, by.service, by.upstream),
-            Self::Line { id, number, check } => write!(f, "LINE {} {number} {check}", id.0),
+            Self::Body { id, responder, bytes } => {
+                write!(f, "BODY {} {} {} {bytes}", id.0, responder.service, responder.upstream)
+            }
+            Self::Feed(id, responder) => {
+                write!(f, "FEED {} {} {}", id.0, responder.service, responder.upstream)
+            }
+            Self::Line { id, number, checksum } => write!(f, "LINE {} {number} {checksum}", id.0),
             Self::Ended(id, lines) => write!(f, "END {} {lines}", id.0),
             Self::Shed(id) => write!(f, "SHED {}", id.0),
         }
@@ -103,14 +107,14 @@
 #[derive(Debug, Default)]
 pub struct AnswerReader {
     line: Vec<u8>,
-    body: Option<OpenBody>,
+    body: Option<PartialBody>,
 }
 
 #[derive(Debug)]
-struct OpenBody {
+struct PartialBody {
     answer: Answer,
     expected: Body,
-    missing: u32,
+    remaining_bytes: u32,
 }
 
 impl AnswerReader {
@@ -118,16 +122,16 @@
     pub fn read(
         &mut self,
         mut bytes: &[u8],
-        mut take: impl FnMut(Answer),
+        mut on_answer: impl FnMut(Answer),
     ) -> Result<(), Malformed> {
         while let Some((&first, rest)) = bytes.split_first() {
             if self.body.is_some() {
-                bytes = self.read_body(bytes, &mut take)?;
+                bytes = self.read_body(bytes, &mut on_answer)?;
                 continue;
             }
             bytes = rest;
             if first == b'\n' {
-                self.end_line(&mut take)?;
+                self.end_line(&mut on_answer)?;
             } else if self.line.len() < LINE_BYTES_MAX {
                 self.line.push(first);
             } else {
@@ -142,14 +146,15 @@
         self.body.is_none() && self.line.is_empty()
     }
 
-    fn end_line(&mut self, take: &mut impl FnMut(Answer)) -> Result<(), Malformed> {
+    fn end_line(&mut self, on_answer: &mut impl FnMut(Answer)) -> Result<(), Malformed> {
         let line = std::mem::take(&mut self.line);
         let answer = Answer::parse(std::str::from_utf8(&line).map_err(|_| Malformed)?)?;
         match answer {
             Answer::Body { id, bytes, .. } if bytes > 0 => {
-                self.body = Some(OpenBody { answer, expected: Body::new(id), missing: bytes });
+                self.body =
+                    Some(PartialBody { answer, expected: Body::new(id), remaining_bytes: bytes });
             }
-            whole => take(whole),
+            whole => on_answer(whole),
         }
         Ok(())
     }
@@ -158,23 +163,23 @@
     fn read_body<'a>(
         &mut self,
         bytes: &'a [u8],
-        take: &mut impl FnMut(Answer),
+        on_answer: &mut impl FnMut(Answer),
     ) -> Result<&'a [u8], Malformed> {
         let Some(mut body) = self.body.take() else { return Ok(bytes) };
-        let (now, rest) = bytes.split_at(bytes.len().min(body.missing as usize));
-        if !now.iter().copied().eq(body.expected.by_ref().take(now.len())) {
+        let (available, rest) = bytes.split_at(bytes.len().min(body.remaining_bytes as usize));
+        if !available.iter().copied().eq(body.expected.by_ref().take(available.len())) {
             return Err(Malformed);
         }
-        body.missing -= now.len() as u32;
-        match body.missing {
-            0 => take(body.answer),
+        body.remaining_bytes -= available.len() as u32;
+        match body.remaining_bytes {
+            0 => on_answer(body.answer),
             _ => self.body = Some(body),
         }
         Ok(rest)
     }
 }
 
-fn answerer<'a>(words: &mut impl Iterator<Item = &'a str>) -> Result<Answerer, Malformed> {
+fn parse_responder<'a>(words: &mut impl Iterator<Item = &'a str>) -> Result<Responder, Malformed> {
     let mut word = || words.next().map(Arc::from).ok_or(Malformed);
-    Ok(Answerer { service: word()?, upstream: word()? })
+    Ok(Responder { service: word()?, upstream: word()? })
 }
--- a/crates/standins/src/protocol/body.rs
+++ b/crates/standins/src/protocol/body.rs
@@ -37,10 +37,10 @@
 /// The check word of line `number` of a feed.
 ///
 /// ```
-/// use standins::protocol::{RequestId, line_check};
-/// assert_ne!(line_check(RequestId(7), 1), line_check(RequestId(7), 2));
+/// use standins::protocol::{RequestId, line_checksum};
+/// assert_ne!(line_checksum(RequestId(7), 1), line_checksum(RequestId(7), 2));
 /// ```
-pub fn line_check(id: RequestId, number: u64) -> u64 {
+pub fn line_checksum(id: RequestId, number: u64) -> u64 {
     mix(id.0 ^ mix(number))
 }
 
--- a/crates/standins/src/protocol/mod.rs
+++ b/crates/standins/src/protocol/mod.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 
 pub use answer::{Answer, AnswerReader};
-pub use body::{Body, line_check};
+pub use body::{Body, line_checksum};
 
 /// Number of a request, unique over all callers of a run.
 #[derive(
@@ -50,7 +50,7 @@
 
 /// Who answers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
-pub struct Answerer {
+pub struct Responder {
     /// Service.
     pub service: Arc<str>,
     /// Upstream.
@@ -85,11 +85,11 @@
     pub fn parse(line: &str) -> Result<Self, Malformed> {
         let mut words = line.split(' ');
         let verb = words.next().ok_or(Malformed)?;
-        let id = RequestId(number(words.next())?);
+        let id = RequestId(parse_number(words.next())?);
         let request = match verb {
             "CONFIRM" => Self::Confirm(id),
-            "FETCH" => Self::Fetch { id, bytes: number(words.next())? },
-            "FEED" => Self::Feed { id, interval_ms: number(words.next())? },
+            "FETCH" => Self::Fetch { id, bytes: parse_number(words.next())? },
+            "FEED" => Self::Feed { id, interval_ms: parse_number(words.next())? },
             "END" => Self::End(id),
             _ => return Err(Malformed),
         };
@@ -111,6 +111,6 @@
     }
 }
 
-fn number<T: std::str::FromStr>(word: Option<&str>) -> Result<T, Malformed> {
+fn parse_number<T: std::str::FromStr>(word: Option<&str>) -> Result<T, Malformed> {
     word.and_then(|word| word.parse().ok()).ok_or(Malformed)
 }
--- a/crates/standins/src/upstream/connection.rs
+++ b/crates/standins/src/upstream/connection.rs
@@ -6,7 +6,7 @@
 use smoltcp::socket::tcp;
 
 use super::{Event, Ledger, Switches};
-use crate::protocol::{Answer, Answerer, Body, Request, RequestId, line_check};
+use crate::protocol::{Answer, Body, Request, RequestId, Responder, line_checksum};
 use crate::stack::TcpStack;
 
 /// Longest request line; a caller that sends more is cut off.
@@ -57,14 +57,14 @@
     pub(super) fn poll(
         &mut self,
         now: Millis,
-        answerer: &Answerer,
+        responder: &Responder,
         switches: &Switches,
         ledger: &mut Ledger,
         out: &mut Vec<Vec<u8>>,
     ) {
         self.stack.poll(now, out);
         self.receive(now, switches);
-        self.run_pending(now, answerer, switches, ledger);
+        self.run_pending(now, responder, switches, ledger);
         self.advance_feed(now);
         self.send();
         self.close_after_caller();
@@ -100,7 +100,7 @@
     fn run_pending(
         &mut self,
         now: Millis,
-        answerer: &Answerer,
+        responder: &Responder,
         switches: &Switches,
         ledger: &mut Ledger,
     ) {
@@ -114,24 +114,24 @@
                 self.answer(&Answer::Shed(request.id()));
                 continue;
             }
-            self.run(now, answerer, request, ledger);
+            self.run(now, responder, request, ledger);
         }
     }
 
-    fn run(&mut self, now: Millis, answerer: &Answerer, request: Request, ledger: &mut Ledger) {
+    fn run(&mut self, now: Millis, responder: &Responder, request: Request, ledger: &mut Ledger) {
         if !matches!(request, Request::End(_))
             && let Some(client) = self.client()
         {
             ledger.add(now, Event::Run { request: request.id(), client });
         }
         match request {
-            Request::Confirm(id) => self.answer(&Answer::Confirmed(id, answerer.clone())),
+            Request::Confirm(id) => self.answer(&Answer::Confirmed(id, responder.clone())),
             Request::Fetch { id, bytes } => {
-                self.answer(&Answer::Body { id, by: answerer.clone(), bytes });
+                self.answer(&Answer::Body { id, responder: responder.clone(), bytes });
                 self.outgoing.extend(Body::new(id).take(bytes as usize));
             }
             Request::Feed { id, interval_ms } => {
-                self.answer(&Answer::Feed(id, answerer.clone()));
+                self.answer(&Answer::Feed(id, responder.clone()));
                 let interval_ms = u64::from(interval_ms.max(1));
                 self.feed = Some(Feed { id, interval_ms, next_line: 0, next_at: now });
             }
@@ -160,7 +160,7 @@
         let (id, number) = (feed.id, feed.next_line);
         feed.next_line += 1;
         feed.next_at = now.after(feed.interval_ms);
-        self.answer(&Answer::Line { id, number, check: line_check(id, number) });
+        self.answer(&Answer::Line { id, number, checksum: line_checksum(id, number) });
     }
 
     fn send(&mut self) {
--- a/crates/standins/src/upstream/mod.rs
+++ b/crates/standins/src/upstream/mod.rs
@@ -10,7 +10,7 @@
 use decision::time::Millis;
 
 use crate::datagram::{self, Content, Packet};
-use crate::protocol::{Answer, Answerer, Request};
+use crate::protocol::{Answer, Request, Responder};
 use crate::stack::TcpStack;
 use connection::Connection;
 pub use ledger::{Event, Ledger, Row};
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct UpstreamConfig {
     /// Names in its answers.
-    pub answerer: Answerer,
+    pub responder: Responder,
     /// Addresses of its service; a packet to any other is misdelivered.
     pub endpoints: Vec<SocketAddr>,
     /// Decides the initial sequence numbers.
@@ -52,9 +52,9 @@
     ///
     /// ```
     /// use decision::time::Millis;
-    /// use standins::{protocol::Answerer, upstream::*};
-    /// let answerer = Answerer { service: "shelf".into(), upstream: "shelf-1".into() };
-    /// let config = UpstreamConfig { answerer, endpoints: vec![], seed: 1 };
+    /// use standins::{protocol::Responder, upstream::*};
+    /// let responder = Responder { service: "shelf".into(), upstream: "shelf-1".into() };
+    /// let config = UpstreamConfig { responder, endpoints: vec![], seed: 1 };
     /// assert_eq!(Upstream::new(config, Millis(0)).status(Millis(5)).open_flows, 0);
     /// ```
     pub fn new(config: UpstreamConfig, now: Millis) -> Self {
@@ -94,10 +94,10 @@
     pub fn poll(&mut self, now: Millis, out: &mut Vec<Vec<u8>>) {
         let first = out.len();
         out.append(&mut self.replies);
-        let answerer = &self.config.answerer;
+        let responder = &self.config.responder;
         for (_, connection) in &mut self.connections {
             if connection.due <= now {
-                connection.poll(now, answerer, &self.switches, &mut self.ledger, out);
+                connection.poll(now, responder, &self.switches, &mut self.ledger, out);
             }
         }
         self.connections.retain(|(_, connection)| connection.is_open());
@@ -194,7 +194,7 @@
             Answer::Shed(id)
         } else {
             self.ledger.add(now, Event::Run { request: id, client: packet.source });
-            Answer::Confirmed(id, self.config.answerer.clone())
+            Answer::Confirmed(id, self.config.responder.clone())
         };
         let answer = answer.to_string();
         self.replies.push(datagram::udp(packet.destination, packet.source, answer.as_bytes()));
@@ -211,9 +211,9 @@
     ///
     /// ```
     /// use standins::upstream::UpstreamConfig;
-    /// assert_eq!(&*UpstreamConfig::answerer("shelf", "shelf-1").upstream, "shelf-1");
+    /// assert_eq!(&*UpstreamConfig::responder("shelf", "shelf-1").upstream, "shelf-1");
     /// ```
-    pub fn answerer(service: &str, upstream: &str) -> Answerer {
-        Answerer { service: Arc::from(service), upstream: Arc::from(upstream) }
+    pub fn responder(service: &str, upstream: &str) -> Responder {
+        Responder { service: Arc::from(service), upstream: Arc::from(upstream) }
     }
 }
--- a/crates/standins/tests/protocol.rs
+++ b/crates/standins/tests/protocol.rs
@@ -1,13 +1,13 @@
 //! The request protocol: both directions, and streams cut anywhere.
 
 use rstest::rstest;
-use standins::protocol::line_check;
-use standins::protocol::{Answer, AnswerReader, Answerer, Body, Malformed, Request, RequestId};
+use standins::protocol::line_checksum;
+use standins::protocol::{Answer, AnswerReader, Body, Malformed, Request, RequestId, Responder};
 
 const ID: RequestId = RequestId(77);
 
-fn by() -> Answerer {
-    Answerer { service: "shelf".into(), upstream: "shelf-1".into() }
+fn responder() -> Responder {
+    Responder { service: "shelf".into(), upstream: "shelf-1".into() }
 }
 
 #[rstest]
@@ -28,10 +28,10 @@
 }
 
 #[rstest]
-#[case::confirmed(Answer::Confirmed(ID, by()))]
-#[case::body(Answer::Body { id: ID, by: by(), bytes: 3 })]
-#[case::feed(Answer::Feed(ID, by()))]
-#[case::line(Answer::Line { id: ID, number: 5, check: line_check(ID, 5) })]
+#[case::confirmed(Answer::Confirmed(ID, responder()))]
+#[case::body(Answer::Body { id: ID, responder: responder(), bytes: 3 })]
+#[case::feed(Answer::Feed(ID, responder()))]
+#[case::line(Answer::Line { id: ID, number: 5, checksum: line_checksum(ID, 5) })]
 #[case::ended(Answer::Ended(ID, 6))]
 #[case::shed(Answer::Shed(ID))]
 fn answer_line_round_trips(#[case] answer: Answer) {
@@ -56,8 +56,8 @@
     for bytes in stream().chunks(portion) {
         reader.read(bytes, |answer| answers.push(answer)).unwrap();
     }
-    let body = Answer::Body { id: ID, by: by(), bytes: 300 };
-    assert_eq!(answers, [body, Answer::Confirmed(RequestId(78), by())]);
+    let body = Answer::Body { id: ID, responder: responder(), bytes: 300 };
+    assert_eq!(answers, [body, Answer::Confirmed(RequestId(78), responder())]);
     assert!(reader.is_between_answers());
 }
 
@@ -76,5 +76,5 @@
 
 #[test]
 fn wrong_line_check_is_noticed() {
-    assert!(!Answer::Line { id: ID, number: 5, check: line_check(ID, 6) }.is_intact());
+    assert!(!Answer::Line { id: ID, number: 5, checksum: line_checksum(ID, 6) }.is_intact());
 }
--- a/crates/standins/tests/wire_loop.rs
+++ b/crates/standins/tests/wire_loop.rs
@@ -32,9 +32,9 @@
     fn new() -> Self {
         let clients = vec!["198.18.0.1".parse().unwrap(), "198.18.0.2".parse().unwrap()];
         let caller = CallerConfig { clients, number: 1, seed: 7, stall_ms: STALL_MS };
-        let answerer = UpstreamConfig::answerer("shelf", "shelf-1");
+        let responder = UpstreamConfig::responder("shelf", "shelf-1");
         let endpoints = vec![address(SERVICE), address(DATAGRAMS)];
-        let upstream = UpstreamConfig { answerer, endpoints, seed: 8 };
+        let upstream = UpstreamConfig { responder, endpoints, seed: 8 };
         Self {
             caller: Caller::new(caller),
             upstream: Upstream::new(upstream, Millis(0)),
@@ -229,9 +229,9 @@
 #[test]
 fn wrong_service_is_noticed() {
     let mut wire = Wire::with_work(Workload { confirms_per_s: 10, ..no_work() });
-    let answerer = UpstreamConfig::answerer("fitting", "fitting-1");
+    let responder = UpstreamConfig::responder("fitting", "fitting-1");
     let endpoints = vec![address(SERVICE)];
-    wire.upstream = Upstream::new(UpstreamConfig { answerer, endpoints, seed: 8 }, Millis(0));
+    wire.upstream = Upstream::new(UpstreamConfig { responder, endpoints, seed: 8 }, Millis(0));
     wire.run(1_000);
     let report = wire.stop();
     assert!(report.incidents.len() > 3);
