--- a/crates/standins/src/admin/mod.rs
+++ b/crates/standins/src/admin/mod.rs
@@ -17,7 +17,7 @@
 use serde::de::DeserializeOwned;
 
 /// Threads of one endpoint; the lab starts dozens of processes.
-const THREADS: usize = 1;
+const WORKER_THREADS: usize = 1;
 
 /// One HTTP call.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,10 +46,10 @@
 }
 
 /// Answers a call some time later.
-pub type Answering = Pin<Box<dyn Future<Output = Reply> + Send>>;
+pub type ReplyFuture = Pin<Box<dyn Future<Output = Reply> + Send>>;
 
 /// Answers all calls of an endpoint.
-pub type Respond = Arc<dyn Fn(Call) -> Answering + Send + Sync>;
+pub type RespondFn = Arc<dyn Fn(Call) -> ReplyFuture + Send + Sync>;
 
 impl Call {
     /// Method and path segments, to match on.
@@ -123,12 +123,14 @@
 }
 
 /// Binds `address` and serves it on threads of its own until the process ends.
-pub fn spawn(address: SocketAddr, respond: Respond) -> anyhow::Result<()> {
+pub fn spawn(address: SocketAddr, respond: RespondFn) -> anyhow::Result<()> {
     let listener = std::net::TcpListener::bind(address)
         .with_context(|| format!("cannot listen on {address}/tcp"))?;
     listener.set_nonblocking(true)?;
-    let runtime =
-        tokio::runtime::Builder::new_multi_thread().worker_threads(THREADS).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(WORKER_THREADS)
+        .enable_all()
+        .build()?;
     std::thread::Builder::new().name("admin".to_owned()).spawn(move || {
         runtime.block_on(async {
             // The listener is non-blocking already, which is all that this asks for.
@@ -140,11 +142,11 @@
 }
 
 /// Wraps a function that answers at once.
-pub fn immediate(respond: impl Fn(&Call) -> Reply + Send + Sync + 'static) -> Respond {
+pub fn immediate(respond: impl Fn(&Call) -> Reply + Send + Sync + 'static) -> RespondFn {
     Arc::new(move |call| Box::pin(std::future::ready(respond(&call))))
 }
 
-struct Server(Respond);
+struct Server(RespondFn);
 
 /// A panic in one call leaves nothing half done that the next call could see: the state behind it
 /// is locked by mutexes, which report the poisoning.
@@ -158,7 +160,7 @@
     }
 }
 
-struct Handler(Respond);
+struct Handler(RespondFn);
 
 impl gotham::handler::Handler for Handler {
     fn handle(self, mut state: State) -> Pin<Box<HandlerFuture>> {
@@ -176,15 +178,15 @@
 async fn read_call(state: &mut State) -> Option<Call> {
     let body = Body::take_from(state).collect().await.ok()?.to_bytes().to_vec();
     let uri = Uri::borrow_from(state);
-    let agent = HeaderMap::borrow_from(state).get(USER_AGENT);
-    let agent = agent.and_then(|agent| agent.to_str().ok()).map(str::to_owned);
+    let user_agent = HeaderMap::borrow_from(state).get(USER_AGENT);
+    let user_agent = user_agent.and_then(|user_agent| user_agent.to_str().ok()).map(str::to_owned);
     let address = || client_addr(state).map(|address| address.to_string()).unwrap_or_default();
     Some(Call {
         method: Method::borrow_from(state).clone(),
         path: uri.path().to_owned(),
         query: uri.query().unwrap_or_default().to_owned(),
         body,
-        reader: agent.unwrap_or_else(address),
+        reader: user_agent.unwrap_or_else(address),
     })
 }
 
--- a/crates/standins/src/bin/standin-caller.rs
+++ b/crates/standins/src/bin/standin-caller.rs
@@ -20,7 +20,7 @@
 ";
 
 /// An established connection without progress for this long is broken.
-const STALL_MS: u64 = 10_000;
+const DEFAULT_STALL_MS: u64 = 10_000;
 
 struct Options {
     config: CallerConfig,
@@ -39,7 +39,7 @@
     admin::spawn(options.control, admin::immediate(move |call| respond(&state, call)))?;
     let shell = Shell {
         inner: Arc::clone(&inner),
-        packet: Caller::packet,
+        handle_packet: Caller::handle_packet,
         poll: Caller::poll,
         due: Caller::due,
         after_poll: Box::new(|_, terminated| Ok(terminated)),
@@ -72,7 +72,7 @@
 fn parse() -> anyhow::Result<Option<Options>> {
     let mut clients: Vec<IpAddr> = Vec::new();
     let (mut listen, mut fabric, mut control) = (None, None, None);
-    let (mut number, mut seed, mut stall_ms) = (1, 1, STALL_MS);
+    let (mut number, mut seed, mut stall_ms) = (1, 1, DEFAULT_STALL_MS);
     let mut parser = lexopt::Parser::from_env();
     while let Some(argument) = parser.next()? {
         match argument {
--- a/crates/standins/src/bin/standin-fabric.rs
+++ b/crates/standins/src/bin/standin-fabric.rs
@@ -21,7 +21,7 @@
 ";
 
 /// Datagrams taken from one socket before the other one and the queue are looked at.
-const BATCH: usize = 256;
+const BATCH_MAX: usize = 256;
 /// Longest sleep, so that a signal is noticed.
 const SLEEP_MAX_US: u64 = 50_000;
 /// Shortest sleep that the timer can keep; what is due sooner is waited for in turns.
@@ -73,8 +73,8 @@
 ) {
     let mut datagram = vec![0; DATAGRAM_BYTES_MAX];
     while !terminated.load(Ordering::Relaxed) {
-        receive(fabric, ingress, &mut datagram, Fabric::from_caller);
-        receive(fabric, gateway, &mut datagram, Fabric::from_upstream);
+        receive(fabric, ingress, &mut datagram, Fabric::receive_from_caller);
+        receive(fabric, gateway, &mut datagram, Fabric::receive_from_upstream);
         let due_us = send_due(fabric, ingress, gateway);
         let sleep_us = due_us.map_or(SLEEP_MAX_US, |due| due.saturating_sub(clock::now_us()));
         let sleep = Duration::from_micros(sleep_us.clamp(SLEEP_MIN_US, SLEEP_MAX_US));
@@ -90,13 +90,13 @@
     fabric: &Mutex<Fabric>,
     socket: &UdpSocket,
     datagram: &mut [u8],
-    take: fn(&mut Fabric, u64, SocketAddr, &[u8]),
+    handle: fn(&mut Fabric, u64, SocketAddr, &[u8]),
 ) {
     let mut fabric = lock(fabric);
     let now_us = clock::now_us();
-    for _ in 0..BATCH {
+    for _ in 0..BATCH_MAX {
         let Ok((length, from)) = socket.try_recv_from(datagram) else { return };
-        take(&mut fabric, now_us, from, &datagram[..length]);
+        handle(&mut fabric, now_us, from, &datagram[..length]);
     }
 }
 
--- a/crates/standins/src/bin/standin-platform.rs
+++ b/crates/standins/src/bin/standin-platform.rs
@@ -19,9 +19,9 @@
 ";
 
 /// Roughly what the brief gives, over all readers.
-const READS_PER_S: u32 = 2_000;
+const DEFAULT_READS_PER_S: u32 = 2_000;
 /// How soon a signal is noticed.
-const SIGNAL_STEP_MS: u64 = 20;
+const SIGNAL_POLL_INTERVAL_MS: u64 = 20;
 
 fn main() -> anyhow::Result<()> {
     let Some((listen, reads_per_s)) = parse()? else {
@@ -38,13 +38,13 @@
         }),
     )?;
     while !terminated.load(Ordering::Relaxed) {
-        std::thread::sleep(Duration::from_millis(SIGNAL_STEP_MS));
+        std::thread::sleep(Duration::from_millis(SIGNAL_POLL_INTERVAL_MS));
     }
     Ok(())
 }
 
 fn parse() -> anyhow::Result<Option<(SocketAddr, u32)>> {
-    let (mut listen, mut reads_per_s) = (None, READS_PER_S);
+    let (mut listen, mut reads_per_s) = (None, DEFAULT_READS_PER_S);
     let mut parser = lexopt::Parser::from_env();
     while let Some(argument) = parser.next()? {
         match argument {
--- a/crates/standins/src/bin/standin-upstream.rs
+++ b/crates/standins/src/bin/standin-upstream.rs
@@ -23,7 +23,7 @@
 ";
 
 /// A graceful end waits no longer than this for connections to end.
-const END_AFTER_MS: u64 = 10_000;
+const SHUTDOWN_TIMEOUT_MS: u64 = 10_000;
 
 struct Options {
     config: UpstreamConfig,
@@ -43,7 +43,7 @@
     admin::spawn(options.control, admin::immediate(move |call| respond(&state, call)))?;
     let shell = Shell {
         inner,
-        packet: Upstream::packet,
+        handle_packet: Upstream::handle_packet,
         poll: Upstream::poll,
         due: Upstream::due,
         after_poll: after_poll(options.ledger)?,
@@ -72,7 +72,7 @@
         file.with_context(|| format!("cannot write {}", path.display()))
     };
     let mut file = path.map(open).transpose()?;
-    let mut ends_at = None;
+    let mut shutdown_deadline = None;
     Ok(Box::new(move |upstream, terminated| {
         let mut lines = Vec::new();
         for row in upstream.ledger_mut().take_new() {
@@ -86,8 +86,8 @@
             return Ok(false);
         }
         let now = clock::now();
-        let ends_at = *ends_at.get_or_insert(now.after(END_AFTER_MS));
-        Ok(upstream.stats().open_connections == 0 || now >= ends_at)
+        let shutdown_deadline = *shutdown_deadline.get_or_insert(now.after(SHUTDOWN_TIMEOUT_MS));
+        Ok(upstream.stats().open_connections == 0 || now >= shutdown_deadline)
     }))
 }
 
--- a/crates/standins/src/caller/connection.rs
+++ b/crates/standins/src/caller/connection.rs
@@ -11,7 +11,7 @@
 use crate::stack::TcpStack;
 
 /// A feed without a line for this long counts as silent in a report.
-const SILENT_MS: u64 = 2_000;
+const FEED_SILENT_MS: u64 = 2_000;
 /// A feed's confirmations have numbers of their own above this bit.
 const FEED_CONFIRM_SHIFT: u32 = 28;
 
@@ -58,10 +58,10 @@
     next_confirm_at: Millis,
     confirms: u64,
     /// Requests without their whole answer, and when they were sent.
-    waiting: Vec<(RequestId, Millis)>,
+    unanswered: Vec<(RequestId, Millis)>,
     lines: u64,
     is_ending: bool,
-    began_at: Millis,
+    started_at: Millis,
     progress_at: Millis,
     finished_at: Millis,
 }
@@ -97,10 +97,10 @@
             confirm_interval_ms: if confirms { work.feed_confirm_interval_ms } else { 0 },
             next_confirm_at: Millis(u64::MAX),
             confirms: 0,
-            waiting: Vec::new(),
+            unanswered: Vec::new(),
             lines: 0,
             is_ending: false,
-            began_at: now,
+            started_at: now,
             progress_at: now,
             finished_at: now,
         }
@@ -131,7 +131,7 @@
     }
 
     /// True once nothing more can come of it.
-    pub(super) fn is_over(&self, now: Millis, linger_ms: u64) -> bool {
+    pub(super) fn is_expired(&self, now: Millis, linger_ms: u64) -> bool {
         self.is_finished() && now.since(self.finished_at) >= linger_ms
     }
 
@@ -144,7 +144,7 @@
         self.next_confirm_at = Millis(u64::MAX);
         self.due = now;
         if self.phase == Phase::Open {
-            self.ask(now, Request::End(self.id));
+            self.queue_request(now, Request::End(self.id));
         }
     }
 
@@ -155,7 +155,7 @@
         report.flows_open += 1;
         if self.purpose == Purpose::Feed {
             report.feeds_open += 1;
-            report.feeds_silent += u64::from(now.since(self.progress_at) >= SILENT_MS);
+            report.feeds_silent += u64::from(now.since(self.progress_at) >= FEED_SILENT_MS);
         }
     }
 
@@ -168,7 +168,7 @@
     ) {
         self.stack.poll(now, out);
         self.advance(now, stall_ms, report);
-        self.send();
+        self.flush();
         self.stack.poll(now, out);
         self.due = self.next_due(now, stall_ms);
     }
@@ -183,33 +183,33 @@
         if let Err(outcome) = self.receive(now, report) {
             return self.fail(now, outcome, report);
         }
-        self.judge(now, stall_ms, report);
+        self.check_state(now, stall_ms, report);
     }
 
     fn advance_opening(&mut self, now: Millis, stall_ms: u64, report: &mut Report) {
         let socket = self.stack.socket();
         if socket.may_send() {
-            report.opened(now, self.began_at);
+            report.record_opening(now, self.started_at);
             self.phase = Phase::Open;
             self.progress_at = now;
             self.next_confirm_at = match self.confirm_interval_ms {
                 0 => Millis(u64::MAX),
                 interval_ms => now.after(interval_ms),
             };
-            self.ask(now, self.request);
+            self.queue_request(now, self.request);
             if self.is_ending {
-                self.ask(now, Request::End(self.id));
+                self.queue_request(now, Request::End(self.id));
             }
         } else if !socket.is_open() {
             self.fail(now, Outcome::Refused, report);
-        } else if now.since(self.began_at) >= stall_ms {
+        } else if now.since(self.started_at) >= stall_ms {
             self.fail(now, Outcome::Unanswered, report);
         }
     }
 
-    fn ask(&mut self, now: Millis, request: Request) {
+    fn queue_request(&mut self, now: Millis, request: Request) {
         self.outgoing.extend_from_slice(format!("{request}\n").as_bytes());
-        self.waiting.push((request.id(), now));
+        self.unanswered.push((request.id(), now));
     }
 
     fn receive(&mut self, now: Millis, report: &mut Report) -> Result<(), Outcome> {
@@ -220,20 +220,25 @@
             let read = self.reader.read(&bytes[..count], |answer| answers.push(answer));
             self.progress_at = now;
             for answer in answers {
-                self.take(now, answer, report)?;
+                self.handle_answer(now, answer, report)?;
             }
             read.map_err(|_| Outcome::Corrupt)?;
         }
         Ok(())
     }
 
-    fn take(&mut self, now: Millis, answer: Answer, report: &mut Report) -> Result<(), Outcome> {
+    fn handle_answer(
+        &mut self,
+        now: Millis,
+        answer: Answer,
+        report: &mut Report,
+    ) -> Result<(), Outcome> {
         match answer {
             Answer::Confirmed(id, responder)
             | Answer::Body { id, responder, .. }
             | Answer::Feed(id, responder) => {
                 self.check_responder(responder)?;
-                self.complete(now, id, report)
+                self.complete_request(now, id, report)
             }
             Answer::Line { id, number, .. } => {
                 if id != self.id || number != self.lines || !answer.is_intact() {
@@ -243,10 +248,12 @@
                 report.lines_received += 1;
                 Ok(())
             }
-            Answer::Ended(id, lines) if lines == self.lines => self.complete(now, id, report),
+            Answer::Ended(id, lines) if lines == self.lines => {
+                self.complete_request(now, id, report)
+            }
             Answer::Ended(..) => Err(Outcome::Corrupt),
             Answer::Shed(id) if id == self.id => Err(Outcome::Shed),
-            Answer::Shed(id) => self.shed(id, report),
+            Answer::Shed(id) => self.record_shed(id, report),
         }
     }
 
@@ -264,24 +271,30 @@
         }
     }
 
-    fn complete(&mut self, now: Millis, id: RequestId, report: &mut Report) -> Result<(), Outcome> {
-        let place = self.waiting.iter().position(|(waiting, _)| *waiting == id);
-        let (_, asked_at) = self.waiting.remove(place.ok_or(Outcome::Corrupt)?);
-        report.answered(now, asked_at);
+    fn complete_request(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        report: &mut Report,
+    ) -> Result<(), Outcome> {
+        let position = self.unanswered.iter().position(|(unanswered, _)| *unanswered == id);
+        let (_, sent_at) = self.unanswered.remove(position.ok_or(Outcome::Corrupt)?);
+        report.record_answer(now, sent_at);
         Ok(())
     }
 
     /// The feed goes on; only the confirmation on its connection was refused.
-    fn shed(&mut self, id: RequestId, report: &mut Report) -> Result<(), Outcome> {
-        let place = self.waiting.iter().position(|(waiting, _)| *waiting == id);
-        self.waiting.remove(place.ok_or(Outcome::Corrupt)?);
+    fn record_shed(&mut self, id: RequestId, report: &mut Report) -> Result<(), Outcome> {
+        let position = self.unanswered.iter().position(|(unanswered, _)| *unanswered == id);
+        self.unanswered.remove(position.ok_or(Outcome::Corrupt)?);
         report.requests_refused.push(id);
         Ok(())
     }
 
-    fn judge(&mut self, now: Millis, stall_ms: u64, report: &mut Report) {
-        let is_done = self.waiting.is_empty() && (self.purpose != Purpose::Feed || self.is_ending);
-        if is_done && self.outgoing.is_empty() {
+    fn check_state(&mut self, now: Millis, stall_ms: u64, report: &mut Report) {
+        let is_complete =
+            self.unanswered.is_empty() && (self.purpose != Purpose::Feed || self.is_ending);
+        if is_complete && self.outgoing.is_empty() {
             self.stack.socket_mut().close();
             self.phase = Phase::Closing;
             self.finished_at = now;
@@ -293,43 +306,43 @@
             _ if now.since(self.progress_at) >= stall_ms => {
                 self.fail(now, Outcome::Stalled, report);
             }
-            _ => self.confirm_due(now),
+            _ => self.send_due_confirm(now),
         }
     }
 
     /// Sends a confirmation over the feed's connection, one at a time.
-    fn confirm_due(&mut self, now: Millis) {
+    fn send_due_confirm(&mut self, now: Millis) {
         if self.next_confirm_at > now {
             return;
         }
         self.next_confirm_at = now.after(self.confirm_interval_ms);
-        if self.waiting.is_empty() {
+        if self.unanswered.is_empty() {
             self.confirms += 1;
             let id = RequestId(self.id.0 | self.confirms << FEED_CONFIRM_SHIFT);
-            self.ask(now, Request::Confirm(id));
+            self.queue_request(now, Request::Confirm(id));
         }
     }
 
     fn fail(&mut self, now: Millis, outcome: Outcome, report: &mut Report) {
         let established = self.phase == Phase::Open;
-        report.add(Incident {
+        report.add_incident(Incident {
             at_ms: now.0,
             since_ms: self.progress_at.0,
             service: Arc::clone(&self.service),
             upstream: self.upstream.clone(),
             client: self.client,
             kind: self.kind(),
-            request: self.waiting.first().map_or(self.id, |(id, _)| *id),
+            request: self.unanswered.first().map_or(self.id, |(id, _)| *id),
             outcome,
             established,
-            answer_missing: !self.waiting.is_empty() && outcome != Outcome::Shed,
+            answer_missing: !self.unanswered.is_empty() && outcome != Outcome::Shed,
         });
         self.stack.socket_mut().abort();
         self.phase = Phase::Finished;
         self.finished_at = now;
     }
 
-    fn send(&mut self) {
+    fn flush(&mut self) {
         if self.outgoing.is_empty() || !self.stack.socket().can_send() {
             return;
         }
--- a/crates/standins/src/caller/datagrams.rs
+++ b/crates/standins/src/caller/datagrams.rs
@@ -11,20 +11,20 @@
 
 /// Sorted by client.
 #[derive(Debug, Default)]
-pub(super) struct Datagrams {
-    waiting: Vec<(SocketAddr, Waiting)>,
+pub(super) struct PendingDatagrams {
+    pending: Vec<(SocketAddr, Pending)>,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct Pending {
     id: RequestId,
     service: Arc<str>,
     sent_at: Millis,
 }
 
-impl Datagrams {
+impl PendingDatagrams {
     pub(super) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
     pub(super) fn send(
@@ -36,61 +36,66 @@
         out: &mut Vec<Vec<u8>>,
     ) {
         let Some(remote) = work.datagram_address else { return };
-        let Err(place) = self.find(client) else { return };
-        let waiting = Waiting { id, service: Arc::clone(&work.service), sent_at: now };
-        self.waiting.insert(place, (client, waiting));
-        out.push(datagram::udp(client, remote, Request::Confirm(id).to_string().as_bytes()));
+        let Err(position) = self.find(client) else { return };
+        let pending = Pending { id, service: Arc::clone(&work.service), sent_at: now };
+        self.pending.insert(position, (client, pending));
+        out.push(datagram::build_udp(client, remote, Request::Confirm(id).to_string().as_bytes()));
     }
 
-    pub(super) fn answer(
+    pub(super) fn handle_answer(
         &mut self,
         now: Millis,
         client: SocketAddr,
         payload: &[u8],
         report: &mut Report,
     ) {
-        let Ok(place) = self.find(client) else { return };
+        let Ok(position) = self.find(client) else { return };
         let answer = Answer::parse(std::str::from_utf8(payload).unwrap_or_default());
-        let waiting = &self.waiting[place].1;
+        let pending = &self.pending[position].1;
         let outcome = match answer {
             // A late copy of the answer to an earlier request from the same port.
-            Ok(Answer::Confirmed(id, _) | Answer::Shed(id)) if id != waiting.id => return,
-            Ok(Answer::Confirmed(_, responder)) if responder.service == waiting.service => {
-                report.answered(now, waiting.sent_at);
-                self.waiting.remove(place);
+            Ok(Answer::Confirmed(id, _) | Answer::Shed(id)) if id != pending.id => return,
+            Ok(Answer::Confirmed(_, responder)) if responder.service == pending.service => {
+                report.record_answer(now, pending.sent_at);
+                self.pending.remove(position);
                 return;
             }
             Ok(Answer::Confirmed(..)) => Outcome::WrongService,
             Ok(Answer::Shed(_)) => Outcome::Shed,
             _ => Outcome::Corrupt,
         };
-        self.end(now, place, outcome, report);
+        self.fail(now, position, outcome, report);
     }
 
-    pub(super) fn refuse(&mut self, now: Millis, client: SocketAddr, report: &mut Report) {
-        if let Ok(place) = self.find(client) {
-            self.end(now, place, Outcome::Refused, report);
+    pub(super) fn handle_unreachable(
+        &mut self,
+        now: Millis,
+        client: SocketAddr,
+        report: &mut Report,
+    ) {
+        if let Ok(position) = self.find(client) {
+            self.fail(now, position, Outcome::Refused, report);
         }
     }
 
     pub(super) fn expire(&mut self, now: Millis, timeout_ms: u64, report: &mut Report) {
         let is_late =
-            |(_, waiting): &(SocketAddr, Waiting)| now.since(waiting.sent_at) >= timeout_ms;
-        while let Some(place) = self.waiting.iter().position(is_late) {
-            self.end(now, place, Outcome::Unanswered, report);
+            |(_, pending): &(SocketAddr, Pending)| now.since(pending.sent_at) >= timeout_ms;
+        while let Some(position) = self.pending.iter().position(is_late) {
+            self.fail(now, position, Outcome::Unanswered, report);
         }
     }
 
-    fn end(&mut self, now: Millis, place: usize, outcome: Outcome, report: &mut Report) {
-        let (client, waiting) = self.waiting.remove(place);
-        report.add(Incident {
+    fn fail(&mut self, now: Millis, position: usize, outcome: Outcome, report: &mut Report) {
+        let (client, pending) = self.pending.remove(position);
+        report.add_incident(Incident {
             at_ms: now.0,
-            since_ms: waiting.sent_at.0,
-            service: waiting.service,
+            since_ms: pending.sent_at.0,
+            service: pending.service,
             upstream: None,
             client,
             kind: Kind::Datagram,
-            request: waiting.id,
+            request: pending.id,
             outcome,
             established: false,
             answer_missing: outcome == Outcome::Unanswered,
@@ -98,6 +103,6 @@
     }
 
     fn find(&self, client: SocketAddr) -> Result<usize, usize> {
-        self.waiting.binary_search_by(|(known, _)| known.cmp(&client))
+        self.pending.binary_search_by(|(known, _)| known.cmp(&client))
     }
 }
--- a/crates/standins/src/caller/mod.rs
+++ b/crates/standins/src/caller/mod.rs
@@ -19,7 +19,7 @@
 use crate::protocol::RequestId;
 use crate::stack::TcpStack;
 use connection::{Connection, Purpose};
-use datagrams::Datagrams;
+use datagrams::PendingDatagrams;
 pub use report::{Incident, Kind, Outcome, Report, Span};
 use workload::Schedule;
 pub use workload::Workload;
@@ -48,7 +48,7 @@
     random: Pcg64,
     /// Sorted by client address.
     connections: Vec<(SocketAddr, Box<Connection>)>,
-    datagrams: Datagrams,
+    datagrams: PendingDatagrams,
     schedules: Vec<Schedule>,
     replies: Vec<Vec<u8>>,
     report: Report,
@@ -71,7 +71,7 @@
             random: Pcg64::seed_from_u64(config.seed),
             config,
             connections: Vec::new(),
-            datagrams: Datagrams::default(),
+            datagrams: PendingDatagrams::default(),
             schedules: Vec::new(),
             replies: Vec::new(),
             report: Report::default(),
@@ -105,25 +105,27 @@
 
     /// True once stopped and nothing is in flight any more.
     pub fn is_idle(&self) -> bool {
-        let waits = |connection: &Connection| !connection.is_finished();
+        let is_active = |connection: &Connection| !connection.is_finished();
         self.stopping
             && self.datagrams.is_empty()
-            && !self.connections.iter().any(|(_, connection)| waits(connection))
+            && !self.connections.iter().any(|(_, connection)| is_active(connection))
     }
 
     /// Takes in one IP packet.
-    pub fn packet(&mut self, now: Millis, bytes: &[u8]) {
+    pub fn handle_packet(&mut self, now: Millis, bytes: &[u8]) {
         let Some(packet) = datagram::parse(bytes) else {
             self.report.packets_malformed += 1;
             return;
         };
         match packet.content {
-            Content::Tcp { .. } => self.segment(now, packet.destination, packet.source, bytes),
+            Content::Tcp { .. } => {
+                self.handle_segment(now, packet.destination, packet.source, bytes)
+            }
             Content::Udp(payload) => {
-                self.datagrams.answer(now, packet.destination, payload, &mut self.report);
+                self.datagrams.handle_answer(now, packet.destination, payload, &mut self.report);
             }
             Content::Unreachable { source, .. } => {
-                self.datagrams.refuse(now, source, &mut self.report);
+                self.datagrams.handle_unreachable(now, source, &mut self.report);
             }
         }
     }
@@ -138,7 +140,7 @@
             }
         }
         self.datagrams.expire(now, self.config.stall_ms, &mut self.report);
-        self.connections.retain(|(_, connection)| !connection.is_over(now, LINGER_MS));
+        self.connections.retain(|(_, connection)| !connection.is_expired(now, LINGER_MS));
     }
 
     /// When the next poll is due without a packet.
@@ -159,7 +161,7 @@
         report
     }
 
-    fn segment(&mut self, now: Millis, client: SocketAddr, from: SocketAddr, bytes: &[u8]) {
+    fn handle_segment(&mut self, now: Millis, client: SocketAddr, from: SocketAddr, bytes: &[u8]) {
         let found = self.connections.binary_search_by(|(known, _)| known.cmp(&client));
         match found {
             Ok(index) if self.connections[index].1.remote() == from => {
@@ -196,8 +198,8 @@
             return;
         }
         let connection = Connection::new(now, client, self.random.random(), purpose, id, work);
-        let place = self.connections.partition_point(|(known, _)| *known < client);
-        self.connections.insert(place, (client, Box::new(connection)));
+        let position = self.connections.partition_point(|(known, _)| *known < client);
+        self.connections.insert(position, (client, Box::new(connection)));
         self.report.openings_tried += 1;
     }
 
--- a/crates/standins/src/caller/report.rs
+++ b/crates/standins/src/caller/report.rs
@@ -122,17 +122,17 @@
 }
 
 impl Report {
-    pub(super) fn opened(&mut self, now: Millis, tried_at: Millis) {
+    pub(super) fn record_opening(&mut self, now: Millis, started_at: Millis) {
         self.flows_opened += 1;
-        self.openings.push(Span::new(tried_at, now));
+        self.openings.push(Span::new(started_at, now));
     }
 
-    pub(super) fn answered(&mut self, now: Millis, asked_at: Millis) {
+    pub(super) fn record_answer(&mut self, now: Millis, sent_at: Millis) {
         self.answers_complete += 1;
-        self.answers.push(Span::new(asked_at, now));
+        self.answers.push(Span::new(sent_at, now));
     }
 
-    pub(super) fn add(&mut self, incident: Incident) {
+    pub(super) fn add_incident(&mut self, incident: Incident) {
         if matches!(incident.outcome, Outcome::Refused | Outcome::Shed) {
             self.requests_refused.push(incident.request);
         }
--- a/crates/standins/src/caller/workload.rs
+++ b/crates/standins/src/caller/workload.rs
@@ -43,18 +43,18 @@
 #[derive(Debug)]
 pub(super) struct Schedule {
     pub(super) work: Workload,
-    next_feed: Millis,
-    next: [(Purpose, u32, Millis); 3],
+    next_feed_at: Millis,
+    next_requests: [(Purpose, u32, Millis); 3],
 }
 
 impl Schedule {
     pub(super) fn new(now: Millis, work: Workload) -> Self {
-        let next = [
+        let next_requests = [
             (Purpose::Confirm, work.confirms_per_s, now),
             (Purpose::Fetch, work.fetches_per_s, now),
             (Purpose::Datagram, work.datagrams_per_s, now),
         ];
-        Self { next_feed: now, next, work }
+        Self { next_feed_at: now, next_requests, work }
     }
 
     /// What is to be begun now, given how many feeds are open.
@@ -65,23 +65,24 @@
         random: &mut Pcg64,
     ) -> Vec<Purpose> {
         let mut due = Vec::new();
-        if feeds < self.work.feeds as usize && self.next_feed <= now {
-            self.next_feed = now.after(FEED_OPENING_INTERVAL_MS);
+        if feeds < self.work.feeds as usize && self.next_feed_at <= now {
+            self.next_feed_at = now.after(FEED_OPENING_INTERVAL_MS);
             due.push(Purpose::Feed);
         }
-        for (purpose, per_s, next) in &mut self.next {
-            if *per_s == 0 || *next > now {
+        for (purpose, per_s, next_at) in &mut self.next_requests {
+            if *per_s == 0 || *next_at > now {
                 continue;
             }
             due.push(*purpose);
             // Uniform between nothing and twice the mean: never in step with anything else.
-            *next = now.after(random.random_range(0..=2_000 / u64::from(*per_s)));
+            *next_at = now.after(random.random_range(0..=2_000 / u64::from(*per_s)));
         }
         due
     }
 
     pub(super) fn due(&self) -> Millis {
-        let requests = self.next.iter().filter(|(_, per_s, _)| *per_s > 0).map(|next| next.2);
-        requests.min().unwrap_or(self.next_feed).min(self.next_feed.after(1_000))
+        let requests =
+            self.next_requests.iter().filter(|(_, per_s, _)| *per_s > 0).map(|request| request.2);
+        requests.min().unwrap_or(self.next_feed_at).min(self.next_feed_at.after(1_000))
     }
 }
--- a/crates/standins/src/datagram/mod.rs
+++ b/crates/standins/src/datagram/mod.rs
@@ -47,7 +47,7 @@
 /// ```
 /// use standins::datagram::{self, Content};
 /// let (from, to) = ("198.18.0.1:5000".parse().unwrap(), "203.0.113.1:80".parse().unwrap());
-/// let packet = datagram::udp(from, to, b"CONFIRM 7");
+/// let packet = datagram::build_udp(from, to, b"CONFIRM 7");
 /// assert_eq!(datagram::parse(&packet).unwrap().content, Content::Udp(b"CONFIRM 7"));
 /// ```
 pub fn parse(packet: &[u8]) -> Option<Packet<'_>> {
@@ -72,11 +72,11 @@
             (udp.source_port(), udp.destination_port(), Content::Udp(udp.payload()))
         }
         TransportSlice::Icmpv4(icmp) => match icmp.icmp_type() {
-            Icmpv4Type::DestinationUnreachable(_) => (0, 0, undelivered(icmp.payload())?),
+            Icmpv4Type::DestinationUnreachable(_) => (0, 0, parse_quoted_datagram(icmp.payload())?),
             _ => return None,
         },
         TransportSlice::Icmpv6(icmp) => match icmp.icmp_type() {
-            Icmpv6Type::DestinationUnreachable(_) => (0, 0, undelivered(icmp.payload())?),
+            Icmpv6Type::DestinationUnreachable(_) => (0, 0, parse_quoted_datagram(icmp.payload())?),
             _ => return None,
         },
         TransportSlice::Igmp(_) => return None,
@@ -90,9 +90,9 @@
 ///
 /// ```
 /// let (from, to) = ("[::1]:5000".parse().unwrap(), "[::2]:80".parse().unwrap());
-/// assert_eq!(standins::datagram::udp(from, to, b"").len(), 48);
+/// assert_eq!(standins::datagram::build_udp(from, to, b"").len(), 48);
 /// ```
-pub fn udp(source: SocketAddr, destination: SocketAddr, payload: &[u8]) -> Vec<u8> {
+pub fn build_udp(source: SocketAddr, destination: SocketAddr, payload: &[u8]) -> Vec<u8> {
     let mut packet = Vec::with_capacity(48 + payload.len());
     let step = match (source.ip(), destination.ip()) {
         (IpAddr::V4(from), IpAddr::V4(to)) => {
@@ -110,7 +110,7 @@
 }
 
 /// The addresses of the datagram that an ICMP message quotes; the quote may be cut short.
-fn undelivered(quote: &[u8]) -> Option<Content<'static>> {
+fn parse_quoted_datagram(quote: &[u8]) -> Option<Content<'static>> {
     let sliced = LaxSlicedPacket::from_ip(quote).ok()?;
     let (from, to, rest) = match sliced.net? {
         LaxNetSlice::Ipv4(ip) => {
--- a/crates/standins/src/fabric/mod.rs
+++ b/crates/standins/src/fabric/mod.rs
@@ -81,12 +81,12 @@
     }
 
     /// Takes in a datagram of the caller at `from`.
-    pub fn from_caller(&mut self, now_us: u64, from: SocketAddr, datagram: &[u8]) {
+    pub fn receive_from_caller(&mut self, now_us: u64, from: SocketAddr, datagram: &[u8]) {
         let Some(addresses) = inner_addresses(datagram) else {
             self.stats.packets_malformed += 1;
             return;
         };
-        self.learn(addresses.source, from);
+        self.record_caller(addresses.source, from);
         let balancer = self.plan.choose(now_us, addresses.destination, &mut self.random);
         let Some(balancer) = balancer else {
             self.stats.packets_without_balancer += 1;
@@ -98,17 +98,17 @@
     }
 
     /// Takes in a datagram of an upstream or agent at `from`.
-    pub fn from_upstream(&mut self, now_us: u64, from: SocketAddr, datagram: &[u8]) {
+    pub fn receive_from_upstream(&mut self, now_us: u64, from: SocketAddr, datagram: &[u8]) {
         let Some(addresses) = inner_addresses(datagram) else {
             self.stats.packets_malformed += 1;
             return;
         };
         let caller = self.callers.binary_search_by(|(known, _)| known.cmp(&addresses.destination));
-        let Ok(place) = caller else {
+        let Ok(position) = caller else {
             self.stats.packets_without_caller += 1;
             return;
         };
-        let to = self.callers[place].1;
+        let to = self.callers[position].1;
         let delay_us = self.plan.delay_us(addresses.destination, from.ip());
         self.stats.packets_returned += 1;
         self.dispatch(now_us, delay_us, Port::Gateway, to, datagram);
@@ -134,8 +134,8 @@
         let mut due_us = now_us + delay_us;
         if self.happens(faults.duplicate_ppm) {
             self.stats.packets_duplicated += 1;
-            let copy_us = due_us + self.random.random_range(0..=faults.reorder_us);
-            self.queue.push(copy_us, Outbound { port, to, payload: Arc::clone(&payload) });
+            let copy_due_us = due_us + self.random.random_range(0..=faults.reorder_us);
+            self.queue.push(copy_due_us, Outbound { port, to, payload: Arc::clone(&payload) });
         }
         if self.happens(faults.reorder_ppm) {
             self.stats.packets_reordered += 1;
@@ -148,10 +148,10 @@
         ppm > 0 && self.random.random_range(0..1_000_000) < ppm
     }
 
-    fn learn(&mut self, address: IpAddr, caller: SocketAddr) {
+    fn record_caller(&mut self, address: IpAddr, caller: SocketAddr) {
         match self.callers.binary_search_by(|(known, _)| known.cmp(&address)) {
-            Ok(place) => self.callers[place].1 = caller,
-            Err(place) => self.callers.insert(place, (address, caller)),
+            Ok(position) => self.callers[position].1 = caller,
+            Err(position) => self.callers.insert(position, (address, caller)),
         }
     }
 }
--- a/crates/standins/src/platform/budget.rs
+++ b/crates/standins/src/platform/budget.rs
@@ -3,14 +3,14 @@
 use decision::time::Millis;
 
 /// Whole reads that may be taken at once after a quiet time, as a share of a second's budget.
-const BURST_S: f64 = 1.0;
+const BURST_SECONDS: f64 = 1.0;
 
 /// Counts reads and refuses those over the rate.
 #[derive(Clone, Debug)]
 pub struct Budget {
     reads_per_s: f64,
     tokens: f64,
-    filled_at: Millis,
+    refilled_at: Millis,
 }
 
 impl Budget {
@@ -25,15 +25,15 @@
     /// ```
     pub fn new(reads_per_s: u32) -> Self {
         let reads_per_s = f64::from(reads_per_s);
-        Self { reads_per_s, tokens: reads_per_s * BURST_S, filled_at: Millis(0) }
+        Self { reads_per_s, tokens: reads_per_s * BURST_SECONDS, refilled_at: Millis(0) }
     }
 
     /// Takes one read, or says after how many seconds to come again.
     pub fn take(&mut self, now: Millis) -> Result<(), u32> {
-        let elapsed_s = now.since(self.filled_at) as f64 / 1_000.0;
-        let full = self.reads_per_s * BURST_S;
-        self.tokens = (self.tokens + elapsed_s * self.reads_per_s).min(full);
-        self.filled_at = now;
+        let elapsed_s = now.since(self.refilled_at) as f64 / 1_000.0;
+        let capacity = self.reads_per_s * BURST_SECONDS;
+        self.tokens = (self.tokens + elapsed_s * self.reads_per_s).min(capacity);
+        self.refilled_at = now;
         if self.tokens < 1.0 {
             return Err(1);
         }
--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -17,12 +17,12 @@
 use crate::shell::lock;
 pub use budget::Budget;
 pub use mode::Mode;
-pub use store::{Document, Instance, InstanceList, Snapshot, Store, Watched};
+pub use store::{Document, Instance, InstanceList, Snapshot, Store, WatchReply};
 
 /// A waiting watch looks again after this long.
-const WATCH_STEP_MS: u64 = 10;
+const WATCH_POLL_INTERVAL_MS: u64 = 10;
 /// A watch never waits longer than this, whatever it asks for.
-const WATCH_MAX_MS: u64 = 60_000;
+const WATCH_WAIT_MAX_MS: u64 = 60_000;
 
 /// Counters, body of `GET /admin/stats`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
     mode: Mode,
     mode_since: Millis,
     stats: Stats,
-    second: u64,
+    current_second: u64,
     reads_this_second: u64,
 }
 
@@ -70,7 +70,7 @@
             mode: Mode::default(),
             mode_since: Millis(0),
             stats: Stats::default(),
-            second: 0,
+            current_second: 0,
             reads_this_second: 0,
         }
     }
@@ -91,8 +91,8 @@
             return Admission::OverBudget { retry_after_s };
         }
         self.stats.reads += 1;
-        if self.second != now.0 / 1_000 {
-            (self.second, self.reads_this_second) = (now.0 / 1_000, 0);
+        if self.current_second != now.0 / 1_000 {
+            (self.current_second, self.reads_this_second) = (now.0 / 1_000, 0);
         }
         self.reads_this_second += 1;
         self.stats.reads_per_s_max = self.stats.reads_per_s_max.max(self.reads_this_second);
@@ -167,7 +167,7 @@
 async fn watch(platform: &Mutex<Platform>, call: &Call) -> Reply {
     let parameter = |name| call.parameter(name).and_then(|value| value.parse::<u64>().ok());
     let after = parameter("after").unwrap_or(0);
-    let wait_ms = parameter("wait_ms").unwrap_or(0).min(WATCH_MAX_MS);
+    let wait_ms = parameter("wait_ms").unwrap_or(0).min(WATCH_WAIT_MAX_MS);
     let until = clock::now().after(wait_ms);
     loop {
         let (watched, is_down) = {
@@ -181,7 +181,7 @@
         if !watched.changed.is_empty() || clock::now() >= until {
             return Reply::json(&watched);
         }
-        tokio::time::sleep(Duration::from_millis(WATCH_STEP_MS)).await;
+        tokio::time::sleep(Duration::from_millis(WATCH_POLL_INTERVAL_MS)).await;
     }
 }
 
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -33,7 +33,7 @@
 
 /// Body of `GET /v1/watch`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Watched {
+pub struct WatchReply {
     /// Newest publication that the reader sees.
     pub index: u64,
     /// Documents published after the asked index.
@@ -106,8 +106,8 @@
         let name = account.unwrap_or(ROOT);
         let document = Document { name: name.into(), text: text.into(), index: next.index };
         match next.documents.binary_search_by(|known| (*known.name).cmp(name)) {
-            Ok(place) => next.documents[place] = document,
-            Err(place) => next.documents.insert(place, document),
+            Ok(position) => next.documents[position] = document,
+            Err(position) => next.documents.insert(position, document),
         }
         let index = next.index;
         self.snapshots.push(next);
@@ -118,17 +118,17 @@
     pub fn document(&self, seen_at: Millis, account: Option<&str>) -> Option<Arc<str>> {
         let name = account.unwrap_or(ROOT);
         let documents = &self.snapshot(seen_at)?.documents;
-        let place = documents.binary_search_by(|known| (*known.name).cmp(name)).ok()?;
-        Some(Arc::clone(&documents[place].text))
+        let position = documents.binary_search_by(|known| (*known.name).cmp(name)).ok()?;
+        Some(Arc::clone(&documents[position].text))
     }
 
     /// What a watch after `after` shows as of `seen_at`.
-    pub fn watch(&self, seen_at: Millis, after: u64) -> Watched {
+    pub fn watch(&self, seen_at: Millis, after: u64) -> WatchReply {
         let Some(snapshot) = self.snapshot(seen_at) else {
-            return Watched { index: 0, changed: Vec::new() };
+            return WatchReply { index: 0, changed: Vec::new() };
         };
         let newer = snapshot.documents.iter().filter(|document| document.index > after);
-        Watched {
+        WatchReply {
             index: snapshot.index,
             changed: newer.map(|document| Arc::clone(&document.name)).collect(),
         }
--- a/crates/standins/src/shell/mod.rs
+++ b/crates/standins/src/shell/mod.rs
@@ -16,18 +16,18 @@
 /// A change by the admin endpoint takes effect after this long at most.
 const SLEEP_MAX_MS: u64 = 10;
 /// Datagrams worked on before timers are looked at again.
-const BATCH: usize = 64;
+const BATCH_MAX: usize = 64;
 /// Largest datagram.
 const DATAGRAM_BYTES_MAX: usize = 65_535;
 /// Room for bursts; the kernel may grant less.
-const BUFFER_BYTES: usize = 4 << 20;
+const SOCKET_BUFFER_BYTES: usize = 4 << 20;
 
 /// How a shell drives what is inside it.
 pub struct Shell<T> {
     /// The caller or upstream.
     pub inner: Arc<Mutex<T>>,
     /// Takes in one inner packet.
-    pub packet: fn(&mut T, Millis, &[u8]),
+    pub handle_packet: fn(&mut T, Millis, &[u8]),
     /// Works on what is due and appends inner packets to send.
     pub poll: fn(&mut T, Millis, &mut Vec<Vec<u8>>),
     /// When the next poll is due.
@@ -79,10 +79,10 @@
 
     fn receive(&mut self, socket: &UdpSocket, datagram: &mut [u8]) {
         let mut inner = lock(&self.inner);
-        for _ in 0..BATCH {
+        for _ in 0..BATCH_MAX {
             let Ok((length, _)) = socket.try_recv_from(datagram) else { return };
             let Ok(frame) = gue::parse(&datagram[..length]) else { continue };
-            (self.packet)(&mut inner, clock::now(), frame.payload);
+            (self.handle_packet)(&mut inner, clock::now(), frame.payload);
         }
     }
 }
@@ -105,8 +105,8 @@
 pub fn bind(local: SocketAddr) -> anyhow::Result<UdpSocket> {
     let domain = socket2::Domain::for_address(local);
     let socket = socket2::Socket::new(domain, socket2::Type::DGRAM, None)?;
-    socket.set_recv_buffer_size(BUFFER_BYTES)?;
-    socket.set_send_buffer_size(BUFFER_BYTES)?;
+    socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES)?;
+    socket.set_send_buffer_size(SOCKET_BUFFER_BYTES)?;
     socket.set_nonblocking(true)?;
     socket.bind(&local.into()).with_context(|| format!("cannot listen on {local}/udp"))?;
     Ok(UdpSocket::from_std(socket.into())?)
--- a/crates/standins/src/upstream/connection.rs
+++ b/crates/standins/src/upstream/connection.rs
@@ -29,7 +29,7 @@
     id: RequestId,
     interval_ms: u64,
     next_line: u64,
-    next_at: Millis,
+    next_line_at: Millis,
 }
 
 impl Connection {
@@ -66,8 +66,8 @@
         self.receive(now, switches);
         self.run_pending(now, responder, switches, ledger);
         self.advance_feed(now);
-        self.send();
-        self.close_after_caller();
+        self.flush();
+        self.close_after_peer();
         self.stack.poll(now, out);
         self.due = self.next_due(now);
     }
@@ -111,7 +111,7 @@
             self.pending.pop_front();
             if switches.shedding && !matches!(request, Request::End(_)) {
                 ledger.add(now, Event::Shed { request: request.id() });
-                self.answer(&Answer::Shed(request.id()));
+                self.queue_answer(&Answer::Shed(request.id()));
                 continue;
             }
             self.run(now, responder, request, ledger);
@@ -125,19 +125,19 @@
             ledger.add(now, Event::Run { request: request.id(), client });
         }
         match request {
-            Request::Confirm(id) => self.answer(&Answer::Confirmed(id, responder.clone())),
+            Request::Confirm(id) => self.queue_answer(&Answer::Confirmed(id, responder.clone())),
             Request::Fetch { id, bytes } => {
-                self.answer(&Answer::Body { id, responder: responder.clone(), bytes });
+                self.queue_answer(&Answer::Body { id, responder: responder.clone(), bytes });
                 self.outgoing.extend(Body::new(id).take(bytes as usize));
             }
             Request::Feed { id, interval_ms } => {
-                self.answer(&Answer::Feed(id, responder.clone()));
+                self.queue_answer(&Answer::Feed(id, responder.clone()));
                 let interval_ms = u64::from(interval_ms.max(1));
-                self.feed = Some(Feed { id, interval_ms, next_line: 0, next_at: now });
+                self.feed = Some(Feed { id, interval_ms, next_line: 0, next_line_at: now });
             }
             Request::End(id) => {
                 let lines = self.feed.take().map_or(0, |feed| feed.next_line);
-                self.answer(&Answer::Ended(id, lines));
+                self.queue_answer(&Answer::Ended(id, lines));
             }
         }
     }
@@ -147,23 +147,23 @@
         Some(std::net::SocketAddr::new(endpoint.addr.into(), endpoint.port))
     }
 
-    fn answer(&mut self, answer: &Answer) {
+    fn queue_answer(&mut self, answer: &Answer) {
         self.outgoing.extend(answer.to_string().into_bytes());
         self.outgoing.push_back(b'\n');
     }
 
     fn advance_feed(&mut self, now: Millis) {
         let Some(feed) = &mut self.feed else { return };
-        if feed.next_at > now || self.outgoing.len() > OUTGOING_BYTES_MAX {
+        if feed.next_line_at > now || self.outgoing.len() > OUTGOING_BYTES_MAX {
             return;
         }
         let (id, number) = (feed.id, feed.next_line);
         feed.next_line += 1;
-        feed.next_at = now.after(feed.interval_ms);
-        self.answer(&Answer::Line { id, number, checksum: line_checksum(id, number) });
+        feed.next_line_at = now.after(feed.interval_ms);
+        self.queue_answer(&Answer::Line { id, number, checksum: line_checksum(id, number) });
     }
 
-    fn send(&mut self) {
+    fn flush(&mut self) {
         let socket = self.stack.socket_mut();
         while socket.can_send() && !self.outgoing.is_empty() {
             let (front, _) = self.outgoing.as_slices();
@@ -173,16 +173,16 @@
     }
 
     /// Closes our side once the caller has closed his and has all his answers.
-    fn close_after_caller(&mut self) {
-        let caller_closed = self.stack.socket().state() == tcp::State::CloseWait;
-        if caller_closed && self.outgoing.is_empty() && self.pending.is_empty() {
+    fn close_after_peer(&mut self) {
+        let peer_closed = self.stack.socket().state() == tcp::State::CloseWait;
+        if peer_closed && self.outgoing.is_empty() && self.pending.is_empty() {
             self.stack.socket_mut().close();
         }
     }
 
     fn next_due(&mut self, now: Millis) -> Millis {
         let pending = self.pending.front().map(|(at, _)| *at);
-        let feed = self.feed.as_ref().map(|feed| feed.next_at.max(now.after(1)));
+        let feed = self.feed.as_ref().map(|feed| feed.next_line_at.max(now.after(1)));
         let stack = self.stack.due(now);
         [pending, feed, stack].into_iter().flatten().min().unwrap_or(Millis(u64::MAX))
     }
--- a/crates/standins/src/upstream/mod.rs
+++ b/crates/standins/src/upstream/mod.rs
@@ -41,10 +41,10 @@
     ledger: Ledger,
     switches: Switches,
     /// What the status endpoint showed when it was frozen.
-    frozen: Option<Status>,
+    frozen_status: Option<Status>,
     stats: Stats,
     started_at: Millis,
-    openings: u64,
+    opened_connections: u64,
 }
 
 impl Upstream {
@@ -64,15 +64,15 @@
             replies: Vec::new(),
             ledger: Ledger::default(),
             switches: Switches::default(),
-            frozen: None,
+            frozen_status: None,
             stats: Stats::default(),
             started_at: now,
-            openings: 0,
+            opened_connections: 0,
         }
     }
 
     /// Takes in one IP packet; answers come out of [`Upstream::poll`].
-    pub fn packet(&mut self, now: Millis, bytes: &[u8]) {
+    pub fn handle_packet(&mut self, now: Millis, bytes: &[u8]) {
         self.stats.packets_received += 1;
         let Some(packet) = datagram::parse(bytes) else {
             self.stats.packets_malformed += 1;
@@ -84,8 +84,8 @@
             return;
         }
         match packet.content {
-            Content::Tcp { opening, .. } => self.segment(now, &packet, opening, bytes),
-            Content::Udp(payload) => self.datagram(now, &packet, payload),
+            Content::Tcp { opening, .. } => self.handle_segment(now, &packet, opening, bytes),
+            Content::Udp(payload) => self.handle_datagram(now, &packet, payload),
             Content::Unreachable { .. } => self.stats.packets_malformed += 1,
         }
     }
@@ -113,7 +113,7 @@
 
     /// What the status endpoint says: the truth, unless told to lie.
     pub fn status(&self, now: Millis) -> Status {
-        if let Some(frozen) = &self.frozen {
+        if let Some(frozen) = &self.frozen_status {
             return frozen.clone();
         }
         let open_flows = match self.switches.lie {
@@ -131,9 +131,9 @@
 
     /// Changes how the upstream behaves from now on.
     pub fn set_switches(&mut self, now: Millis, switches: Switches) {
-        self.frozen = None;
+        self.frozen_status = None;
         if switches.lie == Lie::Frozen {
-            self.frozen = Some(self.status(now));
+            self.frozen_status = Some(self.status(now));
         }
         self.switches = switches;
     }
@@ -153,7 +153,7 @@
         &self.stats
     }
 
-    fn segment(&mut self, now: Millis, packet: &Packet<'_>, opening: bool, bytes: &[u8]) {
+    fn handle_segment(&mut self, now: Millis, packet: &Packet<'_>, opening: bool, bytes: &[u8]) {
         let key = ConnectionKey(packet.source, packet.destination);
         let found = self.connections.binary_search_by(|(known, _)| known.cmp(&key));
         match found {
@@ -168,8 +168,8 @@
     }
 
     fn open(&mut self, now: Millis, packet: &Packet<'_>) -> Connection {
-        self.openings += 1;
-        let seed = self.config.seed.wrapping_add(self.openings);
+        self.opened_connections += 1;
+        let seed = self.config.seed.wrapping_add(self.opened_connections);
         self.ledger.add(now, Event::Open { client: packet.source });
         Connection::new(TcpStack::listen(packet.destination, seed, now), now)
     }
@@ -183,7 +183,7 @@
     }
 
     /// Runs a one-datagram request as often as it comes: whoever delivers it twice runs it twice.
-    fn datagram(&mut self, now: Millis, packet: &Packet<'_>, payload: &[u8]) {
+    fn handle_datagram(&mut self, now: Millis, packet: &Packet<'_>, payload: &[u8]) {
         let line = std::str::from_utf8(payload).unwrap_or_default();
         let Ok(Request::Confirm(id)) = Request::parse(line) else {
             self.stats.packets_malformed += 1;
@@ -197,7 +197,11 @@
             Answer::Confirmed(id, self.config.responder.clone())
         };
         let answer = answer.to_string();
-        self.replies.push(datagram::udp(packet.destination, packet.source, answer.as_bytes()));
+        self.replies.push(datagram::build_udp(
+            packet.destination,
+            packet.source,
+            answer.as_bytes(),
+        ));
     }
 }
 
--- a/crates/standins/tests/fabric.rs
+++ b/crates/standins/tests/fabric.rs
@@ -39,7 +39,7 @@
 
 /// A frame between the client and the service.
 fn frame(from: &str, to: &str) -> Vec<u8> {
-    let packet = datagram::udp(from.parse().unwrap(), to.parse().unwrap(), b"CONFIRM 7");
+    let packet = datagram::build_udp(from.parse().unwrap(), to.parse().unwrap(), b"CONFIRM 7");
     let mut frame = Vec::new();
     gue::encode(gue::Content::Ipv4, &[], &packet, &mut frame);
     frame
@@ -64,7 +64,7 @@
 
 fn spray(fabric: &mut Fabric) -> Vec<Outbound> {
     for _ in 0..PACKETS {
-        fabric.from_caller(0, address(CALLER), &request());
+        fabric.receive_from_caller(0, address(CALLER), &request());
     }
     drain(fabric, u64::MAX)
 }
@@ -85,7 +85,7 @@
 #[case::unlisted_zone("127.0.0.12:6080", 1_000)]
 fn delay_follows_zones(#[case] balancer: &str, #[case] expected_us: u64) {
     let mut fabric = fabric(plan(&[balancer]));
-    fabric.from_caller(10, address(CALLER), &request());
+    fabric.receive_from_caller(10, address(CALLER), &request());
     assert_eq!(fabric.due_us(), Some(10 + expected_us));
     assert_eq!(drain(&mut fabric, 9 + expected_us), []);
     assert_eq!(drain(&mut fabric, 10 + expected_us).len(), 1);
@@ -99,7 +99,7 @@
     let mut fabric = fabric(plan(&["127.0.0.11:6080", "127.0.0.12:6080"]));
     fabric.set_plan(0, plan(&["127.0.0.12:6080"]));
     for _ in 0..100 {
-        fabric.from_caller(now_us, address(CALLER), &request());
+        fabric.receive_from_caller(now_us, address(CALLER), &request());
     }
     let sprayed = drain(&mut fabric, u64::MAX);
     let removed = sprayed.iter().any(|packet| packet.to == address("127.0.0.11:6080"));
@@ -113,7 +113,7 @@
     fabric.set_plan(0, plan(&["127.0.0.12:6080"]));
     fabric.set_plan(400_000, plan(&["127.0.0.12:6080"]));
     for _ in 0..100 {
-        fabric.from_caller(500_000, address(CALLER), &request());
+        fabric.receive_from_caller(500_000, address(CALLER), &request());
     }
     let sprayed = drain(&mut fabric, u64::MAX);
     assert!(sprayed.iter().all(|packet| packet.to == address("127.0.0.12:6080")));
@@ -133,7 +133,7 @@
     let faults = Faults { reorder_ppm: 500_000, reorder_us: 10_000, ..Faults::default() };
     let mut fabric = fabric(Plan { faults, ..plan(&["127.0.0.11:6080"]) });
     for _ in 0..100 {
-        fabric.from_caller(0, address(CALLER), &request());
+        fabric.receive_from_caller(0, address(CALLER), &request());
     }
     let in_time = drain(&mut fabric, 2_000).len();
     let late = drain(&mut fabric, 12_000).len();
@@ -144,11 +144,11 @@
 #[test]
 fn answers_go_to_the_caller_that_owns_the_address() {
     let mut fabric = fabric(plan(&["127.0.0.11:6080"]));
-    fabric.from_upstream(0, address(UPSTREAM), &answer());
+    fabric.receive_from_upstream(0, address(UPSTREAM), &answer());
     assert_eq!(fabric.stats().packets_without_caller, 1);
-    fabric.from_caller(0, address(CALLER), &request());
+    fabric.receive_from_caller(0, address(CALLER), &request());
     drain(&mut fabric, u64::MAX);
-    fabric.from_upstream(0, address(UPSTREAM), &answer());
+    fabric.receive_from_upstream(0, address(UPSTREAM), &answer());
     let returned = drain(&mut fabric, u64::MAX);
     assert_eq!(returned.len(), 1);
     assert_eq!((returned[0].port, returned[0].to), (Port::Gateway, address(CALLER)));
@@ -161,8 +161,8 @@
 #[case::short_packet(&[0, 4, 0, 0, 0x45])]
 fn malformed_frames_are_counted(#[case] frame: &[u8]) {
     let mut fabric = fabric(plan(&["127.0.0.11:6080"]));
-    fabric.from_caller(0, address(CALLER), frame);
-    fabric.from_upstream(0, address(UPSTREAM), frame);
+    fabric.receive_from_caller(0, address(CALLER), frame);
+    fabric.receive_from_upstream(0, address(UPSTREAM), frame);
     assert_eq!(fabric.stats().packets_malformed, 2);
     assert_eq!(fabric.due_us(), None);
 }
@@ -170,19 +170,19 @@
 #[test]
 fn unknown_destination_is_counted() {
     let mut fabric = fabric(plan(&[]));
-    fabric.from_caller(0, address(CALLER), &request());
+    fabric.receive_from_caller(0, address(CALLER), &request());
     assert_eq!(fabric.stats().packets_without_balancer, 1);
 }
 
 #[test]
 fn address_of_a_packet_is_read_for_both_families() {
     let (from, to) = ("[2001:db8::1]:5000", "[2001:db8::2]:80");
-    let packet = datagram::udp(address(from), address(to), b"");
+    let packet = datagram::build_udp(address(from), address(to), b"");
     let mut frame = Vec::new();
     gue::encode(gue::Content::Ipv6, &[], &packet, &mut frame);
     let mut plan = plan(&["127.0.0.11:6080"]);
     plan.pools[0].addresses = vec!["2001:db8::2".parse::<IpAddr>().unwrap()];
     let mut fabric = fabric(plan);
-    fabric.from_caller(0, address(CALLER), &frame);
+    fabric.receive_from_caller(0, address(CALLER), &frame);
     assert_eq!(fabric.stats().packets_sprayed, 1);
 }
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -2,7 +2,7 @@
 
 use decision::time::Millis;
 use rstest::rstest;
-use standins::platform::{Budget, Instance, InstanceList, Store, Watched};
+use standins::platform::{Budget, Instance, InstanceList, Store, WatchReply};
 
 fn store() -> Store {
     let mut store = Store::default();
@@ -28,7 +28,7 @@
     #[case] changed: &[&str],
 ) {
     let changed = changed.iter().map(|name| (*name).into()).collect();
-    assert_eq!(store().watch(Millis(seen_at_ms), after), Watched { index, changed });
+    assert_eq!(store().watch(Millis(seen_at_ms), after), WatchReply { index, changed });
 }
 
 #[rstest]
--- a/crates/standins/tests/wire_loop.rs
+++ b/crates/standins/tests/wire_loop.rs
@@ -59,12 +59,12 @@
             let mut out = Vec::new();
             self.caller.poll(self.now, &mut out);
             for packet in self.carry(out) {
-                self.upstream.packet(self.now, &packet);
+                self.upstream.handle_packet(self.now, &packet);
             }
             let mut out = Vec::new();
             self.upstream.poll(self.now, &mut out);
             for packet in self.carry(out) {
-                self.caller.packet(self.now, &packet);
+                self.caller.handle_packet(self.now, &packet);
             }
         }
     }
