--- a/crates/standins/tests/fabric.rs
+++ b/crates/standins/tests/fabric.rs
@@ -95,7 +95,7 @@
 #[rstest]
 #[case::within_lag(499_999, true)]
 #[case::after_lag(500_000, false)]
-fn removed_balancer_gets_packets(#[case] now_us: u64, #[case] expected: bool) {
+fn removed_balancer_gets_packets_until_the_lag_ends(#[case] now_us: u64, #[case] expected: bool) {
     let mut fabric = fabric(plan(&["127.0.0.11:6080", "127.0.0.12:6080"]));
     fabric.set_plan(0, plan(&["127.0.0.12:6080"]));
     for _ in 0..100 {
@@ -108,7 +108,7 @@
 
 /// A later plan doesn't give a removed balancer its lag anew.
 #[test]
-fn lag_runs_once() {
+fn later_plan_does_not_restart_the_removal_lag() {
     let mut fabric = fabric(plan(&["127.0.0.11:6080", "127.0.0.12:6080"]));
     fabric.set_plan(0, plan(&["127.0.0.12:6080"]));
     fabric.set_plan(400_000, plan(&["127.0.0.12:6080"]));
@@ -122,8 +122,11 @@
 #[rstest]
 #[case::loss(Faults { loss_ppm: 100_000, ..Faults::default() }, 2_600..2_800)]
 #[case::duplication(Faults { duplicate_ppm: 100_000, ..Faults::default() }, 3_200..3_400)]
-#[case::nothing(Faults::default(), 3_000..3_001)]
-fn faults_change_the_count(#[case] faults: Faults, #[case] expected: std::ops::Range<usize>) {
+#[case::no_faults(Faults::default(), 3_000..3_001)]
+fn faults_change_the_packet_count(
+    #[case] faults: Faults,
+    #[case] expected: std::ops::Range<usize>,
+) {
     let sprayed = spray(&mut fabric(Plan { faults, ..plan(&["127.0.0.11:6080"]) }));
     assert!(expected.contains(&sprayed.len()), "{}", sprayed.len());
 }
@@ -175,7 +178,7 @@
 }
 
 #[test]
-fn address_of_a_packet_is_read_for_both_families() {
+fn ipv6_packets_are_sprayed() {
     let (from, to) = ("[2001:db8::1]:5000", "[2001:db8::2]:80");
     let packet = datagram::build_udp(address(from), address(to), b"");
     let mut frame = Vec::new();
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -16,7 +16,7 @@
 #[rstest]
 #[case::before_all(99, 0, 0, &[])]
 #[case::everything(1_000, 0, 4, &["bajio", "cascadia", "root"])]
-#[case::as_of_then(250, 0, 2, &["cascadia", "root"])]
+#[case::as_of_earlier_time(250, 0, 2, &["cascadia", "root"])]
 #[case::after_index(1_000, 2, 4, &["bajio", "cascadia"])]
 #[case::only_newest(1_000, 3, 4, &["cascadia"])]
 #[case::nothing_newer(1_000, 4, 4, &[])]
@@ -35,7 +35,7 @@
 #[case::absent(199, None)]
 #[case::first(399, Some("version: 1"))]
 #[case::second(400, Some("version: 2"))]
-fn document_is_of_its_moment(#[case] seen_at_ms: u64, #[case] expected: Option<&str>) {
+fn document_is_as_of_the_read_time(#[case] seen_at_ms: u64, #[case] expected: Option<&str>) {
     let document = store().document(Millis(seen_at_ms), Some("cascadia"));
     assert_eq!(document.as_deref(), expected);
 }
@@ -43,7 +43,7 @@
 #[rstest]
 #[case::before_lag(1_499, 0)]
 #[case::after_lag(1_500, 1)]
-fn list_of_instances_lags(#[case] seen_at_ms: u64, #[case] expected: usize) {
+fn instance_list_is_visible_after_its_lag(#[case] seen_at_ms: u64, #[case] expected: usize) {
     let mut store = Store::default();
     let instance = Instance {
         name: "bal-1".into(),
@@ -65,7 +65,7 @@
 #[rstest]
 #[case::burst(1, 5_000)]
 #[case::steady(5_000, 5_000)]
-fn budget_bounds_reads(#[case] spread_ms: u64, #[case] reads: u64) {
+fn budget_limits_reads(#[case] spread_ms: u64, #[case] reads: u64) {
     let mut budget = Budget::new(1_000);
     let read = |number| budget.take(Millis(number * spread_ms / reads)).is_ok();
     let served = (0..reads).map(read).filter(|served| *served).count() as u64;
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn list_body_is_what_readers_parse() {
+fn instance_list_body_round_trips() {
     let text = r#"{"instances":[{"name":"agent-shelf-1","kind":"agent","account":"cascadia",
         "service":"shelf","upstream":"shelf-1","data_address":"127.20.1.1:6080",
         "control_address":"127.20.1.1:9080","zone":"pnw-a","region":"pnw","state":"live"}]}"#;
--- a/crates/standins/tests/protocol.rs
+++ b/crates/standins/tests/protocol.rs
@@ -48,12 +48,12 @@
 
 #[rstest]
 #[case::bytewise(1)]
-#[case::odd(7)]
-#[case::whole(1_000)]
-fn stream_cut_anywhere_reads_alike(#[case] portion: usize) {
+#[case::odd_size(7)]
+#[case::whole_stream(1_000)]
+fn split_stream_yields_the_same_answers(#[case] chunk_bytes: usize) {
     let mut reader = AnswerReader::default();
     let mut answers = Vec::new();
-    for bytes in stream().chunks(portion) {
+    for bytes in stream().chunks(chunk_bytes) {
         reader.read(bytes, |answer| answers.push(answer)).unwrap();
     }
     let body = Answer::Body { id: ID, responder: responder(), bytes: 300 };
@@ -63,11 +63,11 @@
 
 /// One flipped bit anywhere in a body is noticed; so is a body that ends early.
 #[test]
-fn wrong_body_byte_is_noticed() {
-    for place in 26..326 {
+fn wrong_body_byte_is_detected() {
+    for offset in 26..326 {
         let mut stream = stream();
-        stream[place] ^= 0x10;
-        assert_eq!(AnswerReader::default().read(&stream, |_| {}), Err(Malformed), "{place}");
+        stream[offset] ^= 0x10;
+        assert_eq!(AnswerReader::default().read(&stream, |_| {}), Err(Malformed), "{offset}");
     }
     let mut reader = AnswerReader::default();
     reader.read(&stream()[..300], |_| panic!("a cut body is no answer")).unwrap();
@@ -75,6 +75,6 @@
 }
 
 #[test]
-fn wrong_line_check_is_noticed() {
+fn wrong_line_checksum_is_detected() {
     assert!(!Answer::Line { id: ID, number: 5, checksum: line_checksum(ID, 6) }.is_intact());
 }
--- a/crates/standins/tests/wire_loop.rs
+++ b/crates/standins/tests/wire_loop.rs
@@ -20,7 +20,7 @@
     upstream: Upstream,
     now: Millis,
     /// One packet in so many vanishes, by chance; 0 for none.
-    lose_one_in: u32,
+    loss_one_in: u32,
     /// One packet in so many arrives twice.
     duplicate_one_in: u32,
     /// The wire is cut in both directions.
@@ -39,14 +39,14 @@
             caller: Caller::new(caller),
             upstream: Upstream::new(upstream, Millis(0)),
             now: Millis(0),
-            lose_one_in: 0,
+            loss_one_in: 0,
             duplicate_one_in: 0,
             cut: false,
             random: Pcg64::seed_from_u64(9),
         }
     }
 
-    fn with_work(workload: Workload) -> Self {
+    fn with_workload(workload: Workload) -> Self {
         let mut wire = Self::new();
         wire.caller.set_workloads(Millis(0), vec![workload]);
         wire
@@ -58,12 +58,12 @@
             self.now = self.now.after(1);
             let mut out = Vec::new();
             self.caller.poll(self.now, &mut out);
-            for packet in self.carry(out) {
+            for packet in self.transmit(out) {
                 self.upstream.handle_packet(self.now, &packet);
             }
             let mut out = Vec::new();
             self.upstream.poll(self.now, &mut out);
-            for packet in self.carry(out) {
+            for packet in self.transmit(out) {
                 self.caller.handle_packet(self.now, &packet);
             }
         }
@@ -75,18 +75,18 @@
         self.caller.report(self.now)
     }
 
-    fn carry(&mut self, packets: Vec<Vec<u8>>) -> Vec<Vec<u8>> {
-        let mut carried = Vec::new();
+    fn transmit(&mut self, packets: Vec<Vec<u8>>) -> Vec<Vec<u8>> {
+        let mut delivered = Vec::new();
         for packet in packets {
-            if self.cut || self.happens(self.lose_one_in) {
+            if self.cut || self.happens(self.loss_one_in) {
                 continue;
             }
             if self.happens(self.duplicate_one_in) {
-                carried.push(packet.clone());
+                delivered.push(packet.clone());
             }
-            carried.push(packet);
+            delivered.push(packet);
         }
-        carried
+        delivered
     }
 
     fn happens(&mut self, one_in: u32) -> bool {
@@ -110,7 +110,7 @@
     text.parse().unwrap()
 }
 
-fn no_work() -> Workload {
+fn idle_workload() -> Workload {
     Workload {
         service: "shelf".into(),
         address: address(SERVICE),
@@ -125,8 +125,8 @@
     }
 }
 
-fn all_work() -> Workload {
-    Workload { feeds: 5, confirms_per_s: 20, fetches_per_s: 5, ..no_work() }
+fn mixed_workload() -> Workload {
+    Workload { feeds: 5, confirms_per_s: 20, fetches_per_s: 5, ..idle_workload() }
 }
 
 #[rstest]
@@ -134,9 +134,9 @@
 #[case::loss(23, 0)]
 #[case::duplication(0, 11)]
 #[case::loss_and_duplication(29, 13)]
-fn every_answer_is_whole(#[case] lose_one_in: u32, #[case] duplicate_one_in: u32) {
-    let mut wire = Wire::with_work(all_work());
-    (wire.lose_one_in, wire.duplicate_one_in) = (lose_one_in, duplicate_one_in);
+fn every_answer_is_complete(#[case] loss_one_in: u32, #[case] duplicate_one_in: u32) {
+    let mut wire = Wire::with_workload(mixed_workload());
+    (wire.loss_one_in, wire.duplicate_one_in) = (loss_one_in, duplicate_one_in);
     wire.run(3_000);
     let report = wire.stop();
     assert_eq!(report.incidents, []);
@@ -154,7 +154,7 @@
 /// what the lab's `requests_run_twice` counts.
 #[test]
 fn duplicated_datagram_runs_twice() {
-    let mut wire = Wire::with_work(Workload { datagrams_per_s: 50, ..no_work() });
+    let mut wire = Wire::with_workload(Workload { datagrams_per_s: 50, ..idle_workload() });
     wire.duplicate_one_in = 1;
     wire.run(1_000);
     let runs = wire.runs();
@@ -164,10 +164,10 @@
 }
 
 #[rstest]
-#[case::feed(Workload { feeds: 3, ..no_work() }, Outcome::Stalled)]
-#[case::confirm(Workload { datagrams_per_s: 20, ..no_work() }, Outcome::Unanswered)]
-fn cut_wire_is_noticed(#[case] work: Workload, #[case] outcome: Outcome) {
-    let mut wire = Wire::with_work(work);
+#[case::feed(Workload { feeds: 3, ..idle_workload() }, Outcome::Stalled)]
+#[case::confirm(Workload { datagrams_per_s: 20, ..idle_workload() }, Outcome::Unanswered)]
+fn cut_wire_is_detected(#[case] workload: Workload, #[case] outcome: Outcome) {
+    let mut wire = Wire::with_workload(workload);
     wire.run(500);
     wire.cut = true;
     wire.run(2 * STALL_MS);
@@ -178,8 +178,8 @@
 /// A caller sees its feeds go on after an outage that is shorter than its patience, because TCP on
 /// both ends retransmits; nothing is counted as broken.
 #[test]
-fn short_outage_breaks_nothing() {
-    let mut wire = Wire::with_work(all_work());
+fn connections_survive_a_short_outage() {
+    let mut wire = Wire::with_workload(mixed_workload());
     wire.run(1_000);
     wire.cut = true;
     wire.run(1_500);
@@ -192,21 +192,24 @@
 /// of them, and its stack answers their segments as a host does.
 #[test]
 fn restarted_upstream_resets_connections() {
-    let mut wire = Wire::with_work(Workload { feeds: 4, ..no_work() });
+    let mut wire = Wire::with_workload(Workload { feeds: 4, ..idle_workload() });
     wire.run(1_000);
     wire.upstream = Wire::new().upstream;
     wire.caller.set_workloads(wire.now, Vec::new());
     wire.run(2_000);
     let report = wire.caller.report(wire.now);
-    let resets = |outcome| report.incidents.iter().filter(|i| i.outcome == outcome).count();
-    assert_eq!(resets(Outcome::Reset), 4);
+    let count_outcomes = |outcome| report.incidents.iter().filter(|i| i.outcome == outcome).count();
+    assert_eq!(count_outcomes(Outcome::Reset), 4);
     assert!(wire.upstream.stats().resets_sent >= 4);
 }
 
 #[test]
 fn shedding_upstream_runs_nothing() {
-    let mut wire =
-        Wire::with_work(Workload { confirms_per_s: 20, datagrams_per_s: 20, ..no_work() });
+    let mut wire = Wire::with_workload(Workload {
+        confirms_per_s: 20,
+        datagrams_per_s: 20,
+        ..idle_workload()
+    });
     wire.upstream.set_switches(Millis(0), Switches { shedding: true, ..Switches::default() });
     wire.run(1_000);
     let report = wire.stop();
@@ -218,8 +221,9 @@
 /// The upstream counts packets for other services than its own and doesn't answer them.
 #[test]
 fn misdelivered_packets_are_counted() {
-    let work = Workload { confirms_per_s: 10, address: address("203.0.113.99:80"), ..no_work() };
-    let mut wire = Wire::with_work(work);
+    let workload =
+        Workload { confirms_per_s: 10, address: address("203.0.113.99:80"), ..idle_workload() };
+    let mut wire = Wire::with_workload(workload);
     wire.run(1_000);
     assert!(wire.upstream.stats().packets_misdelivered > 5);
     assert_eq!(wire.caller.report(wire.now).flows_opened, 0);
@@ -227,8 +231,8 @@
 
 /// Another service's upstream answers on our connections: the caller must notice.
 #[test]
-fn wrong_service_is_noticed() {
-    let mut wire = Wire::with_work(Workload { confirms_per_s: 10, ..no_work() });
+fn wrong_service_is_detected() {
+    let mut wire = Wire::with_workload(Workload { confirms_per_s: 10, ..idle_workload() });
     let responder = UpstreamConfig::responder("fitting", "fitting-1");
     let endpoints = vec![address(SERVICE)];
     wire.upstream = Upstream::new(UpstreamConfig { responder, endpoints, seed: 8 }, Millis(0));
@@ -240,7 +244,7 @@
 
 #[test]
 fn ended_feeds_are_complete() {
-    let mut wire = Wire::with_work(Workload { feeds: 6, ..no_work() });
+    let mut wire = Wire::with_workload(Workload { feeds: 6, ..idle_workload() });
     wire.run(1_000);
     wire.caller.end_feeds(wire.now, Some("shelf-1"));
     wire.caller.set_workloads(wire.now, Vec::new());
