--- a/crates/standins/src/caller/connection.rs
+++ b/crates/standins/src/caller/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller, from its opening to its verdict.
+//! One connection of a caller, from its opening to its outcome.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,32 +10,33 @@
 use crate::protocol::{Answer, AnswerReader, Request, RequestId, Responder};
 use crate::stack::TcpStack;
 
-/// A feed without a line for this long counts as silent in a report.
+/// An open feed that received no data for this long is reported as silent.
 const FEED_SILENT_MS: u64 = 2_000;
-/// A feed's confirmations have numbers of their own above this bit.
+/// Request numbers of confirmations on a feed's connection carry their counter from this bit
+/// upwards, so that they differ from the feed's own number.
 const FEED_CONFIRM_SHIFT: u32 = 28;
 
 /// Why a connection is opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// To hold a feed.
+    /// Keeps a feed open.
     Feed,
-    /// For one confirmation.
+    /// One confirmation.
     Confirm,
-    /// For one body.
+    /// One body.
     Fetch,
-    /// For no connection: a confirmation in one datagram.
+    /// A confirmation in one datagram, which needs no connection.
     Datagram,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
     Opening,
-    /// Requests are sent and answers read.
+    /// The handshake is complete; requests are sent and answers read.
     Open,
-    /// All answers are there; our side is closed.
+    /// All answers have been received and our side is closed.
     Closing,
-    /// The verdict is in.
+    /// The connection failed and its incident is recorded.
     Finished,
 }
 
@@ -53,11 +54,11 @@
     upstream: Option<Arc<str>>,
     reader: AnswerReader,
     outgoing: Vec<u8>,
-    /// Confirmations over the feed's connection.
+    /// Time between confirmations on the feed's connection, 0 for none.
     confirm_interval_ms: u64,
     next_confirm_at: Millis,
     confirms: u64,
-    /// Requests without their whole answer, and when they were sent.
+    /// Requests whose answer is not complete yet, and when each was sent.
     unanswered: Vec<(RequestId, Millis)>,
     lines: u64,
     is_ending: bool,
@@ -130,12 +131,13 @@
         self.phase >= Phase::Closing
     }
 
-    /// True once nothing more can come of it.
+    /// True once the connection has finished and its linger time is over.
     pub(super) fn is_expired(&self, now: Millis, linger_ms: u64) -> bool {
         self.is_finished() && now.since(self.finished_at) >= linger_ms
     }
 
-    /// Asks for the end of the feed; its answer says how many lines there must have been.
+    /// Requests the end of the feed. The answer states how many lines the upstream sent, which is
+    /// compared with the number received.
     pub(super) fn end_feed(&mut self, now: Millis) {
         if self.purpose != Purpose::Feed || self.is_ending || self.is_finished() {
             return;
@@ -257,7 +259,7 @@
         }
     }
 
-    /// All answers on one connection come from one upstream of the right service.
+    /// Checks that all answers on this connection come from one upstream of the expected service.
     fn check_responder(&mut self, responder: Responder) -> Result<(), Outcome> {
         if responder.service != self.service {
             return Err(Outcome::WrongService);
@@ -283,7 +285,7 @@
         Ok(())
     }
 
-    /// The feed goes on; only the confirmation on its connection was refused.
+    /// Records a refused confirmation on a feed's connection. The feed itself continues.
     fn record_shed(&mut self, id: RequestId, report: &mut Report) -> Result<(), Outcome> {
         let position = self.unanswered.iter().position(|(unanswered, _)| *unanswered == id);
         self.unanswered.remove(position.ok_or(Outcome::Corrupt)?);
@@ -310,7 +312,8 @@
         }
     }
 
-    /// Sends a confirmation over the feed's connection, one at a time.
+    /// Sends the next confirmation on the feed's connection if it is due and no request is
+    /// unanswered.
     fn send_due_confirm(&mut self, now: Millis) {
         if self.next_confirm_at > now {
             return;
--- a/crates/standins/src/caller/datagrams.rs
+++ b/crates/standins/src/caller/datagrams.rs
@@ -1,4 +1,4 @@
-//! One-datagram confirmations that wait for their answer. None is ever sent twice.
+//! Confirmations in one datagram that await their answer. They are never retransmitted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crate::datagram;
 use crate::protocol::{Answer, Request, RequestId};
 
-/// Sorted by client.
+/// The datagrams that await an answer, sorted by client address.
 #[derive(Debug, Default)]
 pub(super) struct PendingDatagrams {
     pending: Vec<(SocketAddr, Pending)>,
@@ -53,7 +53,7 @@
         let answer = Answer::parse(std::str::from_utf8(payload).unwrap_or_default());
         let pending = &self.pending[position].1;
         let outcome = match answer {
-            // A late copy of the answer to an earlier request from the same port.
+            // A late duplicate of the answer to an earlier request from the same port.
             Ok(Answer::Confirmed(id, _) | Answer::Shed(id)) if id != pending.id => return,
             Ok(Answer::Confirmed(_, responder)) if responder.service == pending.service => {
                 report.record_answer(now, pending.sent_at);
--- a/crates/standins/src/caller/mod.rs
+++ b/crates/standins/src/caller/mod.rs
@@ -1,7 +1,8 @@
-//! Callers: many connections with long feeds and short requests, each answer's bytes checked.
+//! Callers: many connections with long feeds and short requests. Every byte of each answer is
+//! checked.
 //!
-//! A caller never repeats a confirmation that got no answer. Whatever runs twice was therefore
-//! doubled by the system.
+//! A caller never repeats a confirmation that got no answer. A request that ran twice was therefore
+//! duplicated by the system under test.
 
 mod connection;
 mod datagrams;
@@ -24,25 +25,27 @@
 use workload::Schedule;
 pub use workload::Workload;
 
-/// First port of a client; the ones below are other programs' business.
+/// First port that a client uses; lower ones are left to other programs.
 const PORT_MIN: u16 = 10_000;
-/// Closed connections stay this long, to take late copies of segments as a host does.
+/// Closed connections are kept this long to absorb late duplicate segments, as a host does in
+/// TIME-WAIT.
 const LINGER_MS: u64 = 1_000;
 
-/// What a caller is told at its start.
+/// Configuration of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerConfig {
-    /// Addresses of the clients, each in use for many connections.
+    /// Addresses of the clients, each used for many connections.
     pub clients: Vec<IpAddr>,
-    /// Distinguishes the request numbers of several callers.
+    /// Number of this caller; the upper bits of its request numbers, so that those of several
+    /// callers differ.
     pub number: u16,
-    /// Decides initial sequence numbers and the moments of requests.
+    /// Seed of the initial sequence numbers and the times of requests.
     pub seed: u64,
-    /// An established connection without progress for this long is broken.
+    /// An opening, datagram or established connection without progress for this long has failed.
     pub stall_ms: u64,
 }
 
-/// The caller. Packets and time go in, packets come out.
+/// The caller. It does no I/O: packets and the time are passed in, packets to send are returned.
 pub struct Caller {
     config: CallerConfig,
     random: Pcg64,
@@ -58,7 +61,7 @@
 }
 
 impl Caller {
-    /// A caller without work.
+    /// Creates a caller without workloads.
     ///
     /// ```
     /// use decision::time::Millis;
@@ -81,13 +84,13 @@
         }
     }
 
-    /// Replaces all work.
+    /// Replaces all workloads.
     pub fn set_workloads(&mut self, now: Millis, workloads: Vec<Workload>) {
         self.schedules = workloads.into_iter().map(|work| Schedule::new(now, work)).collect();
     }
 
-    /// Ends the feeds that `upstream` holds, or all feeds, as their clients would; the work opens
-    /// new ones.
+    /// Ends the feeds that `upstream` serves, or all feeds, as their clients would. The workloads
+    /// open new ones.
     pub fn end_feeds(&mut self, now: Millis, upstream: Option<&str>) {
         for (_, connection) in &mut self.connections {
             if upstream.is_none_or(|name| connection.is_held_by(name)) {
@@ -96,14 +99,14 @@
         }
     }
 
-    /// Begins nothing new and ends all feeds; what is in flight is waited for.
+    /// Starts no further requests and ends all feeds. Requests in flight may still complete.
     pub fn stop(&mut self, now: Millis) {
         self.stopping = true;
         self.schedules.clear();
         self.end_feeds(now, None);
     }
 
-    /// True once stopped and nothing is in flight any more.
+    /// True once the caller was stopped and nothing is in flight.
     pub fn is_idle(&self) -> bool {
         let is_active = |connection: &Connection| !connection.is_finished();
         self.stopping
@@ -111,7 +114,7 @@
             && !self.connections.iter().any(|(_, connection)| is_active(connection))
     }
 
-    /// Takes in one IP packet.
+    /// Handles one received IP packet.
     pub fn handle_packet(&mut self, now: Millis, bytes: &[u8]) {
         let Some(packet) = datagram::parse(bytes) else {
             self.report.packets_malformed += 1;
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Works on all that is due, appending the packets to send.
+    /// Handles queued packets and due timers, and appends the packets to send to `out`.
     pub fn poll(&mut self, now: Millis, out: &mut Vec<Vec<u8>>) {
         out.append(&mut self.replies);
         self.open_due(now, out);
@@ -143,14 +146,14 @@
         self.connections.retain(|(_, connection)| !connection.is_expired(now, LINGER_MS));
     }
 
-    /// When the next poll is due without a packet.
+    /// When the next poll is due if no packet arrives.
     pub fn due(&self) -> Option<Millis> {
         let connections = self.connections.iter().map(|(_, connection)| connection.due);
         let schedules = self.schedules.iter().map(Schedule::due);
         connections.chain(schedules).min()
     }
 
-    /// All that happened so far.
+    /// Report of everything up to now.
     pub fn report(&self, now: Millis) -> Report {
         let mut report = self.report.clone();
         report.at_ms = now.0;
@@ -203,7 +206,7 @@
         self.report.openings_tried += 1;
     }
 
-    /// The next address and port in turn that no connection uses.
+    /// The next unused address and port, in round-robin order; `None` if all are in use.
     fn free_client(&mut self) -> Option<SocketAddr> {
         let addresses = self.config.clients.len() as u32;
         let ports = u32::from(u16::MAX - PORT_MIN);
--- a/crates/standins/src/caller/report.rs
+++ b/crates/standins/src/caller/report.rs
@@ -1,4 +1,4 @@
-//! What a caller saw, in a form that the lab can judge.
+//! Report of a caller: counters, timings and incidents, from which the lab derives its verdict.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,75 +11,75 @@
 /// Body of `GET /admin/report`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// When it was made.
+    /// When the report was made.
     pub at_ms: u64,
-    /// Connections tried.
+    /// Connections that were attempted.
     pub openings_tried: u64,
-    /// Connections established.
+    /// Connections that were established.
     pub flows_opened: u64,
-    /// Connections established and open now.
+    /// Connections established and currently open.
     pub flows_open: u64,
-    /// Feeds open now.
+    /// Feeds currently open.
     pub feeds_open: u64,
-    /// Open feeds that had no line for two seconds or more.
+    /// Open feeds that received no data for two seconds or more.
     pub feeds_silent: u64,
-    /// Requests answered whole.
+    /// Requests with a complete answer.
     pub answers_complete: u64,
-    /// Lines of feeds.
+    /// Feed lines received.
     pub lines_received: u64,
     /// One-datagram requests sent.
     pub datagrams_sent: u64,
-    /// Packets that could not be read.
+    /// Packets that could not be parsed.
     pub packets_malformed: u64,
-    /// Packets to a connection from another address than its peer's.
+    /// Packets for a connection that came from another address than its peer's.
     pub packets_from_strangers: u64,
-    /// Everything that did not end well, oldest first.
+    /// Failed connections and requests, oldest first.
     pub incidents: Vec<Incident>,
-    /// Requests that were refused, and so must not have run.
+    /// Requests that were refused and therefore must not have run.
     pub requests_refused: Vec<RequestId>,
-    /// From the first packet to the established connection, of each.
+    /// Time from the first packet to the established connection, one entry per connection.
     pub openings: Vec<Span>,
-    /// From the request to its whole answer, of each.
+    /// Time from the request to its complete answer, one entry per request.
     pub answers: Vec<Span>,
-    /// Stopped, and nothing in flight.
+    /// The caller was stopped and nothing is in flight.
     pub is_idle: bool,
 }
 
-/// How long something took that ended well.
+/// Start and duration of a successful opening or request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Span {
-    /// When it began.
+    /// When it started.
     pub from_ms: u64,
     /// How long it took.
     pub took_ms: u64,
 }
 
-/// One thing that did not end well.
+/// One failed connection or request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Incident {
-    /// When it was noticed.
+    /// When the failure was detected.
     pub at_ms: u64,
-    /// When the last good thing happened.
+    /// When the connection was started or last made progress, or the datagram was sent.
     pub since_ms: u64,
-    /// Service that was called.
+    /// The service called.
     pub service: Arc<str>,
-    /// Upstream that had answered on the connection before.
+    /// The upstream that had answered on this connection before the failure.
     pub upstream: Option<Arc<str>>,
-    /// Caller's end.
+    /// Client address of the caller.
     pub client: SocketAddr,
-    /// What was asked.
+    /// Kind of request.
     pub kind: Kind,
-    /// Request that was waited for.
+    /// The oldest unanswered request, or else the first request of the connection.
     pub request: RequestId,
     /// How it ended.
     pub outcome: Outcome,
     /// The connection had been established.
     pub established: bool,
-    /// A request was sent and its answer isn't whole.
+    /// A request was sent and its answer is incomplete.
     pub answer_missing: bool,
 }
 
-/// What was asked.
+/// Kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -93,23 +93,23 @@
     Datagram,
 }
 
-/// How something ended that did not end well.
+/// How a connection or request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The opening or the datagram was refused: nothing was run.
+    /// The opening or the datagram was refused; nothing ran.
     Refused,
-    /// The upstream shed the request: it was not run.
+    /// The upstream shed the request without running it.
     Shed,
-    /// Nobody answered the opening or the datagram.
+    /// The opening or the datagram got no answer.
     Unanswered,
     /// The connection was reset.
     Reset,
     /// The connection made no progress.
     Stalled,
-    /// The peer closed before the answer was whole.
+    /// The peer closed the connection before the answer was complete.
     Closed,
-    /// Wrong bytes, or a wrong number of lines.
+    /// An answer had wrong bytes, or a feed a wrong number of lines.
     Corrupt,
     /// Another service answered.
     WrongService,
--- a/crates/standins/src/caller/workload.rs
+++ b/crates/standins/src/caller/workload.rs
@@ -1,4 +1,4 @@
-//! How much a caller asks of one service, and when the next request is due.
+//! The load that a caller puts on one service, and when its next request is due.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,36 +10,36 @@
 
 use super::connection::Purpose;
 
-/// New feeds are opened at most this often, so that a start doesn't look like a flood.
+/// Minimum time between two feed openings, so that the start of a workload isn't a burst.
 const FEED_OPENING_INTERVAL_MS: u64 = 10;
 
-/// Work on one service, part of the body of `PUT /admin/workloads`.
+/// Load on one service, part of the body of `PUT /admin/workloads`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
-    /// Service whose answers are expected; any other is a misdelivery.
+    /// Service whose answers are expected; an answer of any other one is a misdelivery.
     pub service: Arc<str>,
-    /// Address of its connections.
+    /// Address to which its connections are opened.
     pub address: SocketAddr,
-    /// Feeds kept open.
+    /// Number of feeds kept open.
     pub feeds: u32,
     /// Time between the lines of a feed.
     pub feed_interval_ms: u32,
-    /// Time between the confirmations sent over a feed's connection, 0 for none.
+    /// Time between the confirmations sent on a feed's connection, 0 for none.
     pub feed_confirm_interval_ms: u64,
-    /// Confirmations on a connection of their own.
+    /// Rate of confirmations that each use their own connection.
     pub confirms_per_s: u32,
-    /// Fetches on a connection of their own.
+    /// Rate of fetches that each use their own connection.
     pub fetches_per_s: u32,
     /// Length of a fetched body.
     pub fetch_bytes: u32,
-    /// Address of one-datagram confirmations.
+    /// Address to which one-datagram confirmations are sent.
     pub datagram_address: Option<SocketAddr>,
-    /// One-datagram confirmations.
+    /// Rate of one-datagram confirmations.
     pub datagrams_per_s: u32,
 }
 
-/// A workload and its next moments.
+/// A workload and the times of its next requests.
 #[derive(Debug)]
 pub(super) struct Schedule {
     pub(super) work: Workload,
@@ -57,7 +57,7 @@
         Self { next_feed_at: now, next_requests, work }
     }
 
-    /// What is to be begun now, given how many feeds are open.
+    /// The requests to start now, given the number of open feeds.
     pub(super) fn take_due(
         &mut self,
         now: Millis,
@@ -74,7 +74,8 @@
                 continue;
             }
             due.push(*purpose);
-            // Uniform between nothing and twice the mean: never in step with anything else.
+            // Uniform between 0 and twice the mean interval, so that requests don't synchronise
+            // with other periodic work.
             *next_at = now.after(random.random_range(0..=2_000 / u64::from(*per_s)));
         }
         due
--- a/crates/standins/src/upstream/connection.rs
+++ b/crates/standins/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection at an upstream: requests in, answers and feeds out.
+//! A caller's connection at an upstream: reads requests, sends answers and feed lines.
 
 use std::collections::VecDeque;
 
@@ -9,9 +9,9 @@
 use crate::protocol::{Answer, Body, Request, RequestId, Responder, line_checksum};
 use crate::stack::TcpStack;
 
-/// Longest request line; a caller that sends more is cut off.
+/// Longest request line; the connection of a caller that sends a longer one is reset.
 const LINE_BYTES_MAX: usize = 256;
-/// A feed waits for a slow reader rather than pile up lines beyond this.
+/// A feed pauses while more unsent bytes than this are queued for a slow reader.
 const OUTGOING_BYTES_MAX: usize = 4 * 1024;
 
 pub(super) struct Connection {
@@ -19,7 +19,7 @@
     /// When the next poll is due.
     pub(super) due: Millis,
     line: Vec<u8>,
-    /// Requests that wait for their time because the upstream is slow.
+    /// Received requests and the time at which each is run, later by `Switches::slow_ms`.
     pending: VecDeque<(Millis, Request)>,
     outgoing: VecDeque<u8>,
     feed: Option<Feed>,
@@ -49,7 +49,7 @@
         self.due = now;
     }
 
-    /// False once both sides have closed or one has reset.
+    /// False once both sides have closed or one has reset the connection.
     pub(super) fn is_open(&self) -> bool {
         self.stack.socket().is_open()
     }
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Closes our side once the caller has closed his and has all his answers.
+    /// Closes our side once the caller has closed its own and all its answers are sent.
     fn close_after_peer(&mut self) {
         let peer_closed = self.stack.socket().state() == tcp::State::CloseWait;
         if peer_closed && self.outgoing.is_empty() && self.pending.is_empty() {
--- a/crates/standins/src/upstream/ledger.rs
+++ b/crates/standins/src/upstream/ledger.rs
@@ -1,4 +1,5 @@
-//! What happened at one upstream, row by row. The lab's verdict rests on these rows.
+//! Ledger of the events at one upstream, one row per event. The lab derives its verdict from these
+//! rows.
 
 use std::net::SocketAddr;
 
@@ -7,21 +8,21 @@
 
 use crate::protocol::RequestId;
 
-/// One row.
+/// One event and its time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// When, on the machine's clock.
+    /// Time of the event on [`crate::clock`].
     pub at_ms: u64,
-    /// What.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// What a row tells.
+/// An event at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
-    /// A connection began.
+    /// A connection was opened.
     Open {
         /// Caller.
         client: SocketAddr,
@@ -40,7 +41,7 @@
     },
     /// A packet for another service arrived.
     Misdelivered {
-        /// Where it should have gone.
+        /// Destination of the packet.
         destination: SocketAddr,
     },
 }
@@ -71,13 +72,13 @@
         &self.rows
     }
 
-    /// Rows added since the last call.
+    /// Rows added since the previous call.
     pub fn take_new(&mut self) -> &[Row] {
         let first = std::mem::replace(&mut self.written, self.rows.len());
         &self.rows[first..]
     }
 
-    /// How often a request ran here.
+    /// How many times a request ran at this upstream.
     pub fn runs(&self, id: RequestId) -> usize {
         let is_run = |row: &&Row| matches!(row.event, Event::Run { request, .. } if request == id);
         self.rows.iter().filter(is_run).count()
--- a/crates/standins/src/upstream/mod.rs
+++ b/crates/standins/src/upstream/mod.rs
@@ -1,4 +1,5 @@
-//! An upstream: real TCP on the service's addresses, and a ledger of all that it ran.
+//! An upstream: serves TCP and UDP on the service's addresses and keeps a ledger of the requests
+//! that it ran.
 
 mod connection;
 mod ledger;
@@ -16,31 +17,31 @@
 pub use ledger::{Event, Ledger, Row};
 pub use status::{Lie, Stats, Status, Switches};
 
-/// What an upstream is told at its start.
+/// Configuration of an upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamConfig {
-    /// Names in its answers.
+    /// Service and upstream names in its answers.
     pub responder: Responder,
-    /// Addresses of its service; a packet to any other is misdelivered.
+    /// Addresses of its service; a packet to any other address counts as misdelivered.
     pub endpoints: Vec<SocketAddr>,
-    /// Decides the initial sequence numbers.
+    /// Seed of the initial sequence numbers.
     pub seed: u64,
 }
 
-/// Both ends of a connection: the caller's, then the service's.
+/// Both addresses of a connection: the caller's, then the service's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ConnectionKey(SocketAddr, SocketAddr);
 
-/// The upstream. Packets and time go in, packets come out.
+/// The upstream. It does no I/O: packets and the time are passed in, packets to send are returned.
 pub struct Upstream {
     config: UpstreamConfig,
     /// Sorted by key.
     connections: Vec<(ConnectionKey, Box<Connection>)>,
-    /// Answers to datagrams and resets, for the next poll.
+    /// Answers to datagrams and resets, sent by the next poll.
     replies: Vec<Vec<u8>>,
     ledger: Ledger,
     switches: Switches,
-    /// What the status endpoint showed when it was frozen.
+    /// The status at the moment when it was frozen.
     frozen_status: Option<Status>,
     stats: Stats,
     started_at: Millis,
@@ -48,7 +49,7 @@
 }
 
 impl Upstream {
-    /// An upstream without connections.
+    /// Creates an upstream without connections.
     ///
     /// ```
     /// use decision::time::Millis;
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Takes in one IP packet; answers come out of [`Upstream::poll`].
+    /// Handles one received IP packet; [`Upstream::poll`] returns the answers.
     pub fn handle_packet(&mut self, now: Millis, bytes: &[u8]) {
         self.stats.packets_received += 1;
         let Some(packet) = datagram::parse(bytes) else {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Works on packets and timers that are due, appending the packets to send.
+    /// Handles queued packets and due timers, and appends the packets to send to `out`.
     pub fn poll(&mut self, now: Millis, out: &mut Vec<Vec<u8>>) {
         let first = out.len();
         out.append(&mut self.replies);
@@ -106,12 +107,12 @@
         self.stats.open_connections = self.connections.len() as u64;
     }
 
-    /// When the next poll is due without a packet.
+    /// When the next poll is due if no packet arrives.
     pub fn due(&self) -> Option<Millis> {
         self.connections.iter().map(|(_, connection)| connection.due).min()
     }
 
-    /// What the status endpoint says: the truth, unless told to lie.
+    /// Body of the status endpoint: the true status, unless [`Switches::lie`] falsifies it.
     pub fn status(&self, now: Millis) -> Status {
         if let Some(frozen) = &self.frozen_status {
             return frozen.clone();
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Changes how the upstream behaves from now on.
+    /// Changes the behaviour of the upstream from now on.
     pub fn set_switches(&mut self, now: Millis, switches: Switches) {
         self.frozen_status = None;
         if switches.lie == Lie::Frozen {
@@ -138,12 +139,12 @@
         self.switches = switches;
     }
 
-    /// All that was run, opened and refused here.
+    /// Connections opened, requests run and refused, and packets misdelivered.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// The ledger, to take rows that are not written to a file yet.
+    /// The ledger, to take the rows that have not been written to a file yet.
     pub fn ledger_mut(&mut self) -> &mut Ledger {
         &mut self.ledger
     }
@@ -174,7 +175,7 @@
         Connection::new(TcpStack::listen(packet.destination, seed, now), now)
     }
 
-    /// Answers a segment of an unknown connection as a host does: with a reset.
+    /// Answers a segment of an unknown connection with a reset, as a host does.
     fn reject(&mut self, now: Millis, local: SocketAddr, bytes: &[u8]) {
         self.stats.segments_unknown += 1;
         let mut stack = TcpStack::closed(local, now);
@@ -182,7 +183,8 @@
         stack.poll(now, &mut self.replies);
     }
 
-    /// Runs a one-datagram request as often as it comes: whoever delivers it twice runs it twice.
+    /// Runs a one-datagram request each time it arrives. There is no deduplication, so that a
+    /// datagram delivered twice shows as two runs in the ledger.
     fn handle_datagram(&mut self, now: Millis, packet: &Packet<'_>, payload: &[u8]) {
         let line = std::str::from_utf8(payload).unwrap_or_default();
         let Ok(Request::Confirm(id)) = Request::parse(line) else {
@@ -211,7 +213,7 @@
 }
 
 impl UpstreamConfig {
-    /// Names for the answers of an upstream.
+    /// Builds the names that an upstream states in its answers.
     ///
     /// ```
     /// use standins::upstream::UpstreamConfig;
--- a/crates/standins/src/upstream/status.rs
+++ b/crates/standins/src/upstream/status.rs
@@ -1,64 +1,64 @@
-//! What an upstream says about itself, and how it is told to behave.
+//! Status that an upstream reports, and the switches that change its behaviour.
 
 use serde::{Deserialize, Serialize};
 
-/// Body of `GET /status`. It may lag, freeze or lie.
+/// Body of `GET /status`. [`Switches::lie`] can freeze or falsify it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Fit to serve.
+    /// Able to serve requests.
     pub healthy: bool,
-    /// Wants no new work.
+    /// Draining: should get no new requests.
     pub draining: bool,
-    /// Refuses work for now.
+    /// Refuses requests for now.
     pub shedding: bool,
-    /// Connections open.
+    /// Number of open connections.
     pub open_flows: u32,
     /// Milliseconds since the start.
     pub age_ms: u64,
 }
 
-/// Body of `PUT /admin/switches`: how the upstream behaves until told otherwise.
+/// Body of `PUT /admin/switches`: the behaviour of the upstream until the next such call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Switches {
-    /// Says that it drains.
+    /// Reports that it is draining.
     pub draining: bool,
     /// Refuses every request without running it.
     pub shedding: bool,
-    /// Answers this much later.
+    /// Runs each request on a connection this much later.
     pub slow_ms: u64,
-    /// What is wrong with the status.
+    /// How the reported status is wrong.
     pub lie: Lie,
 }
 
-/// What is wrong with the status.
+/// How the reported status is wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lie {
-    /// Nothing.
+    /// The status is true.
     #[default]
     None,
-    /// It never changes again.
+    /// The status stays as it is now.
     Frozen,
-    /// It shows this number of open flows.
+    /// The status shows this number of open flows.
     OpenFlows(u32),
-    /// It calls itself unhealthy, and serves well.
+    /// The status says unhealthy, although requests are served normally.
     Unhealthy,
 }
 
 /// Counters, body of `GET /admin/stats`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Packets taken in.
+    /// Packets received.
     pub packets_received: u64,
-    /// Packets to an address that is not of this service.
+    /// Packets to an address that doesn't belong to this service.
     pub packets_misdelivered: u64,
-    /// Packets that no caller sends.
+    /// Packets that are malformed or of a kind that no caller sends.
     pub packets_malformed: u64,
-    /// Segments in the middle of a connection that does not exist here.
+    /// Segments other than openings whose connection is unknown.
     pub segments_unknown: u64,
-    /// Segments with RST that were sent.
+    /// Reset segments sent.
     pub resets_sent: u64,
-    /// Connections open now.
+    /// Connections currently open.
     pub open_connections: u64,
 }
