--- a/crates/standins/src/fabric/mod.rs
+++ b/crates/standins/src/fabric/mod.rs
@@ -1,6 +1,6 @@
-//! The fabric: sprays every packet at random over the balancers that it believes in, delays it by
-//! zones, and loses, duplicates and reorders on request. Returns go to the caller that owns the
-//! inner destination.
+//! The network fabric: sprays every packet at random over the balancers of its plan, delays it by
+//! the availability zones involved, and loses, duplicates and reorders packets on request. Returned
+//! packets go to the caller that owns the inner destination address.
 
 mod plan;
 mod queue;
@@ -25,25 +25,26 @@
 /// Counters, body of `GET /admin/stats`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Packets of callers that were handed to a balancer.
+    /// Packets of callers that were forwarded to a balancer.
     pub packets_sprayed: u64,
-    /// Packets handed back to a caller.
+    /// Packets returned to a caller.
     pub packets_returned: u64,
     /// Packets lost on request.
     pub packets_lost: u64,
-    /// Extra copies made on request.
+    /// Packets duplicated on request.
     pub packets_duplicated: u64,
-    /// Packets held back on request.
+    /// Packets delayed on request.
     pub packets_reordered: u64,
-    /// Packets to an address without a pool or a pool without balancers.
+    /// Packets whose destination has no pool, or a pool without balancers.
     pub packets_without_balancer: u64,
-    /// Packets to an inner address that no caller has used.
+    /// Packets to an inner address from which no caller has sent.
     pub packets_without_caller: u64,
-    /// Datagrams that are no plain GUE with an IP packet.
+    /// Datagrams that are not an IP packet in plain GUE.
     pub packets_malformed: u64,
 }
 
-/// The fabric. Datagrams and time go in, datagrams with a due time come out.
+/// The fabric. It does no I/O: datagrams and the time are passed in, and each datagram to send is
+/// returned once it is due.
 pub struct Fabric {
     random: Pcg64,
     plan: Plan,
@@ -54,7 +55,7 @@
 }
 
 impl Fabric {
-    /// A fabric that believes in no balancer yet.
+    /// Creates a fabric with an empty plan.
     ///
     /// ```
     /// assert_eq!(standins::fabric::Fabric::new(1).stats().packets_sprayed, 0);
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Changes what the fabric believes. A balancer that is left out gets packets for
-    /// `remove_lag_ms` more.
+    /// Replaces the plan. A balancer that the new plan leaves out gets packets for another
+    /// `remove_lag_ms`.
     pub fn set_plan(&mut self, now_us: u64, plan: Plan) {
         self.plan.replace(now_us, plan);
     }
@@ -80,7 +81,7 @@
         &self.stats
     }
 
-    /// Takes in a datagram of the caller at `from`.
+    /// Handles a datagram from the caller at `from`.
     pub fn receive_from_caller(&mut self, now_us: u64, from: SocketAddr, datagram: &[u8]) {
         let Some(addresses) = inner_addresses(datagram) else {
             self.stats.packets_malformed += 1;
@@ -97,7 +98,7 @@
         self.dispatch(now_us, delay_us, Port::Ingress, balancer.address, datagram);
     }
 
-    /// Takes in a datagram of an upstream or agent at `from`.
+    /// Handles a datagram from an upstream or agent at `from`.
     pub fn receive_from_upstream(&mut self, now_us: u64, from: SocketAddr, datagram: &[u8]) {
         let Some(addresses) = inner_addresses(datagram) else {
             self.stats.packets_malformed += 1;
@@ -114,7 +115,7 @@
         self.dispatch(now_us, delay_us, Port::Gateway, to, datagram);
     }
 
-    /// The next datagram that is due, if there is one.
+    /// Removes and returns the next datagram if it is due.
     pub fn pop_due(&mut self, now_us: u64) -> Option<Outbound> {
         self.queue.pop_due(now_us)
     }
--- a/crates/standins/src/fabric/plan.rs
+++ b/crates/standins/src/fabric/plan.rs
@@ -1,4 +1,4 @@
-//! What the fabric believes: balancers by destination, zones, delays and faults.
+//! Plan of the fabric: balancers by destination, availability zones, delays and faults.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -7,25 +7,25 @@
 use rand_pcg::Pcg64;
 use serde::{Deserialize, Serialize};
 
-/// Body of `PUT /admin/plan`. Replaces all that the fabric believed before.
+/// Body of `PUT /admin/plan`. Replaces the previous plan as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Plan {
-    /// Balancers by destination.
+    /// Balancer pools by destination.
     pub pools: Vec<Pool>,
-    /// Zones of callers, balancers, upstreams and agents by their address.
+    /// Availability zones of callers, balancers, upstreams and agents, by their address.
     pub zones: Vec<Zone>,
     /// Delays between zones.
     pub delays: Vec<Delay>,
-    /// Delay between zones that are not listed, and within one.
+    /// One-way delay between zones whose pair is not listed, also within one zone.
     pub delay_us: u64,
-    /// What goes wrong.
+    /// Faults to inject.
     pub faults: Faults,
-    /// A balancer that is left out of a new plan gets packets for this much longer.
+    /// How long a balancer that this plan leaves out still gets packets.
     pub remove_lag_ms: u64,
 }
 
-/// The balancers that take packets to some addresses.
+/// The balancers that receive packets for a set of destination addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
@@ -39,14 +39,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Balancer {
-    /// Where it takes plain GUE.
+    /// Address on which it receives plain GUE.
     pub address: SocketAddr,
-    /// Gets no packets from this moment, set once it was left out of a plan.
+    /// Time from which it gets no more packets; set when a plan leaves it out.
     #[serde(skip)]
     pub leaves_at_us: Option<u64>,
 }
 
-/// A set of addresses that lie in one zone.
+/// The addresses of one availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
@@ -56,32 +56,33 @@
     pub addresses: Vec<IpAddr>,
 }
 
-/// One way between two zones; either order.
+/// Delay between two zones, in both directions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Delay {
-    /// The two zones.
+    /// The two zones, in either order.
     pub zones: [Arc<str>; 2],
-    /// One way.
+    /// One-way delay.
     pub delay_us: u64,
 }
 
-/// What goes wrong, in both directions.
+/// Faults to inject, in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Packets that vanish, in millionths.
+    /// Share of packets lost, in millionths.
     pub loss_ppm: u32,
-    /// Packets that arrive twice, in millionths.
+    /// Share of packets duplicated, in millionths.
     pub duplicate_ppm: u32,
-    /// Packets that arrive late, in millionths.
+    /// Share of packets delayed by a random time, so that later ones overtake them, in millionths.
     pub reorder_ppm: u32,
-    /// How late at most.
+    /// Largest additional delay of a reordered packet or of a duplicate.
     pub reorder_us: u64,
 }
 
 impl Plan {
-    /// Takes over a new plan; balancers that it leaves out leave after their lag.
+    /// Replaces the plan. Balancers that the new one leaves out stay until their removal lag ends;
+    /// a lag that already runs is not restarted.
     pub(super) fn replace(&mut self, now_us: u64, mut new: Plan) {
         let leaves_at_us = now_us + new.remove_lag_ms * 1_000;
         for old in &self.pools {
@@ -100,7 +101,7 @@
         *self = new;
     }
 
-    /// One balancer by chance, for each packet anew.
+    /// Picks a balancer at random, independently for each packet.
     pub(super) fn choose(
         &mut self,
         now_us: u64,
@@ -115,7 +116,7 @@
         Some(pool.balancers[random.random_range(0..pool.balancers.len())])
     }
 
-    /// Delay between two machines.
+    /// One-way delay between two addresses.
     pub(super) fn delay_us(&self, a: IpAddr, b: IpAddr) -> u64 {
         let (Some(a), Some(b)) = (self.zone(a), self.zone(b)) else { return self.delay_us };
         let is_pair = |delay: &&Delay| match &delay.zones {
--- a/crates/standins/src/fabric/queue.rs
+++ b/crates/standins/src/fabric/queue.rs
@@ -1,11 +1,11 @@
-//! Datagrams on their way, by the moment at which they arrive.
+//! Datagrams in flight, ordered by the time at which they arrive.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Socket by which a datagram leaves.
+/// Socket from which a datagram is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Port {
     /// Towards balancers.
@@ -21,11 +21,11 @@
     pub port: Port,
     /// Receiver.
     pub to: SocketAddr,
-    /// Bytes; shared by duplicates.
+    /// Content, shared between duplicates.
     pub payload: Arc<[u8]>,
 }
 
-/// Earliest first; equal moments in the order of pushing.
+/// Queue ordered by due time; datagrams due at the same time keep the order of insertion.
 #[derive(Debug, Default)]
 pub struct DelayQueue {
     heap: BinaryHeap<Reverse<(u64, u64, Outbound)>>,
@@ -39,7 +39,7 @@
         self.heap.push(Reverse((due_us, self.pushed, outbound)));
     }
 
-    /// Takes the earliest datagram out if it is due.
+    /// Removes and returns the earliest datagram if it is due.
     ///
     /// ```
     /// use standins::fabric::{DelayQueue, Outbound, Port};
--- a/crates/standins/src/platform/budget.rs
+++ b/crates/standins/src/platform/budget.rs
@@ -1,11 +1,11 @@
-//! The read budget: a token bucket over all readers together.
+//! The read budget: one token bucket shared by all readers.
 
 use decision::time::Millis;
 
-/// Whole reads that may be taken at once after a quiet time, as a share of a second's budget.
+/// Size of the burst that is allowed after an idle period, in seconds of the read rate.
 const BURST_SECONDS: f64 = 1.0;
 
-/// Counts reads and refuses those over the rate.
+/// Token bucket that refuses reads above the configured rate.
 #[derive(Clone, Debug)]
 pub struct Budget {
     reads_per_s: f64,
@@ -14,7 +14,7 @@
 }
 
 impl Budget {
-    /// A full budget.
+    /// Creates a full budget.
     ///
     /// ```
     /// use decision::time::Millis;
@@ -28,7 +28,7 @@
         Self { reads_per_s, tokens: reads_per_s * BURST_SECONDS, refilled_at: Millis(0) }
     }
 
-    /// Takes one read, or says after how many seconds to come again.
+    /// Takes one read from the budget, or returns the seconds after which to retry.
     pub fn take(&mut self, now: Millis) -> Result<(), u32> {
         let elapsed_s = now.since(self.refilled_at) as f64 / 1_000.0;
         let capacity = self.reads_per_s * BURST_SECONDS;
--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform: a configuration service that can only be read and watched, and a list of
-//! instances that lags. The lab publishes by the admin calls; nobody else can write.
+//! The platform: a configuration service that readers can only read and watch, and a list of
+//! instances that becomes visible with a lag. Only the lab writes, through the admin calls.
 
 mod budget;
 mod mode;
@@ -19,21 +19,21 @@
 pub use mode::Mode;
 pub use store::{Document, Instance, InstanceList, Snapshot, Store, WatchReply};
 
-/// A waiting watch looks again after this long.
+/// Interval at which a waiting watch checks for changes.
 const WATCH_POLL_INTERVAL_MS: u64 = 10;
-/// A watch never waits longer than this, whatever it asks for.
+/// Upper bound of the wait time that a watch may request.
 const WATCH_WAIT_MAX_MS: u64 = 60_000;
 
 /// Counters, body of `GET /admin/stats`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Calls within the budget, a waiting watch counted as one.
+    /// Calls served within the budget; a waiting watch counts once.
     pub reads: u64,
-    /// Calls refused because the budget was spent.
+    /// Calls refused because the budget was exhausted.
     pub reads_over_budget: u64,
     /// Calls refused because the service was down.
     pub reads_while_down: u64,
-    /// Most reads in one second of the run.
+    /// Largest number of reads in any second.
     pub reads_per_s_max: u64,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl Platform {
-    /// A platform with nothing published.
+    /// Creates a platform with nothing published.
     ///
     /// ```
     /// use standins::platform::Platform;
@@ -80,7 +80,7 @@
         &self.stats
     }
 
-    /// Counts one read and says whether it is served.
+    /// Counts one read and returns whether it is served.
     fn admit(&mut self, now: Millis) -> Admission {
         if self.mode.down {
             self.stats.reads_while_down += 1;
@@ -99,7 +99,7 @@
         Admission::Served
     }
 
-    /// The moment as of which `reader` sees what is published.
+    /// The time as of which `reader` sees the published documents.
     fn seen_at(&self, reader: &str, now: Millis) -> Millis {
         self.mode.seen_at(self.mode_since, reader, now)
     }
@@ -113,7 +113,7 @@
     }
 }
 
-/// Answers one call; a watch waits in here.
+/// Answers one call. A watch waits here until there is a change or its wait time is over.
 pub async fn respond(platform: &Mutex<Platform>, call: Call) -> Reply {
     match call.route() {
         (method, path) if path.first() == Some(&"admin") => {
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! What was published when, so that each reader can be shown the state of its own moment.
+//! History of all publications, so that each reader can be shown the state as of a given time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 /// Name of the root document in a watch.
 const ROOT: &str = "root";
 
-/// A published text.
+/// A published document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Document {
-    /// Account, or `root`.
+    /// Name of the client account, or `root`.
     pub name: Arc<str>,
     /// YAML.
     pub text: Arc<str>,
@@ -34,9 +34,9 @@
 /// Body of `GET /v1/watch`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchReply {
-    /// Newest publication that the reader sees.
+    /// Index of the newest publication that the reader sees.
     pub index: u64,
-    /// Documents published after the asked index.
+    /// Names of the documents published after the requested index.
     pub changed: Vec<Arc<str>>,
 }
 
@@ -48,7 +48,7 @@
     pub name: Arc<str>,
     /// `balancer` or `agent`.
     pub kind: Arc<str>,
-    /// Account of an agent.
+    /// Client account of an agent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub account: Option<Arc<str>>,
     /// Service of an agent.
@@ -57,9 +57,9 @@
     /// Upstream of an agent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub upstream: Option<Arc<str>>,
-    /// Where it takes packets.
+    /// Address on which it receives packets.
     pub data_address: SocketAddr,
-    /// Where its HTTP endpoint listens.
+    /// Address of its HTTP endpoint.
     pub control_address: SocketAddr,
     /// Availability zone.
     pub zone: Arc<str>,
@@ -69,28 +69,28 @@
     pub state: Arc<str>,
 }
 
-/// Body of `GET /v1/instances` and, with a lag, of `PUT /admin/instances`.
+/// Body of `GET /v1/instances` and, with `lag_ms`, of `PUT /admin/instances`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceList {
     /// All instances.
     pub instances: Vec<Instance>,
-    /// Readers see this list so much later.
+    /// Delay after which readers see this list.
     #[serde(default, skip_serializing)]
     pub lag_ms: u64,
 }
 
-/// Everything that was ever published.
+/// Everything published since the start.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     /// Oldest first.
     snapshots: Vec<Snapshot>,
-    /// Lists with the moment from which they are seen, oldest first.
+    /// Lists of instances and the time from which each is visible, oldest first.
     instances: Vec<(Millis, InstanceList)>,
 }
 
 impl Store {
-    /// Publishes the root document or an account's subtree and returns the new index.
+    /// Publishes the root document or the subtree of a client account and returns the new index.
     ///
     /// ```
     /// use decision::time::Millis;
@@ -114,7 +114,7 @@
         index
     }
 
-    /// A document as of `seen_at`.
+    /// The root document or the subtree of a client account, as of `seen_at`.
     pub fn document(&self, seen_at: Millis, account: Option<&str>) -> Option<Arc<str>> {
         let name = account.unwrap_or(ROOT);
         let documents = &self.snapshot(seen_at)?.documents;
@@ -122,7 +122,7 @@
         Some(Arc::clone(&documents[position].text))
     }
 
-    /// What a watch after `after` shows as of `seen_at`.
+    /// Answer to a watch for changes after index `after`, as of `seen_at`.
     pub fn watch(&self, seen_at: Millis, after: u64) -> WatchReply {
         let Some(snapshot) = self.snapshot(seen_at) else {
             return WatchReply { index: 0, changed: Vec::new() };
