--- a/crates/standins/src/admin/mod.rs
+++ b/crates/standins/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP endpoints of the stand-ins, on gotham: one function answers every call.
+//! HTTP endpoints of the stand-ins, on gotham. One function answers all calls of an endpoint.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -16,43 +16,43 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Threads of one endpoint; the lab starts dozens of processes.
+/// Worker threads of an endpoint; only one, because the lab starts dozens of processes.
 const WORKER_THREADS: usize = 1;
 
 /// One HTTP call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// `GET`, `PUT` or `POST`.
+    /// HTTP method.
     pub method: Method,
     /// Path without the query.
     pub path: String,
     /// Query without its question mark.
     pub query: String,
-    /// Body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// Who calls: its `User-Agent`, or else its address.
+    /// Identifies the client: its `User-Agent`, or else its address.
     pub reader: String,
 }
 
-/// The answer to a call.
+/// The response to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// Status code.
     pub status: StatusCode,
-    /// Media type and content.
+    /// Media type and body.
     pub body: (mime::Mime, Vec<u8>),
-    /// Seconds after which a refused caller may come again.
+    /// Value of the `Retry-After` header.
     pub retry_after_s: Option<u32>,
 }
 
-/// Answers a call some time later.
+/// Future of the response to a call.
 pub type ReplyFuture = Pin<Box<dyn Future<Output = Reply> + Send>>;
 
-/// Answers all calls of an endpoint.
+/// Function that answers all calls of an endpoint.
 pub type RespondFn = Arc<dyn Fn(Call) -> ReplyFuture + Send + Sync>;
 
 impl Call {
-    /// Method and path segments, to match on.
+    /// Method and path segments, for pattern matching.
     ///
     /// ```
     /// use standins::admin::Call;
@@ -63,7 +63,7 @@
         (self.method.as_str(), segments.collect())
     }
 
-    /// A call without a body.
+    /// Creates a `GET` call without a query or body.
     pub fn get(path: &str) -> Self {
         Self {
             method: Method::GET,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A parameter of the query.
+    /// Value of a query parameter.
     ///
     /// ```
     /// use standins::admin::Call;
@@ -86,7 +86,7 @@
         pairs.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
     }
 
-    /// Reads the body as JSON and answers with what `apply` makes of it.
+    /// Parses the body as JSON and passes it to `apply`; answers 400 if it can't be parsed.
     pub fn with_json<T: DeserializeOwned>(&self, apply: impl FnOnce(T)) -> Reply {
         match serde_json::from_slice(&self.body) {
             Ok(value) => {
@@ -99,7 +99,7 @@
 }
 
 impl Reply {
-    /// A good answer in JSON.
+    /// A successful response with a JSON body.
     pub fn json(value: &impl Serialize) -> Self {
         match serde_json::to_vec(value) {
             Ok(body) => {
@@ -110,19 +110,19 @@
         }
     }
 
-    /// An answer in plain text.
+    /// A response in plain text.
     pub fn text(status: StatusCode, text: impl Into<String>) -> Self {
         let body = (mime::TEXT_PLAIN_UTF_8, text.into().into_bytes());
         Self { status, body, retry_after_s: None }
     }
 
-    /// There is nothing under this path.
+    /// The response for an unknown path.
     pub fn not_found() -> Self {
         Self::text(StatusCode::NOT_FOUND, "not found")
     }
 }
 
-/// Binds `address` and serves it on threads of its own until the process ends.
+/// Binds `address` and serves it on background threads until the process ends.
 pub fn spawn(address: SocketAddr, respond: RespondFn) -> anyhow::Result<()> {
     let listener = std::net::TcpListener::bind(address)
         .with_context(|| format!("cannot listen on {address}/tcp"))?;
@@ -133,7 +133,7 @@
         .build()?;
     std::thread::Builder::new().name("admin".to_owned()).spawn(move || {
         runtime.block_on(async {
-            // The listener is non-blocking already, which is all that this asks for.
+            // Does not fail in practice: the listener is non-blocking, as `from_std` requires.
             let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
             gotham::bind_server(listener, Server(respond), futures_util::future::ok).await
         })
@@ -141,15 +141,15 @@
     Ok(())
 }
 
-/// Wraps a function that answers at once.
+/// Wraps a function that answers without waiting.
 pub fn immediate(respond: impl Fn(&Call) -> Reply + Send + Sync + 'static) -> RespondFn {
     Arc::new(move |call| Box::pin(std::future::ready(respond(&call))))
 }
 
 struct Server(RespondFn);
 
-/// A panic in one call leaves nothing half done that the next call could see: the state behind it
-/// is locked by mutexes, which report the poisoning.
+/// The state behind the function is reached only through mutexes, which are unwind-safe. After a
+/// panic [`crate::shell::lock`] continues with the state as it is.
 impl RefUnwindSafe for Server {}
 
 impl NewHandler for Server {
--- a/crates/standins/src/bin/standin-caller.rs
+++ b/crates/standins/src/bin/standin-caller.rs
@@ -1,4 +1,4 @@
-//! Callers with many connections over real TCP in user space, each answer's bytes checked.
+//! Callers with many TCP connections in user space. Every byte of each answer is checked.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -14,12 +14,12 @@
 Usage: standin-caller --client IP... --listen IP:PORT --fabric IP:PORT --control IP:PORT
                       [--number N] [--seed N] [--stall-ms N]
 
-Sends its clients' packets in plain GUE to --fabric and takes answers on --listen. On --control:
+Sends its clients' packets in plain GUE to --fabric and receives answers on --listen. On --control:
 PUT /admin/workloads, POST /admin/end-feeds[?upstream=NAME], POST /admin/stop, GET /admin/report.
 On SIGTERM it prints its report as one line of JSON.
 ";
 
-/// An established connection without progress for this long is broken.
+/// An opening, datagram or established connection without progress for this long has failed.
 const DEFAULT_STALL_MS: u64 = 10_000;
 
 struct Options {
--- a/crates/standins/src/bin/standin-fabric.rs
+++ b/crates/standins/src/bin/standin-fabric.rs
@@ -1,4 +1,4 @@
-//! The fabric: sprays callers' packets over balancers and hands returns back to callers.
+//! The fabric: sprays callers' packets over balancers and returns answers to the callers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,15 +16,16 @@
 const HELP: &str = "\
 Usage: standin-fabric --ingress IP:PORT --gateway IP:PORT --control IP:PORT [--seed N]
 
-Takes callers' packets in plain GUE on --ingress, and those of upstreams and agents on --gateway.
-On --control: PUT /admin/plan, GET /admin/stats.
+Receives callers' packets in plain GUE on --ingress, and those of upstreams and agents on
+--gateway. On --control: PUT /admin/plan, GET /admin/stats.
 ";
 
-/// Datagrams taken from one socket before the other one and the queue are looked at.
+/// Number of datagrams received from one socket before the other one and the queue are handled.
 const BATCH_MAX: usize = 256;
-/// Longest sleep, so that a signal is noticed.
+/// Longest sleep, which bounds the time until a signal is noticed.
 const SLEEP_MAX_US: u64 = 50_000;
-/// Shortest sleep that the timer can keep; what is due sooner is waited for in turns.
+/// Shortest sleep: the timer of tokio has a resolution of one millisecond. A datagram that is due
+/// earlier is sent after this sleep or when a packet wakes the loop.
 const SLEEP_MIN_US: u64 = 1_000;
 /// Largest datagram.
 const DATAGRAM_BYTES_MAX: usize = 65_535;
@@ -100,7 +101,7 @@
     }
 }
 
-/// Sends what is due and says when the next datagram will be.
+/// Sends the datagrams that are due and returns when the next one will be.
 fn send_due(fabric: &Mutex<Fabric>, ingress: &UdpSocket, gateway: &UdpSocket) -> Option<u64> {
     let mut fabric = lock(fabric);
     let now_us = clock::now_us();
@@ -109,7 +110,7 @@
             Port::Ingress => ingress,
             Port::Gateway => gateway,
         };
-        // A full or missing receiver loses the packet, as on any network.
+        // If the receiver is missing or its buffer is full, the packet is lost, as on a network.
         let _ = socket.try_send_to(&outbound.payload, outbound.to);
     }
     fabric.due_us()
--- a/crates/standins/src/bin/standin-platform.rs
+++ b/crates/standins/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration service and list of instances, in memory.
+//! The platform's configuration service and list of instances, held in memory.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -18,9 +18,9 @@
 The lab: PUT /admin/root, /admin/accounts/NAME, /admin/instances, /admin/mode; GET /admin/stats.
 ";
 
-/// Roughly what the brief gives, over all readers.
+/// Default read budget of all readers together, close to that of the real platform.
 const DEFAULT_READS_PER_S: u32 = 2_000;
-/// How soon a signal is noticed.
+/// Interval at which the termination flag is checked.
 const SIGNAL_POLL_INTERVAL_MS: u64 = 20;
 
 fn main() -> anyhow::Result<()> {
--- a/crates/standins/src/bin/standin-upstream.rs
+++ b/crates/standins/src/bin/standin-upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream with real TCP in user space, and a ledger of all that it ran.
+//! An upstream with TCP in user space, and a ledger of the requests that it ran.
 
 use std::fs::OpenOptions;
 use std::io::Write as _;
@@ -17,12 +17,12 @@
 Usage: standin-upstream --service NAME --name NAME --endpoint IP:PORT... --listen IP:PORT
                         --gateway IP:PORT --control IP:PORT [--ledger FILE] [--seed N]
 
-Takes plain GUE on --listen and returns plain GUE to --gateway. GET /status on --control is what an
-agent reads; /admin/switches, /admin/stats and /admin/ledger are the lab's. SIGTERM waits until all
-connections have ended, a second one doesn't.
+Receives plain GUE on --listen and sends plain GUE to --gateway. On --control, agents read
+GET /status and the lab uses /admin/switches, /admin/stats and /admin/ledger. SIGTERM waits
+until all connections have ended, a second one doesn't.
 ";
 
-/// A graceful end waits no longer than this for connections to end.
+/// After a termination signal, the longest wait for open connections to end.
 const SHUTDOWN_TIMEOUT_MS: u64 = 10_000;
 
 struct Options {
@@ -65,7 +65,8 @@
     }
 }
 
-/// Writes new rows before any answer leaves, so that a killed upstream's ledger is complete.
+/// Writes new ledger rows before any answer is sent, so that the ledger of a killed upstream is
+/// complete.
 fn after_poll(path: Option<PathBuf>) -> anyhow::Result<AfterPoll<Upstream>> {
     let open = |path: PathBuf| {
         let file = OpenOptions::new().create(true).append(true).open(&path);
--- a/crates/standins/src/datagram/mod.rs
+++ b/crates/standins/src/datagram/mod.rs
@@ -1,4 +1,4 @@
-//! Inner IP packets as callers and upstreams see them, and building UDP ones.
+//! Parses the inner IP packets that callers and upstreams exchange, and builds UDP ones.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -7,33 +7,33 @@
     TransportSlice,
 };
 
-/// Hop limit of the packets built here.
+/// Hop limit of the UDP packets built here.
 const HOP_LIMIT: u8 = 64;
 
-/// One parsed packet; borrows its payload.
+/// A parsed packet that borrows its payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Packet<'a> {
-    /// Where it comes from; port 0 for ICMP.
+    /// Source address; port 0 for ICMP.
     pub source: SocketAddr,
-    /// Where it goes; port 0 for ICMP.
+    /// Destination address; port 0 for ICMP.
     pub destination: SocketAddr,
-    /// What it carries.
+    /// Content.
     pub content: Content<'a>,
 }
 
-/// What a packet carries.
+/// Content of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Content<'a> {
     /// A TCP segment.
     Tcp {
-        /// Opens a connection: SYN without ACK.
+        /// It opens a connection: SYN without ACK.
         opening: bool,
-        /// Resets it.
+        /// It resets the connection: RST.
         reset: bool,
     },
     /// A UDP datagram.
     Udp(&'a [u8]),
-    /// ICMP says that a datagram from `source` to `destination` was not delivered.
+    /// An ICMP message reports that a datagram from `source` to `destination` was not delivered.
     Unreachable {
         /// Sender of the undelivered datagram.
         source: SocketAddr,
@@ -42,7 +42,7 @@
     },
 }
 
-/// Parses an IP packet; `None` if it is malformed or of a kind that nobody here sends.
+/// Parses an IP packet; `None` if it is malformed or of a kind that no component here sends.
 ///
 /// ```
 /// use standins::datagram::{self, Content};
@@ -86,7 +86,7 @@
     Some(Packet { source, destination, content })
 }
 
-/// Builds a UDP datagram in an IP packet. Both addresses are of the same family.
+/// Builds a UDP datagram in an IP packet. Panics if the addresses are of different families.
 ///
 /// ```
 /// let (from, to) = ("[::1]:5000".parse().unwrap(), "[::2]:80".parse().unwrap());
@@ -101,15 +101,15 @@
         (IpAddr::V6(from), IpAddr::V6(to)) => {
             PacketBuilder::ipv6(from.octets(), to.octets(), HOP_LIMIT)
         }
-        _ => panic!("{source} and {destination} are of different families"),
+        _ => panic!("{source} and {destination} are of different address families"),
     };
     step.udp(source.port(), destination.port())
         .write(&mut packet, payload)
-        .expect("a vector takes every byte of a small datagram");
+        .expect("writing to a vector does not fail");
     packet
 }
 
-/// The addresses of the datagram that an ICMP message quotes; the quote may be cut short.
+/// Reads the addresses of the datagram that an ICMP message quotes; the quote may be truncated.
 fn parse_quoted_datagram(quote: &[u8]) -> Option<Content<'static>> {
     let sliced = LaxSlicedPacket::from_ip(quote).ok()?;
     let (from, to, rest) = match sliced.net? {
@@ -125,7 +125,8 @@
         }
         LaxNetSlice::Arp(_) => return None,
     };
-    // Ports are the first four bytes of TCP and UDP alike, so a quote of eight bytes suffices.
+    // Both TCP and UDP headers start with the four bytes of the ports, so that a quote of eight
+    // bytes suffices.
     let ([a, b, c, d], _) = rest.split_first_chunk::<4>()?;
     Some(Content::Unreachable {
         source: SocketAddr::new(from, u16::from_be_bytes([*a, *b])),
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for platform, fabric, upstreams and callers; never linked by the product.
+//! Stand-ins for the platform, the network fabric, upstreams and callers, for tests and the lab.
+//! The product never links this crate.
 //!
-//! Callers and upstreams are pure: packets and time go in, packets come out. The binaries in
-//! `src/bin` put sockets and clocks around them.
+//! Callers, upstreams and the fabric do no I/O: packets and the time are passed in, and they return
+//! the packets to send. The binaries in `src/bin` connect them to sockets and the system clock.
 
 pub mod admin;
 pub mod caller;
--- a/crates/standins/src/protocol/answer.rs
+++ b/crates/standins/src/protocol/answer.rs
@@ -1,28 +1,28 @@
-//! Answers, and reading them out of a byte stream that arrives in any portions.
+//! Answers, and a reader that extracts them from a byte stream split at arbitrary places.
 
 use std::fmt;
 use std::sync::Arc;
 
 use super::{Body, Malformed, RequestId, Responder, line_checksum, parse_number};
 
-/// Longest line of the protocol; a longer one is garbage.
+/// Longest line of the protocol; a longer one is malformed.
 const LINE_BYTES_MAX: usize = 256;
 
-/// What an upstream answers.
+/// Answer of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The confirmation has run.
+    /// The confirmation was run.
     Confirmed(RequestId, Responder),
-    /// Head of a body, or the whole of it when read by [`AnswerReader`].
+    /// Header line of a body. From [`AnswerReader`] it means that the body is complete, too.
     Body {
         /// Request.
         id: RequestId,
-        /// Who answers.
+        /// Service and upstream that answer.
         responder: Responder,
         /// Length of the body.
         bytes: u32,
     },
-    /// The feed begins.
+    /// The feed starts.
     Feed(RequestId, Responder),
     /// One line of a feed.
     Line {
@@ -30,17 +30,17 @@
         id: RequestId,
         /// Number of the line, from zero.
         number: u64,
-        /// Check word, see [`line_checksum`].
+        /// Checksum, see [`line_checksum`].
         checksum: u64,
     },
-    /// The feed has ended after this many lines.
+    /// The feed ended after this many lines.
     Ended(RequestId, u64),
-    /// The request was refused and not run.
+    /// The request was refused without running.
     Shed(RequestId),
 }
 
 impl Answer {
-    /// Reads one line, without its newline.
+    /// Parses one line, without its newline.
     ///
     /// ```
     /// use standins::protocol::{Answer, RequestId};
@@ -67,7 +67,7 @@
         }
     }
 
-    /// True if the content of a line is what its number says.
+    /// True if the checksum of a feed line matches its number; always true for other answers.
     pub fn is_intact(&self) -> bool {
         match *self {
             Self::Line { id, number, checksum } => checksum == line_checksum(id, number),
@@ -118,7 +118,8 @@
 }
 
 impl AnswerReader {
-    /// Takes in bytes and hands out each answer once it is whole. Fails on a byte that is wrong.
+    /// Reads `bytes` and passes each answer to `on_answer` once it is complete. Fails on the first
+    /// wrong byte of a body and on a malformed line.
     pub fn read(
         &mut self,
         mut bytes: &[u8],
@@ -141,7 +142,7 @@
         Ok(())
     }
 
-    /// True between two answers.
+    /// True if no answer is partially read.
     pub fn is_between_answers(&self) -> bool {
         self.body.is_none() && self.line.is_empty()
     }
@@ -159,7 +160,7 @@
         Ok(())
     }
 
-    /// Checks as much of the body as there is and returns the bytes after it.
+    /// Checks the bytes of the body that have arrived and returns the bytes after them.
     fn read_body<'a>(
         &mut self,
         bytes: &'a [u8],
--- a/crates/standins/src/protocol/body.rs
+++ b/crates/standins/src/protocol/body.rs
@@ -1,8 +1,8 @@
-//! Bytes that derive from a request's number, so that a caller can check each of them.
+//! Content derived from the number of a request, so that a caller can check every byte.
 
 use super::RequestId;
 
-/// The bytes of one body, in any portions.
+/// Iterator over the bytes of one body.
 ///
 /// ```
 /// use standins::protocol::{Body, RequestId};
@@ -17,7 +17,7 @@
 }
 
 impl Body {
-    /// A body from its first byte.
+    /// Starts at the first byte of the body.
     pub fn new(id: RequestId) -> Self {
         Self { id, offset: 0 }
     }
@@ -34,7 +34,7 @@
     }
 }
 
-/// The check word of line `number` of a feed.
+/// Checksum of line `number` of a feed.
 ///
 /// ```
 /// use standins::protocol::{RequestId, line_checksum};
@@ -44,7 +44,7 @@
     mix(id.0 ^ mix(number))
 }
 
-/// The finaliser of SplitMix64: every bit of the input reaches every bit of the output.
+/// The SplitMix64 finaliser: every input bit affects every output bit.
 fn mix(mut word: u64) -> u64 {
     word = word.wrapping_add(0x9e37_79b9_7f4a_7c15);
     word = (word ^ (word >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/standins/src/protocol/mod.rs
+++ b/crates/standins/src/protocol/mod.rs
@@ -1,4 +1,5 @@
-//! What callers ask and upstreams answer. Lines of text, so that a capture can be read:
+//! The protocol between callers and upstreams. It consists of lines of text, so that a capture is
+//! readable:
 //!
 //! ```text
 //! CONFIRM <id>             -> OK <id> <service> <upstream>
@@ -8,7 +9,7 @@
 //! anything while shedding  -> SHED <id>: it was not run
 //! ```
 //!
-//! A datagram carries one request without a newline and is answered by one datagram.
+//! A datagram carries one `CONFIRM` request without a newline and is answered by one datagram.
 
 mod answer;
 mod body;
@@ -19,36 +20,36 @@
 pub use answer::{Answer, AnswerReader};
 pub use body::{Body, line_checksum};
 
-/// Number of a request, unique over all callers of a run.
+/// Number of a request, unique across all callers of a run.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct RequestId(pub u64);
 
-/// What a caller asks.
+/// Request of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// A restock confirmation or pattern adjustment: not idempotent.
+    /// A restock confirmation or pattern adjustment, which is not idempotent.
     Confirm(RequestId),
     /// A packing sheet or swatch image.
     Fetch {
-        /// Number of the request, from which the body derives.
+        /// Number of the request, from which the body is derived.
         id: RequestId,
         /// Length of the body.
         bytes: u32,
     },
-    /// A long feed.
+    /// A long-lived feed.
     Feed {
-        /// Number of the request, from which the lines derive.
+        /// Number of the request, from which the lines are derived.
         id: RequestId,
         /// Time between two lines.
         interval_ms: u32,
     },
-    /// Ends a feed and asks how many lines it had.
+    /// Ends a feed; the answer states how many lines it had.
     End(RequestId),
 }
 
-/// Who answers.
+/// The service and upstream that answer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 pub struct Responder {
     /// Service.
@@ -57,7 +58,7 @@
     pub upstream: Arc<str>,
 }
 
-/// The text is none of the protocol's lines.
+/// The text is not a line of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Reads one request, without its newline.
+    /// Parses one request, without its newline.
     ///
     /// ```
     /// use standins::protocol::{Request, RequestId};
--- a/crates/standins/src/shell/mod.rs
+++ b/crates/standins/src/shell/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets and clocks around a pure caller or upstream.
+//! Runs a caller or upstream, which does no I/O itself, on a UDP socket and the system clock.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,34 +13,37 @@
 
 use crate::clock;
 
-/// A change by the admin endpoint takes effect after this long at most.
+/// Longest sleep between two polls, and so the longest delay until a change by the admin endpoint
+/// takes effect.
 const SLEEP_MAX_MS: u64 = 10;
-/// Datagrams worked on before timers are looked at again.
+/// Number of datagrams handled before timers are checked again.
 const BATCH_MAX: usize = 64;
 /// Largest datagram.
 const DATAGRAM_BYTES_MAX: usize = 65_535;
-/// Room for bursts; the kernel may grant less.
+/// Requested size of the socket buffers, to absorb bursts; the kernel may grant less.
 const SOCKET_BUFFER_BYTES: usize = 4 << 20;
 
-/// How a shell drives what is inside it.
+/// Event loop around a caller or upstream.
 pub struct Shell<T> {
     /// The caller or upstream.
     pub inner: Arc<Mutex<T>>,
-    /// Takes in one inner packet.
+    /// Handles one received inner packet.
     pub handle_packet: fn(&mut T, Millis, &[u8]),
-    /// Works on what is due and appends inner packets to send.
+    /// Handles queued packets and due timers, and appends the inner packets to send.
     pub poll: fn(&mut T, Millis, &mut Vec<Vec<u8>>),
     /// When the next poll is due.
     pub due: fn(&T) -> Option<Millis>,
-    /// Runs after each poll and before its packets are sent; true ends the shell.
+    /// Called after each poll and before its packets are sent; true ends the event loop.
     pub after_poll: AfterPoll<T>,
 }
 
-/// Takes what was polled and whether the process was told to end; says whether it may end now.
+/// Receives the polled caller or upstream and whether a termination signal was received; returns
+/// whether the process may end now.
 pub type AfterPoll<T> = Box<dyn FnMut(&mut T, bool) -> anyhow::Result<bool>>;
 
 impl<T> Shell<T> {
-    /// Takes packets on `local` and sends to `remote`, both in plain GUE, until told to end.
+    /// Receives packets on `local` and sends to `remote`, both in plain GUE, until `after_poll`
+    /// returns true.
     pub fn run(self, local: SocketAddr, remote: SocketAddr) -> anyhow::Result<()> {
         let terminated = termination_flag()?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -72,7 +75,7 @@
                 return Ok(());
             }
             let sleep_ms = due.map_or(SLEEP_MAX_MS, |due| due.since(now).min(SLEEP_MAX_MS));
-            // A time-out only means that a timer is due; an error of the socket shows at its use.
+            // A time-out means that a timer is due; a socket error recurs at the next use.
             let _ = tokio::time::timeout(Duration::from_millis(sleep_ms), socket.readable()).await;
         }
     }
@@ -87,12 +90,13 @@
     }
 }
 
-/// Locks, also after a panic elsewhere: the stand-ins' records outlive a failed call.
+/// Locks the mutex even if it is poisoned, so that the records of a stand-in stay available after a
+/// call that panicked.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A flag that SIGTERM and SIGINT set.
+/// Returns a flag that SIGTERM and SIGINT set.
 pub fn termination_flag() -> anyhow::Result<Arc<AtomicBool>> {
     let flag = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
@@ -101,7 +105,7 @@
     Ok(flag)
 }
 
-/// A UDP socket with room for bursts. Must be called within a tokio runtime.
+/// Binds a UDP socket with large buffers. Must be called within a tokio runtime.
 pub fn bind(local: SocketAddr) -> anyhow::Result<UdpSocket> {
     let domain = socket2::Domain::for_address(local);
     let socket = socket2::Socket::new(domain, socket2::Type::DGRAM, None)?;
@@ -112,7 +116,7 @@
     Ok(UdpSocket::from_std(socket.into())?)
 }
 
-/// What kind of packet this is by its version field; `None` for neither.
+/// Content type of an IP packet by its version field; `None` if it is neither 4 nor 6.
 pub fn content_of(packet: &[u8]) -> Option<gue::Content> {
     match packet.first()? >> 4 {
         4 => Some(gue::Content::Ipv4),
@@ -125,6 +129,6 @@
     let Some(content) = content_of(packet) else { return };
     frame.clear();
     gue::encode(content, &[], packet, frame);
-    // A network loses packets; the stacks on both ends retransmit.
+    // A failed send is like a packet lost in the network: the TCP stacks retransmit.
     let _ = socket.send_to(frame, remote).await;
 }
--- a/crates/standins/src/stack/device.rs
+++ b/crates/standins/src/stack/device.rs
@@ -1,14 +1,14 @@
-//! A network device whose cables are two queues.
+//! A network device for smoltcp that receives from and sends to in-memory queues.
 
 use std::collections::VecDeque;
 
 use smoltcp::phy::{Device, DeviceCapabilities, Medium, RxToken, TxToken};
 use smoltcp::time::Instant;
 
-/// Inner packets stay below the usual 1500 bytes with room for the encapsulation.
+/// Keeps inner packets below the usual MTU of 1500 bytes, with room for the encapsulation.
 const MTU_BYTES: usize = 1_400;
 
-/// Received packets wait in one queue, sent ones in the other.
+/// Queues of received and of sent packets.
 #[derive(Debug, Default)]
 pub(super) struct QueueDevice {
     pub(super) received: VecDeque<Vec<u8>>,
--- a/crates/standins/src/stack/mod.rs
+++ b/crates/standins/src/stack/mod.rs
@@ -1,7 +1,7 @@
-//! One TCP connection in user space: smoltcp with one interface and one socket per connection.
+//! One TCP connection in user space, on smoltcp with one interface and one socket per connection.
 //!
-//! A stack per connection finds its socket without a search, and a listener needs no backlog of
-//! idle sockets: the upstream makes a listening stack for each opening.
+//! With a stack per connection smoltcp need not search for the socket of a packet, and a listener
+//! needs no backlog of idle sockets: the upstream creates a listening stack for each opening.
 
 mod device;
 
@@ -15,11 +15,13 @@
 
 use device::QueueDevice;
 
-/// Bytes of one direction's buffer; a feed's lines and a swatch image pass through it in parts.
+/// Size of the buffer of each direction. Longer content, such as a swatch image, passes through it
+/// in parts.
 const BUFFER_BYTES: usize = 16 * 1024;
-/// A peer that acknowledges nothing for this long is given up. Longer than any outage of the lab.
+/// The connection is aborted when the peer acknowledges nothing for this long. Longer than any
+/// outage in the lab.
 const TIMEOUT_MS: u64 = 40_000;
-/// An idle connection shows every so often that it lives, as tablets behind a router do.
+/// Interval of keep-alive segments on an idle connection, as tablets behind a router send them.
 const KEEP_ALIVE_MS: u64 = 5_000;
 
 /// One TCP connection and the interface that it owns.
@@ -31,7 +33,7 @@
 }
 
 impl TcpStack {
-    /// A connection that opens from `local` to `remote`; `seed` decides its initial sequence number.
+    /// Opens a connection from `local` to `remote`; `seed` determines its initial sequence number.
     ///
     /// ```
     /// use decision::time::Millis;
@@ -45,13 +47,14 @@
     pub fn connect(local: SocketAddr, remote: SocketAddr, seed: u64, now: Millis) -> Self {
         let mut stack = Self::with_address(local, seed, now);
         let socket = stack.sockets.get_mut::<tcp::Socket>(stack.handle);
-        // Both addresses were parsed with a port, and the socket is fresh.
+        // Fails only for an invalid address or a socket in use. Both addresses were parsed with a
+        // port, and the socket is new.
         let opened = socket.connect(stack.interface.context(), remote, local);
         debug_assert!(opened.is_ok());
         stack
     }
 
-    /// A connection that waits for its opening on `local`.
+    /// Creates a stack that listens on `local` for one connection.
     ///
     /// ```
     /// use decision::time::Millis;
@@ -65,7 +68,7 @@
         stack
     }
 
-    /// A stack without a socket in use: it answers any segment with a reset, as a host does.
+    /// Creates a stack whose socket is closed. It answers any segment with a reset, as a host does.
     ///
     /// ```
     /// use decision::time::Millis;
@@ -76,19 +79,19 @@
         Self::with_address(local, 0, now)
     }
 
-    /// Takes in one IP packet; it is worked on by the next [`TcpStack::poll`].
+    /// Queues one received IP packet for the next [`TcpStack::poll`].
     pub fn push(&mut self, packet: &[u8]) {
         self.device.received.push_back(packet.to_vec());
     }
 
-    /// Works on received packets and due timers, appending the packets to send.
+    /// Handles received packets and due timers, and appends the packets to send to `out`.
     pub fn poll(&mut self, now: Millis, out: &mut Vec<Vec<u8>>) {
         self.interface.poll(instant(now), &mut self.device, &mut self.sockets);
         out.append(&mut self.device.sent);
     }
 
-    /// When the next [`TcpStack::poll`] is due without a packet; `None` while nothing is pending.
-    /// Later than `now`, for which a poll has just worked on everything.
+    /// When the next [`TcpStack::poll`] is due if no packet arrives; `None` while no timer runs.
+    /// Always later than `now`, because it follows a poll at `now`.
     pub fn due(&mut self, now: Millis) -> Option<Millis> {
         let at = self.interface.poll_at(instant(now), &self.sockets)?;
         Some(Millis(at.total_millis().max(0) as u64).max(now.after(1)))
@@ -110,7 +113,7 @@
         config.random_seed = seed;
         let mut interface = Interface::new(config, &mut device, instant(now));
         interface.update_ip_addrs(|addresses| {
-            // The list is empty and holds two.
+            // Cannot fail: the list is empty and has room for two.
             let _ = addresses.push(IpCidr::new(IpAddress::from(local.ip()), 0));
         });
         let mut sockets = SocketSet::new(Vec::with_capacity(1));
