--- a/crates/standins/tests/fabric.rs
+++ b/crates/standins/tests/fabric.rs
@@ -1,4 +1,4 @@
-//! The fabric: who gets which packet when. Time and seed are injected.
+//! The fabric: which packet is delivered where and when. Time and seed are injected.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -37,7 +37,7 @@
     fabric
 }
 
-/// A frame between the client and the service.
+/// A UDP request in a GUE frame.
 fn frame(from: &str, to: &str) -> Vec<u8> {
     let packet = datagram::build_udp(from.parse().unwrap(), to.parse().unwrap(), b"CONFIRM 7");
     let mut frame = Vec::new();
@@ -57,7 +57,7 @@
     text.parse().unwrap()
 }
 
-/// Everything that is due until `now_us`.
+/// All datagrams that are due until `now_us`.
 fn drain(fabric: &mut Fabric, now_us: u64) -> Vec<Outbound> {
     std::iter::from_fn(|| fabric.pop_due(now_us)).collect()
 }
@@ -91,7 +91,8 @@
     assert_eq!(drain(&mut fabric, 10 + expected_us).len(), 1);
 }
 
-/// Packets go on to a balancer that was just taken out of the list, because the fabric learns late.
+/// A balancer that was removed from the plan still gets packets during the removal lag, because a
+/// real fabric learns of the removal late.
 #[rstest]
 #[case::within_lag(499_999, true)]
 #[case::after_lag(500_000, false)]
@@ -106,7 +107,7 @@
     assert_eq!((sprayed.len(), removed), (100, expected));
 }
 
-/// A later plan doesn't give a removed balancer its lag anew.
+/// A removed balancer's lag runs from the plan that left it out; a later plan doesn't extend it.
 #[test]
 fn later_plan_does_not_restart_the_removal_lag() {
     let mut fabric = fabric(plan(&["127.0.0.11:6080", "127.0.0.12:6080"]));
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: what which reader sees when, and what is refused.
+//! The platform: which publications a reader sees at which time, and which reads are refused.
 
 use decision::time::Millis;
 use rstest::rstest;
@@ -61,7 +61,8 @@
     assert_eq!(store.instances(Millis(seen_at_ms)).instances.len(), expected);
 }
 
-/// Readers together get no more than the rate, however they spread it.
+/// All readers together get no more reads than the rate and the burst allow, whether the reads come
+/// at once or evenly spread.
 #[rstest]
 #[case::burst(1, 5_000)]
 #[case::steady(5_000, 5_000)]
--- a/crates/standins/tests/protocol.rs
+++ b/crates/standins/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The request protocol: both directions, and streams cut anywhere.
+//! The request protocol: parsing in both directions, and streams split at arbitrary places.
 
 use rstest::rstest;
 use standins::protocol::line_checksum;
@@ -61,7 +61,7 @@
     assert!(reader.is_between_answers());
 }
 
-/// One flipped bit anywhere in a body is noticed; so is a body that ends early.
+/// A flipped bit at any offset of a body is detected, and so is a truncated body.
 #[test]
 fn wrong_body_byte_is_detected() {
     for offset in 26..326 {
@@ -70,7 +70,7 @@
         assert_eq!(AnswerReader::default().read(&stream, |_| {}), Err(Malformed), "{offset}");
     }
     let mut reader = AnswerReader::default();
-    reader.read(&stream()[..300], |_| panic!("a cut body is no answer")).unwrap();
+    reader.read(&stream()[..300], |_| panic!("a truncated body must not yield an answer")).unwrap();
     assert!(!reader.is_between_answers());
 }
 
--- a/crates/standins/tests/wire_loop.rs
+++ b/crates/standins/tests/wire_loop.rs
@@ -1,4 +1,4 @@
-//! Caller and upstream on a direct wire, without sockets and with injected time.
+//! A caller and an upstream connected directly, without sockets and with injected time.
 
 use std::net::SocketAddr;
 
@@ -14,16 +14,16 @@
 const DATAGRAMS: &str = "203.0.113.1:9443";
 const STALL_MS: u64 = 5_000;
 
-/// Caller and upstream, and what the wire does to packets between them.
+/// Caller and upstream, and the faults of the wire between them.
 struct Wire {
     caller: Caller,
     upstream: Upstream,
     now: Millis,
-    /// One packet in so many vanishes, by chance; 0 for none.
+    /// Loses one packet in this many, at random; 0 for none.
     loss_one_in: u32,
-    /// One packet in so many arrives twice.
+    /// Duplicates one packet in this many, at random; 0 for none.
     duplicate_one_in: u32,
-    /// The wire is cut in both directions.
+    /// Loses all packets in both directions.
     cut: bool,
     random: Pcg64,
 }
@@ -52,7 +52,7 @@
         wire
     }
 
-    /// Runs for a while in steps of one millisecond.
+    /// Runs for `ms` milliseconds in steps of one millisecond.
     fn run(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now = self.now.after(1);
@@ -149,9 +149,9 @@
     assert_eq!(runs.len(), count);
 }
 
-/// The caller sees one answer and ignores the second. The network delivers the datagram twice and
-/// nothing between it and the upstream drops the copy, so the ledger must show two runs: this is
-/// what the lab's `requests_run_twice` counts.
+/// A datagram that the network duplicates runs twice at the upstream and must appear twice in its
+/// ledger, although the caller ignores the second answer. The lab counts such requests in
+/// `requests_run_twice`.
 #[test]
 fn duplicated_datagram_runs_twice() {
     let mut wire = Wire::with_workload(Workload { datagrams_per_s: 50, ..idle_workload() });
@@ -175,8 +175,8 @@
     assert!(report.incidents.iter().any(|incident| incident.outcome == outcome));
 }
 
-/// A caller sees its feeds go on after an outage that is shorter than its patience, because TCP on
-/// both ends retransmits; nothing is counted as broken.
+/// Feeds continue after an outage that is shorter than the caller's stall time-out, because TCP
+/// retransmits on both ends. The caller must report no incident.
 #[test]
 fn connections_survive_a_short_outage() {
     let mut wire = Wire::with_workload(mixed_workload());
@@ -188,8 +188,8 @@
     assert_eq!(wire.stop().incidents, []);
 }
 
-/// Callers see their connections reset. The upstream is replaced by a new process that knows none
-/// of them, and its stack answers their segments as a host does.
+/// An upstream that is replaced by a new process knows none of the earlier connections. It must
+/// reset them, as a host does, and the caller must report the resets.
 #[test]
 fn restarted_upstream_resets_connections() {
     let mut wire = Wire::with_workload(Workload { feeds: 4, ..idle_workload() });
@@ -218,7 +218,7 @@
     assert_eq!(wire.runs(), []);
 }
 
-/// The upstream counts packets for other services than its own and doesn't answer them.
+/// An upstream counts packets for addresses outside of its service and doesn't answer them.
 #[test]
 fn misdelivered_packets_are_counted() {
     let workload =
@@ -229,7 +229,7 @@
     assert_eq!(wire.caller.report(wire.now).flows_opened, 0);
 }
 
-/// Another service's upstream answers on our connections: the caller must notice.
+/// The caller must detect answers from an upstream of another service.
 #[test]
 fn wrong_service_is_detected() {
     let mut wire = Wire::with_workload(Workload { confirms_per_s: 10, ..idle_workload() });
