--- a/crates/standins/src/bin/standin-fabric.rs
+++ b/crates/standins/src/bin/standin-fabric.rs
@@ -1,4 +1,4 @@
-//! The fabric: sprays callers' packets over balancers and hands returns back to callers.
+//! The fabric: sprays callers' packets over balancers and returns answers to the callers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,15 +16,16 @@
 const HELP: &str = "\
 Usage: standin-fabric --ingress IP:PORT --gateway IP:PORT --control IP:PORT [--seed N]
 
-Takes callers' packets in plain GUE on --ingress, and those of upstreams and agents on --gateway.
-On --control: PUT /admin/plan, GET /admin/stats.
+Receives callers' packets in plain GUE on --ingress, and those of upstreams and agents on
+--gateway. On --control: PUT /admin/plan, GET /admin/stats.
 ";
 
-/// Datagrams taken from one socket before the other one and the queue are looked at.
-const BATCH: usize = 256;
-/// Longest sleep, so that a signal is noticed.
+/// Number of datagrams received from one socket before the other one and the queue are handled.
+const BATCH_MAX: usize = 256;
+/// Longest sleep, which bounds the time until a signal is noticed.
 const SLEEP_MAX_US: u64 = 50_000;
-/// Shortest sleep that the timer can keep; what is due sooner is waited for in turns.
+/// Shortest sleep: the timer of tokio has a resolution of one millisecond. A datagram that is due
+/// earlier is sent after this sleep or when a packet wakes the loop.
 const SLEEP_MIN_US: u64 = 1_000;
 /// Largest datagram.
 const DATAGRAM_BYTES_MAX: usize = 65_535;
@@ -73,8 +74,8 @@
 ) {
     let mut datagram = vec![0; DATAGRAM_BYTES_MAX];
     while !terminated.load(Ordering::Relaxed) {
-        receive(fabric, ingress, &mut datagram, Fabric::from_caller);
-        receive(fabric, gateway, &mut datagram, Fabric::from_upstream);
+        receive(fabric, ingress, &mut datagram, Fabric::receive_from_caller);
+        receive(fabric, gateway, &mut datagram, Fabric::receive_from_upstream);
         let due_us = send_due(fabric, ingress, gateway);
         let sleep_us = due_us.map_or(SLEEP_MAX_US, |due| due.saturating_sub(clock::now_us()));
         let sleep = Duration::from_micros(sleep_us.clamp(SLEEP_MIN_US, SLEEP_MAX_US));
@@ -90,17 +91,17 @@
     fabric: &Mutex<Fabric>,
     socket: &UdpSocket,
     datagram: &mut [u8],
-    take: fn(&mut Fabric, u64, SocketAddr, &[u8]),
+    handle: fn(&mut Fabric, u64, SocketAddr, &[u8]),
 ) {
     let mut fabric = lock(fabric);
     let now_us = clock::now_us();
-    for _ in 0..BATCH {
+    for _ in 0..BATCH_MAX {
         let Ok((length, from)) = socket.try_recv_from(datagram) else { return };
-        take(&mut fabric, now_us, from, &datagram[..length]);
+        handle(&mut fabric, now_us, from, &datagram[..length]);
     }
 }
 
-/// Sends what is due and says when the next datagram will be.
+/// Sends the datagrams that are due and returns when the next one will be.
 fn send_due(fabric: &Mutex<Fabric>, ingress: &UdpSocket, gateway: &UdpSocket) -> Option<u64> {
     let mut fabric = lock(fabric);
     let now_us = clock::now_us();
@@ -109,7 +110,7 @@
             Port::Ingress => ingress,
             Port::Gateway => gateway,
         };
-        // A full or missing receiver loses the packet, as on any network.
+        // If the receiver is missing or its buffer is full, the packet is lost, as on a network.
         let _ = socket.try_send_to(&outbound.payload, outbound.to);
     }
     fabric.due_us()
--- a/crates/standins/src/bin/standin-upstream.rs
+++ b/crates/standins/src/bin/standin-upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream with real TCP in user space, and a ledger of all that it ran.
+//! An upstream with TCP in user space, and a ledger of the requests that it ran.
 
 use std::fs::OpenOptions;
 use std::io::Write as _;
@@ -17,13 +17,13 @@
 Usage: standin-upstream --service NAME --name NAME --endpoint IP:PORT... --listen IP:PORT
                         --gateway IP:PORT --control IP:PORT [--ledger FILE] [--seed N]
 
-Takes plain GUE on --listen and returns plain GUE to --gateway. GET /status on --control is what an
-agent reads; /admin/switches, /admin/stats and /admin/ledger are the lab's. SIGTERM waits until all
-connections have ended, a second one doesn't.
+Receives plain GUE on --listen and sends plain GUE to --gateway. On --control, agents read
+GET /status and the lab uses /admin/switches, /admin/stats and /admin/ledger. SIGTERM waits
+until all connections have ended, a second one doesn't.
 ";
 
-/// A graceful end waits no longer than this for connections to end.
-const END_AFTER_MS: u64 = 10_000;
+/// After a termination signal, the longest wait for open connections to end.
+const SHUTDOWN_TIMEOUT_MS: u64 = 10_000;
 
 struct Options {
     config: UpstreamConfig,
@@ -43,7 +43,7 @@
     admin::spawn(options.control, admin::immediate(move |call| respond(&state, call)))?;
     let shell = Shell {
         inner,
-        packet: Upstream::packet,
+        handle_packet: Upstream::handle_packet,
         poll: Upstream::poll,
         due: Upstream::due,
         after_poll: after_poll(options.ledger)?,
@@ -65,14 +65,15 @@
     }
 }
 
-/// Writes new rows before any answer leaves, so that a killed upstream's ledger is complete.
+/// Writes new ledger rows before any answer is sent, so that the ledger of a killed upstream is
+/// complete.
 fn after_poll(path: Option<PathBuf>) -> anyhow::Result<AfterPoll<Upstream>> {
     let open = |path: PathBuf| {
         let file = OpenOptions::new().create(true).append(true).open(&path);
         file.with_context(|| format!("cannot write {}", path.display()))
     };
     let mut file = path.map(open).transpose()?;
-    let mut ends_at = None;
+    let mut shutdown_deadline = None;
     Ok(Box::new(move |upstream, terminated| {
         let mut lines = Vec::new();
         for row in upstream.ledger_mut().take_new() {
@@ -86,8 +87,8 @@
             return Ok(false);
         }
         let now = clock::now();
-        let ends_at = *ends_at.get_or_insert(now.after(END_AFTER_MS));
-        Ok(upstream.stats().open_connections == 0 || now >= ends_at)
+        let shutdown_deadline = *shutdown_deadline.get_or_insert(now.after(SHUTDOWN_TIMEOUT_MS));
+        Ok(upstream.stats().open_connections == 0 || now >= shutdown_deadline)
     }))
 }
 
@@ -112,9 +113,9 @@
     }
     let service = service.context("--service is missing")?;
     let name = name.context("--name is missing")?;
-    let answerer = UpstreamConfig::answerer(&service, &name);
+    let responder = UpstreamConfig::responder(&service, &name);
     Ok(Some(Options {
-        config: UpstreamConfig { answerer, endpoints, seed },
+        config: UpstreamConfig { responder, endpoints, seed },
         listen: listen.context("--listen is missing")?,
         gateway: gateway.context("--gateway is missing")?,
         control: control.context("--control is missing")?,
--- a/crates/standins/src/datagram/mod.rs
+++ b/crates/standins/src/datagram/mod.rs
@@ -1,4 +1,4 @@
-//! Inner IP packets as callers and upstreams see them, and building UDP ones.
+//! Parses the inner IP packets that callers and upstreams exchange, and builds UDP ones.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -7,33 +7,33 @@
     TransportSlice,
 };
 
-/// Hop limit of the packets built here.
+/// Hop limit of the UDP packets built here.
 const HOP_LIMIT: u8 = 64;
 
-/// One parsed packet; borrows its payload.
+/// A parsed packet that borrows its payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Packet<'a> {
-    /// Where it comes from; port 0 for ICMP.
+    /// Source address; port 0 for ICMP.
     pub source: SocketAddr,
-    /// Where it goes; port 0 for ICMP.
+    /// Destination address; port 0 for ICMP.
     pub destination: SocketAddr,
-    /// What it carries.
+    /// Content.
     pub content: Content<'a>,
 }
 
-/// What a packet carries.
+/// Content of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Content<'a> {
     /// A TCP segment.
     Tcp {
-        /// Opens a connection: SYN without ACK.
+        /// It opens a connection: SYN without ACK.
         opening: bool,
-        /// Resets it.
+        /// It resets the connection: RST.
         reset: bool,
     },
     /// A UDP datagram.
     Udp(&'a [u8]),
-    /// ICMP says that a datagram from `source` to `destination` was not delivered.
+    /// An ICMP message reports that a datagram from `source` to `destination` was not delivered.
     Unreachable {
         /// Sender of the undelivered datagram.
         source: SocketAddr,
@@ -42,12 +42,12 @@
     },
 }
 
-/// Parses an IP packet; `None` if it is malformed or of a kind that nobody here sends.
+/// Parses an IP packet; `None` if it is malformed or of a kind that no component here sends.
 ///
 /// ```
 /// use standins::datagram::{self, Content};
 /// let (from, to) = ("198.18.0.1:5000".parse().unwrap(), "203.0.113.1:80".parse().unwrap());
-/// let packet = datagram::udp(from, to, b"CONFIRM 7");
+/// let packet = datagram::build_udp(from, to, b"CONFIRM 7");
 /// assert_eq!(datagram::parse(&packet).unwrap().content, Content::Udp(b"CONFIRM 7"));
 /// ```
 pub fn parse(packet: &[u8]) -> Option<Packet<'_>> {
@@ -72,11 +72,11 @@
             (udp.source_port(), udp.destination_port(), Content::Udp(udp.payload()))
         }
         TransportSlice::Icmpv4(icmp) => match icmp.icmp_type() {
-            Icmpv4Type::DestinationUnreachable(_) => (0, 0, undelivered(icmp.payload())?),
+            Icmpv4Type::DestinationUnreachable(_) => (0, 0, parse_quoted_datagram(icmp.payload())?),
             _ => return None,
         },
         TransportSlice::Icmpv6(icmp) => match icmp.icmp_type() {
-            Icmpv6Type::DestinationUnreachable(_) => (0, 0, undelivered(icmp.payload())?),
+            Icmpv6Type::DestinationUnreachable(_) => (0, 0, parse_quoted_datagram(icmp.payload())?),
             _ => return None,
         },
         TransportSlice::Igmp(_) => return None,
@@ -86,13 +86,13 @@
     Some(Packet { source, destination, content })
 }
 
-/// Builds a UDP datagram in an IP packet. Both addresses are of the same family.
+/// Builds a UDP datagram in an IP packet. Panics if the addresses are of different families.
 ///
 /// ```
 /// let (from, to) = ("[::1]:5000".parse().unwrap(), "[::2]:80".parse().unwrap());
-/// assert_eq!(standins::datagram::udp(from, to, b"").len(), 48);
+/// assert_eq!(standins::datagram::build_udp(from, to, b"").len(), 48);
 /// ```
-pub fn udp(source: SocketAddr, destination: SocketAddr, payload: &[u8]) -> Vec<u8> {
+pub fn build_udp(source: SocketAddr, destination: SocketAddr, payload: &[u8]) -> Vec<u8> {
     let mut packet = Vec::with_capacity(48 + payload.len());
     let step = match (source.ip(), destination.ip()) {
         (IpAddr::V4(from), IpAddr::V4(to)) => {
@@ -101,16 +101,16 @@
         (IpAddr::V6(from), IpAddr::V6(to)) => {
             PacketBuilder::ipv6(from.octets(), to.octets(), HOP_LIMIT)
         }
-        _ => panic!("{source} and {destination} are of different families"),
+        _ => panic!("{source} and {destination} are of different address families"),
     };
     step.udp(source.port(), destination.port())
         .write(&mut packet, payload)
-        .expect("a vector takes every byte of a small datagram");
+        .expect("writing to a vector does not fail");
     packet
 }
 
-/// The addresses of the datagram that an ICMP message quotes; the quote may be cut short.
-fn undelivered(quote: &[u8]) -> Option<Content<'static>> {
+/// Reads the addresses of the datagram that an ICMP message quotes; the quote may be truncated.
+fn parse_quoted_datagram(quote: &[u8]) -> Option<Content<'static>> {
     let sliced = LaxSlicedPacket::from_ip(quote).ok()?;
     let (from, to, rest) = match sliced.net? {
         LaxNetSlice::Ipv4(ip) => {
@@ -125,7 +125,8 @@
         }
         LaxNetSlice::Arp(_) => return None,
     };
-    // Ports are the first four bytes of TCP and UDP alike, so a quote of eight bytes suffices.
+    // Both TCP and UDP headers start with the four bytes of the ports, so that a quote of eight
+    // bytes suffices.
     let ([a, b, c, d], _) = rest.split_first_chunk::<4>()?;
     Some(Content::Unreachable {
         source: SocketAddr::new(from, u16::from_be_bytes([*a, *b])),
--- a/crates/standins/src/protocol/answer.rs
+++ b/crates/standins/src/protocol/answer.rs
@@ -1,46 +1,46 @@
-//! Answers, and reading them out of a byte stream that arrives in any portions.
+//! Answers, and a reader that extracts them from a byte stream split at arbitrary places.
 
 use std::fmt;
 use std::sync::Arc;
 
-use super::{Answerer, Body, Malformed, RequestId, line_check, number};
+use super::{Body, Malformed, RequestId, Responder, line_checksum, parse_number};
 
-/// Longest line of the protocol; a longer one is garbage.
+/// Longest line of the protocol; a longer one is malformed.
 const LINE_BYTES_MAX: usize = 256;
 
-/// What an upstream answers.
+/// Answer of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The confirmation has run.
-    Confirmed(RequestId, Answerer),
-    /// Head of a body, or the whole of it when read by [`AnswerReader`].
+    /// The confirmation was run.
+    Confirmed(RequestId, Responder),
+    /// Header line of a body. From [`AnswerReader`] it means that the body is complete, too.
     Body {
         /// Request.
         id: RequestId,
-        /// Who answers.
-        by: Answerer,
+        /// Service and upstream that answer.
+        responder: Responder,
         /// Length of the body.
         bytes: u32,
     },
-    /// The feed begins.
-    Feed(RequestId, Answerer),
+    /// The feed starts.
+    Feed(RequestId, Responder),
     /// One line of a feed.
     Line {
         /// Request.
         id: RequestId,
         /// Number of the line, from zero.
         number: u64,
-        /// Check word, see [`line_check`].
-        check: u64,
+        /// Checksum, see [`line_checksum`].
+        checksum: u64,
     },
-    /// The feed has ended after this many lines.
+    /// The feed ended after this many lines.
     Ended(RequestId, u64),
-    /// The request was refused and not run.
+    /// The request was refused without running.
     Shed(RequestId),
 }
 
 impl Answer {
-    /// Reads one line, without its newline.
+    /// Parses one line, without its newline.
     ///
     /// ```
     /// use standins::protocol::{Answer, RequestId};
@@ -49,28 +49,28 @@
     pub fn parse(line: &str) -> Result<Self, Malformed> {
         let mut words = line.split(' ');
         let verb = words.next().ok_or(Malformed)?;
-        let id = RequestId(number(words.next())?);
+        let id = RequestId(parse_number(words.next())?);
         match verb {
-            "OK" => Ok(Self::Confirmed(id, answerer(&mut words)?)),
-            "FEED" => Ok(Self::Feed(id, answerer(&mut words)?)),
+            "OK" => Ok(Self::Confirmed(id, parse_responder(&mut words)?)),
+            "FEED" => Ok(Self::Feed(id, parse_responder(&mut words)?)),
             "BODY" => {
-                let by = answerer(&mut words)?;
-                Ok(Self::Body { id, by, bytes: number(words.next())? })
+                let responder = parse_responder(&mut words)?;
+                Ok(Self::Body { id, responder, bytes: parse_number(words.next())? })
             }
             "LINE" => {
-                let line = number(words.next())?;
-                Ok(Self::Line { id, number: line, check: number(words.next())? })
+                let line = parse_number(words.next())?;
+                Ok(Self::Line { id, number: line, checksum: parse_number(words.next())? })
             }
-            "END" => Ok(Self::Ended(id, number(words.next())?)),
+            "END" => Ok(Self::Ended(id, parse_number(words.next())?)),
             "SHED" => Ok(Self::Shed(id)),
             _ => Err(Malformed),
         }
     }
 
-    /// True if the content of a line is what its number says.
+    /// True if the checksum of a feed line matches its number; always true for other answers.
     pub fn is_intact(&self) -> bool {
         match *self {
-            Self::Line { id, number, check } => check == line_check(id, number),
+            Self::Line { id, number, checksum } => checksum == line_checksum(id, number),
             _ => true,
         }
     }
@@ -79,12 +79,16 @@
 impl fmt::Display for Answer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Confirmed(id, by) => write!(f, "OK {} {} {}", id.0, by.service, by.upstream),
-            Self::Body { id, by, bytes } => {
-                write!(f, "BODY {} {} {} {bytes}", id.0, by.service, by.upstream)
+            Self::Confirmed(id, responder) => {
+                write!(f, "OK {} {} {}", id.0, responder.service, responder.upstream)
             }
-            Self::Feed(id, by) => write!(f, "FEED {} {} {}", id.0, by.service, by.upstream),
-            Self::Line { id, number, check } => write!(f, "LINE {} {number} {check}", id.0),
+            Self::Body { id, responder, bytes } => {
+                write!(f, "BODY {} {} {} {bytes}", id.0, responder.service, responder.upstream)
+            }
+            Self::Feed(id, responder) => {
+                write!(f, "FEED {} {} {}", id.0, responder.service, responder.upstream)
+            }
+            Self::Line { id, number, checksum } => write!(f, "LINE {} {number} {checksum}", id.0),
             Self::Ended(id, lines) => write!(f, "END {} {lines}", id.0),
             Self::Shed(id) => write!(f, "SHED {}", id.0),
         }
@@ -103,31 +107,32 @@
 #[derive(Debug, Default)]
 pub struct AnswerReader {
     line: Vec<u8>,
-    body: Option<OpenBody>,
+    body: Option<PartialBody>,
 }
 
 #[derive(Debug)]
-struct OpenBody {
+struct PartialBody {
     answer: Answer,
     expected: Body,
-    missing: u32,
+    remaining_bytes: u32,
 }
 
 impl AnswerReader {
-    /// Takes in bytes and hands out each answer once it is whole. Fails on a byte that is wrong.
+    /// Reads `bytes` and passes each answer to `on_answer` once it is complete. Fails on the first
+    /// wrong byte of a body and on a malformed line.
     pub fn read(
         &mut self,
         mut bytes: &[u8],
-        mut take: impl FnMut(Answer),
+        mut on_answer: impl FnMut(Answer),
     ) -> Result<(), Malformed> {
         while let Some((&first, rest)) = bytes.split_first() {
             if self.body.is_some() {
-                bytes = self.read_body(bytes, &mut take)?;
+                bytes = self.read_body(bytes, &mut on_answer)?;
                 continue;
             }
             bytes = rest;
             if first == b'\n' {
-                self.end_line(&mut take)?;
+                self.end_line(&mut on_answer)?;
             } else if self.line.len() < LINE_BYTES_MAX {
                 self.line.push(first);
             } else {
@@ -137,44 +142,45 @@
         Ok(())
     }
 
-    /// True between two answers.
+    /// True if no answer is partially read.
     pub fn is_between_answers(&self) -> bool {
         self.body.is_none() && self.line.is_empty()
     }
 
-    fn end_line(&mut self, take: &mut impl FnMut(Answer)) -> Result<(), Malformed> {
+    fn end_line(&mut self, on_answer: &mut impl FnMut(Answer)) -> Result<(), Malformed> {
         let line = std::mem::take(&mut self.line);
         let answer = Answer::parse(std::str::from_utf8(&line).map_err(|_| Malformed)?)?;
         match answer {
             Answer::Body { id, bytes, .. } if bytes > 0 => {
-                self.body = Some(OpenBody { answer, expected: Body::new(id), missing: bytes });
+                self.body =
+                    Some(PartialBody { answer, expected: Body::new(id), remaining_bytes: bytes });
             }
-            whole => take(whole),
+            whole => on_answer(whole),
         }
         Ok(())
     }
 
-    /// Checks as much of the body as there is and returns the bytes after it.
+    /// Checks the bytes of the body that have arrived and returns the bytes after them.
     fn read_body<'a>(
         &mut self,
         bytes: &'a [u8],
-        take: &mut impl FnMut(Answer),
+        on_answer: &mut impl FnMut(Answer),
     ) -> Result<&'a [u8], Malformed> {
         let Some(mut body) = self.body.take() else { return Ok(bytes) };
-        let (now, rest) = bytes.split_at(bytes.len().min(body.missing as usize));
-        if !now.iter().copied().eq(body.expected.by_ref().take(now.len())) {
+        let (available, rest) = bytes.split_at(bytes.len().min(body.remaining_bytes as usize));
+        if !available.iter().copied().eq(body.expected.by_ref().take(available.len())) {
             return Err(Malformed);
         }
-        body.missing -= now.len() as u32;
-        match body.missing {
-            0 => take(body.answer),
+        body.remaining_bytes -= available.len() as u32;
+        match body.remaining_bytes {
+            0 => on_answer(body.answer),
             _ => self.body = Some(body),
         }
         Ok(rest)
     }
 }
 
-fn answerer<'a>(words: &mut impl Iterator<Item = &'a str>) -> Result<Answerer, Malformed> {
+fn parse_responder<'a>(words: &mut impl Iterator<Item = &'a str>) -> Result<Responder, Malformed> {
     let mut word = || words.next().map(Arc::from).ok_or(Malformed);
-    Ok(Answerer { service: word()?, upstream: word()? })
+    Ok(Responder { service: word()?, upstream: word()? })
 }
--- a/crates/standins/src/protocol/mod.rs
+++ b/crates/standins/src/protocol/mod.rs
@@ -1,4 +1,5 @@
-//! What callers ask and upstreams answer. Lines of text, so that a capture can be read:
+//! The protocol between callers and upstreams. It consists of lines of text, so that a capture is
+//! readable:
 //!
 //! ```text
 //! CONFIRM <id>             -> OK <id> <service> <upstream>
@@ -8,7 +9,7 @@
 //! anything while shedding  -> SHED <id>: it was not run
 //! ```
 //!
-//! A datagram carries one request without a newline and is answered by one datagram.
+//! A datagram carries one `CONFIRM` request without a newline and is answered by one datagram.
 
 mod answer;
 mod body;
@@ -17,47 +18,47 @@
 use std::sync::Arc;
 
 pub use answer::{Answer, AnswerReader};
-pub use body::{Body, line_check};
+pub use body::{Body, line_checksum};
 
-/// Number of a request, unique over all callers of a run.
+/// Number of a request, unique across all callers of a run.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct RequestId(pub u64);
 
-/// What a caller asks.
+/// Request of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// A restock confirmation or pattern adjustment: not idempotent.
+    /// A restock confirmation or pattern adjustment, which is not idempotent.
     Confirm(RequestId),
     /// A packing sheet or swatch image.
     Fetch {
-        /// Number of the request, from which the body derives.
+        /// Number of the request, from which the body is derived.
         id: RequestId,
         /// Length of the body.
         bytes: u32,
     },
-    /// A long feed.
+    /// A long-lived feed.
     Feed {
-        /// Number of the request, from which the lines derive.
+        /// Number of the request, from which the lines are derived.
         id: RequestId,
         /// Time between two lines.
         interval_ms: u32,
     },
-    /// Ends a feed and asks how many lines it had.
+    /// Ends a feed; the answer states how many lines it had.
     End(RequestId),
 }
 
-/// Who answers.
+/// The service and upstream that answer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
-pub struct Answerer {
+pub struct Responder {
     /// Service.
     pub service: Arc<str>,
     /// Upstream.
     pub upstream: Arc<str>,
 }
 
-/// The text is none of the protocol's lines.
+/// The text is not a line of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed;
 
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Reads one request, without its newline.
+    /// Parses one request, without its newline.
     ///
     /// ```
     /// use standins::protocol::{Request, RequestId};
@@ -85,11 +86,11 @@
     pub fn parse(line: &str) -> Result<Self, Malformed> {
         let mut words = line.split(' ');
         let verb = words.next().ok_or(Malformed)?;
-        let id = RequestId(number(words.next())?);
+        let id = RequestId(parse_number(words.next())?);
         let request = match verb {
             "CONFIRM" => Self::Confirm(id),
-            "FETCH" => Self::Fetch { id, bytes: number(words.next())? },
-            "FEED" => Self::Feed { id, interval_ms: number(words.next())? },
+            "FETCH" => Self::Fetch { id, bytes: parse_number(words.next())? },
+            "FEED" => Self::Feed { id, interval_ms: parse_number(words.next())? },
             "END" => Self::End(id),
             _ => return Err(Malformed),
         };
@@ -111,6 +112,6 @@
     }
 }
 
-fn number<T: std::str::FromStr>(word: Option<&str>) -> Result<T, Malformed> {
+fn parse_number<T: std::str::FromStr>(word: Option<&str>) -> Result<T, Malformed> {
     word.and_then(|word| word.parse().ok()).ok_or(Malformed)
 }
--- a/crates/standins/src/upstream/connection.rs
+++ b/crates/standins/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection at an upstream: requests in, answers and feeds out.
+//! A caller's connection at an upstream: reads requests, sends answers and feed lines.
 
 use std::collections::VecDeque;
 
@@ -6,12 +6,12 @@
 use smoltcp::socket::tcp;
 
 use super::{Event, Ledger, Switches};
-use crate::protocol::{Answer, Answerer, Body, Request, RequestId, line_check};
+use crate::protocol::{Answer, Body, Request, RequestId, Responder, line_checksum};
 use crate::stack::TcpStack;
 
-/// Longest request line; a caller that sends more is cut off.
+/// Longest request line; the connection of a caller that sends a longer one is reset.
 const LINE_BYTES_MAX: usize = 256;
-/// A feed waits for a slow reader rather than pile up lines beyond this.
+/// A feed pauses while more unsent bytes than this are queued for a slow reader.
 const OUTGOING_BYTES_MAX: usize = 4 * 1024;
 
 pub(super) struct Connection {
@@ -19,7 +19,7 @@
     /// When the next poll is due.
     pub(super) due: Millis,
     line: Vec<u8>,
-    /// Requests that wait for their time because the upstream is slow.
+    /// Received requests and the time at which each is run, later by `Switches::slow_ms`.
     pending: VecDeque<(Millis, Request)>,
     outgoing: VecDeque<u8>,
     feed: Option<Feed>,
@@ -29,7 +29,7 @@
     id: RequestId,
     interval_ms: u64,
     next_line: u64,
-    next_at: Millis,
+    next_line_at: Millis,
 }
 
 impl Connection {
@@ -49,7 +49,7 @@
         self.due = now;
     }
 
-    /// False once both sides have closed or one has reset.
+    /// False once both sides have closed or one has reset the connection.
     pub(super) fn is_open(&self) -> bool {
         self.stack.socket().is_open()
     }
@@ -57,17 +57,17 @@
     pub(super) fn poll(
         &mut self,
         now: Millis,
-        answerer: &Answerer,
+        responder: &Responder,
         switches: &Switches,
         ledger: &mut Ledger,
         out: &mut Vec<Vec<u8>>,
     ) {
         self.stack.poll(now, out);
         self.receive(now, switches);
-        self.run_pending(now, answerer, switches, ledger);
+        self.run_pending(now, responder, switches, ledger);
         self.advance_feed(now);
-        self.send();
-        self.close_after_caller();
+        self.flush();
+        self.close_after_peer();
         self.stack.poll(now, out);
         self.due = self.next_due(now);
     }
@@ -100,7 +100,7 @@
     fn run_pending(
         &mut self,
         now: Millis,
-        answerer: &Answerer,
+        responder: &Responder,
         switches: &Switches,
         ledger: &mut Ledger,
     ) {
@@ -111,33 +111,33 @@
             self.pending.pop_front();
             if switches.shedding && !matches!(request, Request::End(_)) {
                 ledger.add(now, Event::Shed { request: request.id() });
-                self.answer(&Answer::Shed(request.id()));
+                self.queue_answer(&Answer::Shed(request.id()));
                 continue;
             }
-            self.run(now, answerer, request, ledger);
+            self.run(now, responder, request, ledger);
         }
     }
 
-    fn run(&mut self, now: Millis, answerer: &Answerer, request: Request, ledger: &mut Ledger) {
+    fn run(&mut self, now: Millis, responder: &Responder, request: Request, ledger: &mut Ledger) {
         if !matches!(request, Request::End(_))
             && let Some(client) = self.client()
         {
             ledger.add(now, Event::Run { request: request.id(), client });
         }
         match request {
-            Request::Confirm(id) => self.answer(&Answer::Confirmed(id, answerer.clone())),
+            Request::Confirm(id) => self.queue_answer(&Answer::Confirmed(id, responder.clone())),
             Request::Fetch { id, bytes } => {
-                self.answer(&Answer::Body { id, by: answerer.clone(), bytes });
+                self.queue_answer(&Answer::Body { id, responder: responder.clone(), bytes });
                 self.outgoing.extend(Body::new(id).take(bytes as usize));
             }
             Request::Feed { id, interval_ms } => {
-                self.answer(&Answer::Feed(id, answerer.clone()));
+                self.queue_answer(&Answer::Feed(id, responder.clone()));
                 let interval_ms = u64::from(interval_ms.max(1));
-                self.feed = Some(Feed { id, interval_ms, next_line: 0, next_at: now });
+                self.feed = Some(Feed { id, interval_ms, next_line: 0, next_line_at: now });
             }
             Request::End(id) => {
                 let lines = self.feed.take().map_or(0, |feed| feed.next_line);
-                self.answer(&Answer::Ended(id, lines));
+                self.queue_answer(&Answer::Ended(id, lines));
             }
         }
     }
@@ -147,23 +147,23 @@
         Some(std::net::SocketAddr::new(endpoint.addr.into(), endpoint.port))
     }
 
-    fn answer(&mut self, answer: &Answer) {
+    fn queue_answer(&mut self, answer: &Answer) {
         self.outgoing.extend(answer.to_string().into_bytes());
         self.outgoing.push_back(b'\n');
     }
 
     fn advance_feed(&mut self, now: Millis) {
         let Some(feed) = &mut self.feed else { return };
-        if feed.next_at > now || self.outgoing.len() > OUTGOING_BYTES_MAX {
+        if feed.next_line_at > now || self.outgoing.len() > OUTGOING_BYTES_MAX {
             return;
         }
         let (id, number) = (feed.id, feed.next_line);
         feed.next_line += 1;
-        feed.next_at = now.after(feed.interval_ms);
-        self.answer(&Answer::Line { id, number, check: line_check(id, number) });
+        feed.next_line_at = now.after(feed.interval_ms);
+        self.queue_answer(&Answer::Line { id, number, checksum: line_checksum(id, number) });
     }
 
-    fn send(&mut self) {
+    fn flush(&mut self) {
         let socket = self.stack.socket_mut();
         while socket.can_send() && !self.outgoing.is_empty() {
             let (front, _) = self.outgoing.as_slices();
@@ -172,17 +172,17 @@
         }
     }
 
-    /// Closes our side once the caller has closed his and has all his answers.
-    fn close_after_caller(&mut self) {
-        let caller_closed = self.stack.socket().state() == tcp::State::CloseWait;
-        if caller_closed && self.outgoing.is_empty() && self.pending.is_empty() {
+    /// Closes our side once the caller has closed its own and all its answers are sent.
+    fn close_after_peer(&mut self) {
+        let peer_closed = self.stack.socket().state() == tcp::State::CloseWait;
+        if peer_closed && self.outgoing.is_empty() && self.pending.is_empty() {
             self.stack.socket_mut().close();
         }
     }
 
     fn next_due(&mut self, now: Millis) -> Millis {
         let pending = self.pending.front().map(|(at, _)| *at);
-        let feed = self.feed.as_ref().map(|feed| feed.next_at.max(now.after(1)));
+        let feed = self.feed.as_ref().map(|feed| feed.next_line_at.max(now.after(1)));
         let stack = self.stack.due(now);
         [pending, feed, stack].into_iter().flatten().min().unwrap_or(Millis(u64::MAX))
     }
--- a/crates/standins/src/upstream/mod.rs
+++ b/crates/standins/src/upstream/mod.rs
@@ -1,4 +1,5 @@
-//! An upstream: real TCP on the service's addresses, and a ledger of all that it ran.
+//! An upstream: serves TCP and UDP on the service's addresses and keeps a ledger of the requests
+//! that it ran.
 
 mod connection;
 mod ledger;
@@ -10,51 +11,51 @@
 use decision::time::Millis;
 
 use crate::datagram::{self, Content, Packet};
-use crate::protocol::{Answer, Answerer, Request};
+use crate::protocol::{Answer, Request, Responder};
 use crate::stack::TcpStack;
 use connection::Connection;
 pub use ledger::{Event, Ledger, Row};
 pub use status::{Lie, Stats, Status, Switches};
 
-/// What an upstream is told at its start.
+/// Configuration of an upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamConfig {
-    /// Names in its answers.
-    pub answerer: Answerer,
-    /// Addresses of its service; a packet to any other is misdelivered.
+    /// Service and upstream names in its answers.
+    pub responder: Responder,
+    /// Addresses of its service; a packet to any other address counts as misdelivered.
     pub endpoints: Vec<SocketAddr>,
-    /// Decides the initial sequence numbers.
+    /// Seed of the initial sequence numbers.
     pub seed: u64,
 }
 
-/// Both ends of a connection: the caller's, then the service's.
+/// Both addresses of a connection: the caller's, then the service's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ConnectionKey(SocketAddr, SocketAddr);
 
-/// The upstream. Packets and time go in, packets come out.
+/// The upstream. It does no I/O: packets and the time are passed in, packets to send are returned.
 pub struct Upstream {
     config: UpstreamConfig,
     /// Sorted by key.
     connections: Vec<(ConnectionKey, Box<Connection>)>,
-    /// Answers to datagrams and resets, for the next poll.
+    /// Answers to datagrams and resets, sent by the next poll.
     replies: Vec<Vec<u8>>,
     ledger: Ledger,
     switches: Switches,
-    /// What the status endpoint showed when it was frozen.
-    frozen: Option<Status>,
+    /// The status at the moment when it was frozen.
+    frozen_status: Option<Status>,
     stats: Stats,
     started_at: Millis,
-    openings: u64,
+    opened_connections: u64,
 }
 
 impl Upstream {
-    /// An upstream without connections.
+    /// Creates an upstream without connections.
     ///
     /// ```
     /// use decision::time::Millis;
-    /// use standins::{protocol::Answerer, upstream::*};
-    /// let answerer = Answerer { service: "shelf".into(), upstream: "shelf-1".into() };
-    /// let config = UpstreamConfig { answerer, endpoints: vec![], seed: 1 };
+    /// use standins::{protocol::Responder, upstream::*};
+    /// let responder = Responder { service: "shelf".into(), upstream: "shelf-1".into() };
+    /// let config = UpstreamConfig { responder, endpoints: vec![], seed: 1 };
     /// assert_eq!(Upstream::new(config, Millis(0)).status(Millis(5)).open_flows, 0);
     /// ```
     pub fn new(config: UpstreamConfig, now: Millis) -> Self {
@@ -64,15 +65,15 @@
             replies: Vec::new(),
             ledger: Ledger::default(),
             switches: Switches::default(),
-            frozen: None,
+            frozen_status: None,
             stats: Stats::default(),
             started_at: now,
-            openings: 0,
+            opened_connections: 0,
         }
     }
 
-    /// Takes in one IP packet; answers come out of [`Upstream::poll`].
-    pub fn packet(&mut self, now: Millis, bytes: &[u8]) {
+    /// Handles one received IP packet; [`Upstream::poll`] returns the answers.
+    pub fn handle_packet(&mut self, now: Millis, bytes: &[u8]) {
         self.stats.packets_received += 1;
         let Some(packet) = datagram::parse(bytes) else {
             self.stats.packets_malformed += 1;
@@ -84,20 +85,20 @@
             return;
         }
         match packet.content {
-            Content::Tcp { opening, .. } => self.segment(now, &packet, opening, bytes),
-            Content::Udp(payload) => self.datagram(now, &packet, payload),
+            Content::Tcp { opening, .. } => self.handle_segment(now, &packet, opening, bytes),
+            Content::Udp(payload) => self.handle_datagram(now, &packet, payload),
             Content::Unreachable { .. } => self.stats.packets_malformed += 1,
         }
     }
 
-    /// Works on packets and timers that are due, appending the packets to send.
+    /// Handles queued packets and due timers, and appends the packets to send to `out`.
     pub fn poll(&mut self, now: Millis, out: &mut Vec<Vec<u8>>) {
         let first = out.len();
         out.append(&mut self.replies);
-        let answerer = &self.config.answerer;
+        let responder = &self.config.responder;
         for (_, connection) in &mut self.connections {
             if connection.due <= now {
-                connection.poll(now, answerer, &self.switches, &mut self.ledger, out);
+                connection.poll(now, responder, &self.switches, &mut self.ledger, out);
             }
         }
         self.connections.retain(|(_, connection)| connection.is_open());
@@ -106,14 +107,14 @@
         self.stats.open_connections = self.connections.len() as u64;
     }
 
-    /// When the next poll is due without a packet.
+    /// When the next poll is due if no packet arrives.
     pub fn due(&self) -> Option<Millis> {
         self.connections.iter().map(|(_, connection)| connection.due).min()
     }
 
-    /// What the status endpoint says: the truth, unless told to lie.
+    /// Body of the status endpoint: the true status, unless [`Switches::lie`] falsifies it.
     pub fn status(&self, now: Millis) -> Status {
-        if let Some(frozen) = &self.frozen {
+        if let Some(frozen) = &self.frozen_status {
             return frozen.clone();
         }
         let open_flows = match self.switches.lie {
@@ -129,21 +130,21 @@
         }
     }
 
-    /// Changes how the upstream behaves from now on.
+    /// Changes the behaviour of the upstream from now on.
     pub fn set_switches(&mut self, now: Millis, switches: Switches) {
-        self.frozen = None;
+        self.frozen_status = None;
         if switches.lie == Lie::Frozen {
-            self.frozen = Some(self.status(now));
+            self.frozen_status = Some(self.status(now));
         }
         self.switches = switches;
     }
 
-    /// All that was run, opened and refused here.
+    /// Connections opened, requests run and refused, and packets misdelivered.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// The ledger, to take rows that are not written to a file yet.
+    /// The ledger, to take the rows that have not been written to a file yet.
     pub fn ledger_mut(&mut self) -> &mut Ledger {
         &mut self.ledger
     }
@@ -153,7 +154,7 @@
         &self.stats
     }
 
-    fn segment(&mut self, now: Millis, packet: &Packet<'_>, opening: bool, bytes: &[u8]) {
+    fn handle_segment(&mut self, now: Millis, packet: &Packet<'_>, opening: bool, bytes: &[u8]) {
         let key = ConnectionKey(packet.source, packet.destination);
         let found = self.connections.binary_search_by(|(known, _)| known.cmp(&key));
         match found {
@@ -168,13 +169,13 @@
     }
 
     fn open(&mut self, now: Millis, packet: &Packet<'_>) -> Connection {
-        self.openings += 1;
-        let seed = self.config.seed.wrapping_add(self.openings);
+        self.opened_connections += 1;
+        let seed = self.config.seed.wrapping_add(self.opened_connections);
         self.ledger.add(now, Event::Open { client: packet.source });
         Connection::new(TcpStack::listen(packet.destination, seed, now), now)
     }
 
-    /// Answers a segment of an unknown connection as a host does: with a reset.
+    /// Answers a segment of an unknown connection with a reset, as a host does.
     fn reject(&mut self, now: Millis, local: SocketAddr, bytes: &[u8]) {
         self.stats.segments_unknown += 1;
         let mut stack = TcpStack::closed(local, now);
@@ -182,8 +183,9 @@
         stack.poll(now, &mut self.replies);
     }
 
-    /// Runs a one-datagram request as often as it comes: whoever delivers it twice runs it twice.
-    fn datagram(&mut self, now: Millis, packet: &Packet<'_>, payload: &[u8]) {
+    /// Runs a one-datagram request each time it arrives. There is no deduplication, so that a
+    /// datagram delivered twice shows as two runs in the ledger.
+    fn handle_datagram(&mut self, now: Millis, packet: &Packet<'_>, payload: &[u8]) {
         let line = std::str::from_utf8(payload).unwrap_or_default();
         let Ok(Request::Confirm(id)) = Request::parse(line) else {
             self.stats.packets_malformed += 1;
@@ -194,10 +196,14 @@
             Answer::Shed(id)
         } else {
             self.ledger.add(now, Event::Run { request: id, client: packet.source });
-            Answer::Confirmed(id, self.config.answerer.clone())
+            Answer::Confirmed(id, self.config.responder.clone())
         };
         let answer = answer.to_string();
-        self.replies.push(datagram::udp(packet.destination, packet.source, answer.as_bytes()));
+        self.replies.push(datagram::build_udp(
+            packet.destination,
+            packet.source,
+            answer.as_bytes(),
+        ));
     }
 }
 
@@ -207,13 +213,13 @@
 }
 
 impl UpstreamConfig {
-    /// Names for the answers of an upstream.
+    /// Builds the names that an upstream states in its answers.
     ///
     /// ```
     /// use standins::upstream::UpstreamConfig;
-    /// assert_eq!(&*UpstreamConfig::answerer("shelf", "shelf-1").upstream, "shelf-1");
+    /// assert_eq!(&*UpstreamConfig::responder("shelf", "shelf-1").upstream, "shelf-1");
     /// ```
-    pub fn answerer(service: &str, upstream: &str) -> Answerer {
-        Answerer { service: Arc::from(service), upstream: Arc::from(upstream) }
+    pub fn responder(service: &str, upstream: &str) -> Responder {
+        Responder { service: Arc::from(service), upstream: Arc::from(upstream) }
     }
 }
--- a/crates/standins/tests/protocol.rs
+++ b/crates/standins/tests/protocol.rs
@@ -1,13 +1,13 @@
-//! The request protocol: both directions, and streams cut anywhere.
+//! The request protocol: parsing in both directions, and streams split at arbitrary places.
 
 use rstest::rstest;
-use standins::protocol::line_check;
-use standins::protocol::{Answer, AnswerReader, Answerer, Body, Malformed, Request, RequestId};
+use standins::protocol::line_checksum;
+use standins::protocol::{Answer, AnswerReader, Body, Malformed, Request, RequestId, Responder};
 
 const ID: RequestId = RequestId(77);
 
-fn by() -> Answerer {
-    Answerer { service: "shelf".into(), upstream: "shelf-1".into() }
+fn responder() -> Responder {
+    Responder { service: "shelf".into(), upstream: "shelf-1".into() }
 }
 
 #[rstest]
@@ -28,10 +28,10 @@
 }
 
 #[rstest]
-#[case::confirmed(Answer::Confirmed(ID, by()))]
-#[case::body(Answer::Body { id: ID, by: by(), bytes: 3 })]
-#[case::feed(Answer::Feed(ID, by()))]
-#[case::line(Answer::Line { id: ID, number: 5, check: line_check(ID, 5) })]
+#[case::confirmed(Answer::Confirmed(ID, responder()))]
+#[case::body(Answer::Body { id: ID, responder: responder(), bytes: 3 })]
+#[case::feed(Answer::Feed(ID, responder()))]
+#[case::line(Answer::Line { id: ID, number: 5, checksum: line_checksum(ID, 5) })]
 #[case::ended(Answer::Ended(ID, 6))]
 #[case::shed(Answer::Shed(ID))]
 fn answer_line_round_trips(#[case] answer: Answer) {
@@ -48,33 +48,33 @@
 
 #[rstest]
 #[case::bytewise(1)]
-#[case::odd(7)]
-#[case::whole(1_000)]
-fn stream_cut_anywhere_reads_alike(#[case] portion: usize) {
+#[case::odd_size(7)]
+#[case::whole_stream(1_000)]
+fn split_stream_yields_the_same_answers(#[case] chunk_bytes: usize) {
     let mut reader = AnswerReader::default();
     let mut answers = Vec::new();
-    for bytes in stream().chunks(portion) {
+    for bytes in stream().chunks(chunk_bytes) {
         reader.read(bytes, |answer| answers.push(answer)).unwrap();
     }
-    let body = Answer::Body { id: ID, by: by(), bytes: 300 };
-    assert_eq!(answers, [body, Answer::Confirmed(RequestId(78), by())]);
+    let body = Answer::Body { id: ID, responder: responder(), bytes: 300 };
+    assert_eq!(answers, [body, Answer::Confirmed(RequestId(78), responder())]);
     assert!(reader.is_between_answers());
 }
 
-/// One flipped bit anywhere in a body is noticed; so is a body that ends early.
+/// A flipped bit at any offset of a body is detected, and so is a truncated body.
 #[test]
-fn wrong_body_byte_is_noticed() {
-    for place in 26..326 {
+fn wrong_body_byte_is_detected() {
+    for offset in 26..326 {
         let mut stream = stream();
-        stream[place] ^= 0x10;
-        assert_eq!(AnswerReader::default().read(&stream, |_| {}), Err(Malformed), "{place}");
+        stream[offset] ^= 0x10;
+        assert_eq!(AnswerReader::default().read(&stream, |_| {}), Err(Malformed), "{offset}");
     }
     let mut reader = AnswerReader::default();
-    reader.read(&stream()[..300], |_| panic!("a cut body is no answer")).unwrap();
+    reader.read(&stream()[..300], |_| panic!("a truncated body must not yield an answer")).unwrap();
     assert!(!reader.is_between_answers());
 }
 
 #[test]
-fn wrong_line_check_is_noticed() {
-    assert!(!Answer::Line { id: ID, number: 5, check: line_check(ID, 6) }.is_intact());
+fn wrong_line_checksum_is_detected() {
+    assert!(!Answer::Line { id: ID, number: 5, checksum: line_checksum(ID, 6) }.is_intact());
 }
--- a/crates/standins/tests/wire_loop.rs
+++ b/crates/standins/tests/wire_loop.rs
@@ -1,4 +1,4 @@
-//! Caller and upstream on a direct wire, without sockets and with injected time.
+//! A caller and an upstream connected directly, without sockets and with injected time.
 
 use std::net::SocketAddr;
 
@@ -14,16 +14,16 @@
 const DATAGRAMS: &str = "203.0.113.1:9443";
 const STALL_MS: u64 = 5_000;
 
-/// Caller and upstream, and what the wire does to packets between them.
+/// Caller and upstream, and the faults of the wire between them.
 struct Wire {
     caller: Caller,
     upstream: Upstream,
     now: Millis,
-    /// One packet in so many vanishes, by chance; 0 for none.
-    lose_one_in: u32,
-    /// One packet in so many arrives twice.
+    /// Loses one packet in this many, at random; 0 for none.
+    loss_one_in: u32,
+    /// Duplicates one packet in this many, at random; 0 for none.
     duplicate_one_in: u32,
-    /// The wire is cut in both directions.
+    /// Loses all packets in both directions.
     cut: bool,
     random: Pcg64,
 }
@@ -32,39 +32,39 @@
     fn new() -> Self {
         let clients = vec!["198.18.0.1".parse().unwrap(), "198.18.0.2".parse().unwrap()];
         let caller = CallerConfig { clients, number: 1, seed: 7, stall_ms: STALL_MS };
-        let answerer = UpstreamConfig::answerer("shelf", "shelf-1");
+        let responder = UpstreamConfig::responder("shelf", "shelf-1");
         let endpoints = vec![address(SERVICE), address(DATAGRAMS)];
-        let upstream = UpstreamConfig { answerer, endpoints, seed: 8 };
+        let upstream = UpstreamConfig { responder, endpoints, seed: 8 };
         Self {
             caller: Caller::new(caller),
             upstream: Upstream::new(upstream, Millis(0)),
             now: Millis(0),
-            lose_one_in: 0,
+            loss_one_in: 0,
             duplicate_one_in: 0,
             cut: false,
             random: Pcg64::seed_from_u64(9),
         }
     }
 
-    fn with_work(workload: Workload) -> Self {
+    fn with_workload(workload: Workload) -> Self {
         let mut wire = Self::new();
         wire.caller.set_workloads(Millis(0), vec![workload]);
         wire
     }
 
-    /// Runs for a while in steps of one millisecond.
+    /// Runs for `ms` milliseconds in steps of one millisecond.
     fn run(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now = self.now.after(1);
             let mut out = Vec::new();
             self.caller.poll(self.now, &mut out);
-            for packet in self.carry(out) {
-                self.upstream.packet(self.now, &packet);
+            for packet in self.transmit(out) {
+                self.upstream.handle_packet(self.now, &packet);
             }
             let mut out = Vec::new();
             self.upstream.poll(self.now, &mut out);
-            for packet in self.carry(out) {
-                self.caller.packet(self.now, &packet);
+            for packet in self.transmit(out) {
+                self.caller.handle_packet(self.now, &packet);
             }
         }
     }
@@ -75,18 +75,18 @@
         self.caller.report(self.now)
     }
 
-    fn carry(&mut self, packets: Vec<Vec<u8>>) -> Vec<Vec<u8>> {
-        let mut carried = Vec::new();
+    fn transmit(&mut self, packets: Vec<Vec<u8>>) -> Vec<Vec<u8>> {
+        let mut delivered = Vec::new();
         for packet in packets {
-            if self.cut || self.happens(self.lose_one_in) {
+            if self.cut || self.happens(self.loss_one_in) {
                 continue;
             }
             if self.happens(self.duplicate_one_in) {
-                carried.push(packet.clone());
+                delivered.push(packet.clone());
             }
-            carried.push(packet);
+            delivered.push(packet);
         }
-        carried
+        delivered
     }
 
     fn happens(&mut self, one_in: u32) -> bool {
@@ -110,7 +110,7 @@
     text.parse().unwrap()
 }
 
-fn no_work() -> Workload {
+fn idle_workload() -> Workload {
     Workload {
         service: "shelf".into(),
         address: address(SERVICE),
@@ -125,8 +125,8 @@
     }
 }
 
-fn all_work() -> Workload {
-    Workload { feeds: 5, confirms_per_s: 20, fetches_per_s: 5, ..no_work() }
+fn mixed_workload() -> Workload {
+    Workload { feeds: 5, confirms_per_s: 20, fetches_per_s: 5, ..idle_workload() }
 }
 
 #[rstest]
@@ -134,9 +134,9 @@
 #[case::loss(23, 0)]
 #[case::duplication(0, 11)]
 #[case::loss_and_duplication(29, 13)]
-fn every_answer_is_whole(#[case] lose_one_in: u32, #[case] duplicate_one_in: u32) {
-    let mut wire = Wire::with_work(all_work());
-    (wire.lose_one_in, wire.duplicate_one_in) = (lose_one_in, duplicate_one_in);
+fn every_answer_is_complete(#[case] loss_one_in: u32, #[case] duplicate_one_in: u32) {
+    let mut wire = Wire::with_workload(mixed_workload());
+    (wire.loss_one_in, wire.duplicate_one_in) = (loss_one_in, duplicate_one_in);
     wire.run(3_000);
     let report = wire.stop();
     assert_eq!(report.incidents, []);
@@ -149,12 +149,12 @@
     assert_eq!(runs.len(), count);
 }
 
-/// The caller sees one answer and ignores the second. The network delivers the datagram twice and
-/// nothing between it and the upstream drops the copy, so the ledger must show two runs: this is
-/// what the lab's `requests_run_twice` counts.
+/// A datagram that the network duplicates runs twice at the upstream and must appear twice in its
+/// ledger, although the caller ignores the second answer. The lab counts such requests in
+/// `requests_run_twice`.
 #[test]
 fn duplicated_datagram_runs_twice() {
-    let mut wire = Wire::with_work(Workload { datagrams_per_s: 50, ..no_work() });
+    let mut wire = Wire::with_workload(Workload { datagrams_per_s: 50, ..idle_workload() });
     wire.duplicate_one_in = 1;
     wire.run(1_000);
     let runs = wire.runs();
@@ -164,10 +164,10 @@
 }
 
 #[rstest]
-#[case::feed(Workload { feeds: 3, ..no_work() }, Outcome::Stalled)]
-#[case::confirm(Workload { datagrams_per_s: 20, ..no_work() }, Outcome::Unanswered)]
-fn cut_wire_is_noticed(#[case] work: Workload, #[case] outcome: Outcome) {
-    let mut wire = Wire::with_work(work);
+#[case::feed(Workload { feeds: 3, ..idle_workload() }, Outcome::Stalled)]
+#[case::confirm(Workload { datagrams_per_s: 20, ..idle_workload() }, Outcome::Unanswered)]
+fn cut_wire_is_detected(#[case] workload: Workload, #[case] outcome: Outcome) {
+    let mut wire = Wire::with_workload(workload);
     wire.run(500);
     wire.cut = true;
     wire.run(2 * STALL_MS);
@@ -175,11 +175,11 @@
     assert!(report.incidents.iter().any(|incident| incident.outcome == outcome));
 }
 
-/// A caller sees its feeds go on after an outage that is shorter than its patience, because TCP on
-/// both ends retransmits; nothing is counted as broken.
+/// Feeds continue after an outage that is shorter than the caller's stall time-out, because TCP
+/// retransmits on both ends. The caller must report no incident.
 #[test]
-fn short_outage_breaks_nothing() {
-    let mut wire = Wire::with_work(all_work());
+fn connections_survive_a_short_outage() {
+    let mut wire = Wire::with_workload(mixed_workload());
     wire.run(1_000);
     wire.cut = true;
     wire.run(1_500);
@@ -188,25 +188,28 @@
     assert_eq!(wire.stop().incidents, []);
 }
 
-/// Callers see their connections reset. The upstream is replaced by a new process that knows none
-/// of them, and its stack answers their segments as a host does.
+/// An upstream that is replaced by a new process knows none of the earlier connections. It must
+/// reset them, as a host does, and the caller must report the resets.
 #[test]
 fn restarted_upstream_resets_connections() {
-    let mut wire = Wire::with_work(Workload { feeds: 4, ..no_work() });
+    let mut wire = Wire::with_workload(Workload { feeds: 4, ..idle_workload() });
     wire.run(1_000);
     wire.upstream = Wire::new().upstream;
     wire.caller.set_workloads(wire.now, Vec::new());
     wire.run(2_000);
     let report = wire.caller.report(wire.now);
-    let resets = |outcome| report.incidents.iter().filter(|i| i.outcome == outcome).count();
-    assert_eq!(resets(Outcome::Reset), 4);
+    let count_outcomes = |outcome| report.incidents.iter().filter(|i| i.outcome == outcome).count();
+    assert_eq!(count_outcomes(Outcome::Reset), 4);
     assert!(wire.upstream.stats().resets_sent >= 4);
 }
 
 #[test]
 fn shedding_upstream_runs_nothing() {
-    let mut wire =
-        Wire::with_work(Workload { confirms_per_s: 20, datagrams_per_s: 20, ..no_work() });
+    let mut wire = Wire::with_workload(Workload {
+        confirms_per_s: 20,
+        datagrams_per_s: 20,
+        ..idle_workload()
+    });
     wire.upstream.set_switches(Millis(0), Switches { shedding: true, ..Switches::default() });
     wire.run(1_000);
     let report = wire.stop();
@@ -215,23 +218,24 @@
     assert_eq!(wire.runs(), []);
 }
 
-/// The upstream counts packets for other services than its own and doesn't answer them.
+/// An upstream counts packets for addresses outside of its service and doesn't answer them.
 #[test]
 fn misdelivered_packets_are_counted() {
-    let work = Workload { confirms_per_s: 10, address: address("203.0.113.99:80"), ..no_work() };
-    let mut wire = Wire::with_work(work);
+    let workload =
+        Workload { confirms_per_s: 10, address: address("203.0.113.99:80"), ..idle_workload() };
+    let mut wire = Wire::with_workload(workload);
     wire.run(1_000);
     assert!(wire.upstream.stats().packets_misdelivered > 5);
     assert_eq!(wire.caller.report(wire.now).flows_opened, 0);
 }
 
-/// Another service's upstream answers on our connections: the caller must notice.
+/// The caller must detect answers from an upstream of another service.
 #[test]
-fn wrong_service_is_noticed() {
-    let mut wire = Wire::with_work(Workload { confirms_per_s: 10, ..no_work() });
-    let answerer = UpstreamConfig::answerer("fitting", "fitting-1");
+fn wrong_service_is_detected() {
+    let mut wire = Wire::with_workload(Workload { confirms_per_s: 10, ..idle_workload() });
+    let responder = UpstreamConfig::responder("fitting", "fitting-1");
     let endpoints = vec![address(SERVICE)];
-    wire.upstream = Upstream::new(UpstreamConfig { answerer, endpoints, seed: 8 }, Millis(0));
+    wire.upstream = Upstream::new(UpstreamConfig { responder, endpoints, seed: 8 }, Millis(0));
     wire.run(1_000);
     let report = wire.stop();
     assert!(report.incidents.len() > 3);
@@ -240,7 +244,7 @@
 
 #[test]
 fn ended_feeds_are_complete() {
-    let mut wire = Wire::with_work(Workload { feeds: 6, ..no_work() });
+    let mut wire = Wire::with_workload(Workload { feeds: 6, ..idle_workload() });
     wire.run(1_000);
     wire.caller.end_feeds(wire.now, Some("shelf-1"));
     wire.caller.set_workloads(wire.now, Vec::new());
