--- a/crates/goosectl/src/commands/check/arguments.rs
+++ b/crates/goosectl/src/commands/check/arguments.rs
@@ -25,7 +25,7 @@
 
 impl Arguments {
     /// Whether addresses can be compared with their owners.
-    pub(super) fn knows_owners(&self) -> bool {
+    pub(super) fn compares_addresses(&self) -> bool {
         !matches!(self.document, Document::Account { root: None, .. })
     }
 }
--- a/crates/goosectl/src/commands/check/mod.rs
+++ b/crates/goosectl/src/commands/check/mod.rs
@@ -52,8 +52,11 @@
         return Ok(Exit::Success);
     };
     let result = check(&arguments)?;
-    let report =
-        Report { file: &arguments.file, result: &result, is_owner_known: arguments.knows_owners() };
+    let report = Report {
+        file: &arguments.file,
+        result: &result,
+        are_addresses_compared: arguments.compares_addresses(),
+    };
     if arguments.is_json {
         report.json(out)?
     } else {
--- a/crates/goosectl/src/commands/check/report.rs
+++ b/crates/goosectl/src/commands/check/report.rs
@@ -11,7 +11,7 @@
 pub(super) struct Report<'a> {
     pub(super) file: &'a Path,
     pub(super) result: &'a Result<Content, Vec<Fault>>,
-    pub(super) is_owner_known: bool,
+    pub(super) are_addresses_compared: bool,
 }
 
 /// A document without faults.
@@ -54,7 +54,7 @@
                 writeln!(out, "{file}: {} fault(s)", faults.len())?;
             }
         }
-        if !self.is_owner_known {
+        if !self.are_addresses_compared {
             writeln!(out, "{file}: addresses were not compared with their owners: no --root")?;
         }
         Ok(())
@@ -67,7 +67,7 @@
             file: self.file.display().to_string(),
             ok: self.result.is_ok(),
             version: self.result.as_ref().ok().map(Content::version),
-            addresses_compared: self.is_owner_known,
+            addresses_compared: self.are_addresses_compared,
             faults: faults.iter().map(FaultJson::from).collect(),
         };
         serde_json::to_writer(&mut *out, &json)?;
