--- a/crates/goosectl/src/commands/drain_watch/arguments.rs
+++ b/crates/goosectl/src/commands/drain_watch/arguments.rs
@@ -26,7 +26,7 @@
 
 impl Arguments {
     /// Looks without an opening after which nobody gives any.
-    pub(super) fn quiet_looks(&self) -> u64 {
+    pub(super) fn quiet_samples(&self) -> u64 {
         self.quiet_ms.div_ceil(self.interval.as_millis() as u64)
     }
 }
--- a/crates/goosectl/src/commands/drain_watch/mod.rs
+++ b/crates/goosectl/src/commands/drain_watch/mod.rs
@@ -18,7 +18,7 @@
 use crate::output;
 use arguments::Arguments;
 use look::Watched;
-use progress::{Flows, Look, Progress, Verdict};
+use progress::{Flows, Progress, Sample, Verdict};
 
 /// Entry in the command table.
 pub(crate) const COMMAND: Command = Command {
@@ -64,11 +64,11 @@
     let fleet = Fleet::find(&arguments.options)?;
     let mut watched = Watched::find(fleet, &arguments.upstream)?;
     let started = Instant::now();
-    let mut progress = Progress::new(arguments.quiet_looks(), arguments.ignore_closing);
+    let mut progress = Progress::new(arguments.quiet_samples(), arguments.ignore_closing);
     loop {
-        let look = watched.look();
-        let verdict = progress.take(&look);
-        show(out, &arguments, &look, &verdict)?;
+        let sample = watched.poll();
+        let verdict = progress.update(&sample);
+        show(out, &arguments, &sample, &verdict)?;
         match verdict {
             Verdict::Drained => return Ok(Exit::Success),
             Verdict::Gone => return Err(gone(&arguments.upstream, progress.last_flows())),
@@ -94,12 +94,12 @@
 fn show(
     out: &mut dyn Write,
     arguments: &Arguments,
-    look: &Look,
+    sample: &Sample,
     verdict: &Verdict,
 ) -> Result<(), Failure> {
     match arguments.options.is_json {
-        true => output::write_json(out, &progress::json(look, verdict))?,
-        false => writeln!(out, "{}", progress::line(look, verdict))?,
+        true => output::write_json(out, &progress::json(sample, verdict))?,
+        false => writeln!(out, "{}", progress::line(sample, verdict))?,
     }
     out.flush()?;
     Ok(())
--- a/crates/goosectl/src/commands/drain_watch/progress.rs
+++ b/crates/goosectl/src/commands/drain_watch/progress.rs
@@ -6,14 +6,14 @@
 
 /// What one look has found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Look {
+pub(super) struct Sample {
     /// Flows of the upstream, or why its agent does not tell.
     pub(super) flows: Result<Flows, String>,
-    /// Openings given to the upstream since the last look.
+    /// Openings given to the upstream since the last sample.
     pub(super) openings: usize,
     /// Agents whose events are not known. One of them may have given the upstream an opening; it
     /// would show as admitted by the upstream's own agent.
-    pub(super) silent: Vec<String>,
+    pub(super) unresponsive: Vec<String>,
     /// Whether the platform's list has dropped the agent.
     pub(super) is_unlisted: bool,
 }
@@ -25,7 +25,7 @@
     /// Flows whose callers have ended their half.
     pub(super) closing: usize,
     /// False if there were too many to list, so that `closing` is too small.
-    pub(super) is_whole: bool,
+    pub(super) is_complete: bool,
 }
 
 /// Whether an upstream is drained.
@@ -46,20 +46,20 @@
 /// Looks so far.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Progress {
-    quiet_looks_needed: u64,
+    required_quiet_samples: u64,
     ignore_closing: bool,
     /// Looks in a row without an opening at which the agent answered.
-    quiet_looks: u64,
+    quiet_samples: u64,
     last_flows: Option<Flows>,
 }
 
 impl Progress {
     /// No look yet. The first one counts as none: it cannot tell about openings.
-    pub(super) fn new(quiet_looks_needed: u64, ignore_closing: bool) -> Self {
+    pub(super) fn new(required_quiet_samples: u64, ignore_closing: bool) -> Self {
         Self {
-            quiet_looks_needed: quiet_looks_needed + 1,
+            required_quiet_samples: required_quiet_samples + 1,
             ignore_closing,
-            quiet_looks: 0,
+            quiet_samples: 0,
             last_flows: None,
         }
     }
@@ -69,19 +69,19 @@
         self.last_flows
     }
 
-    /// Takes in a look.
-    pub(super) fn take(&mut self, look: &Look) -> Verdict {
-        let Ok(flows) = look.flows else {
-            self.quiet_looks = 0;
-            return if look.is_unlisted { Verdict::Gone } else { Verdict::Unknown };
+    /// Takes in a sample.
+    pub(super) fn update(&mut self, sample: &Sample) -> Verdict {
+        let Ok(flows) = sample.flows else {
+            self.quiet_samples = 0;
+            return if sample.is_unlisted { Verdict::Gone } else { Verdict::Unknown };
         };
         self.last_flows = Some(flows);
-        self.quiet_looks = if look.openings == 0 { self.quiet_looks + 1 } else { 0 };
-        let closes = !self.ignore_closing && (flows.closing > 0 || !flows.is_whole);
-        if flows.open > 0 || closes {
+        self.quiet_samples = if sample.openings == 0 { self.quiet_samples + 1 } else { 0 };
+        let waits_for_closing = !self.ignore_closing && (flows.closing > 0 || !flows.is_complete);
+        if flows.open > 0 || waits_for_closing {
             return Verdict::Holds;
         }
-        match self.quiet_looks >= self.quiet_looks_needed {
+        match self.quiet_samples >= self.required_quiet_samples {
             true => Verdict::Drained,
             false => Verdict::NotYetQuiet,
         }
@@ -101,30 +101,30 @@
 }
 
 /// A look for people.
-pub(super) fn line(look: &Look, verdict: &Verdict) -> String {
-    let flows = match &look.flows {
+pub(super) fn line(sample: &Sample, verdict: &Verdict) -> String {
+    let flows = match &sample.flows {
         Ok(flows) => {
-            let more = if flows.is_whole { "" } else { " or more" };
+            let more = if flows.is_complete { "" } else { " or more" };
             format!("{} open, {}{more} closing", flows.open, flows.closing)
         }
         Err(text) => text.clone(),
     };
-    let silent = match look.silent.is_empty() {
+    let unresponsive = match sample.unresponsive.is_empty() {
         true => String::new(),
-        false => format!("; silent: {}", look.silent.join(", ")),
+        false => format!("; silent: {}", sample.unresponsive.join(", ")),
     };
-    format!("{flows}, {} new opening(s): {verdict}{silent}", look.openings)
+    format!("{flows}, {} new opening(s): {verdict}{unresponsive}", sample.openings)
 }
 
 /// A look for programs.
-pub(super) fn json(look: &Look, verdict: &Verdict) -> Value {
-    let flows = look.flows.as_ref().ok();
+pub(super) fn json(sample: &Sample, verdict: &Verdict) -> Value {
+    let flows = sample.flows.as_ref().ok();
     json!({
         "drained": *verdict == Verdict::Drained,
         "verdict": verdict.to_string(),
         "open": flows.map(|flows| flows.open),
         "closing": flows.map(|flows| flows.closing),
-        "new_openings": look.openings,
-        "silent": look.silent,
+        "new_openings": sample.openings,
+        "silent": sample.unresponsive,
     })
 }
