--- a/crates/goosectl/src/commands/settings/mod.rs
+++ b/crates/goosectl/src/commands/settings/mod.rs
@@ -13,7 +13,7 @@
 use super::Command;
 use crate::exit::{Exit, Failure};
 use crate::fleet::{Event, Fleet, OPTIONS_HELP, Options, Status};
-use lag::Held;
+use lag::InstalledVersion;
 use report::Report;
 
 /// Entry in the command table.
@@ -65,18 +65,18 @@
     }
     let mut fleet = Fleet::find(&options)?;
     let answers = fleet.ask::<Status>(|_| Some("/status".to_owned()));
-    let mut held = lag::held(&answers);
-    held.retain(|entry| account.as_ref().is_none_or(|wanted| *wanted == entry.account));
+    let mut installed = lag::installed(&answers);
+    installed.retain(|entry| account.as_ref().is_none_or(|wanted| *wanted == entry.account));
     let published = match published {
-        true => published_versions(&mut fleet, &held),
+        true => published_versions(&mut fleet, &installed),
         false => Vec::new(),
     };
-    let newest = lag::newest(&held, &published);
-    let events = match held.iter().any(|entry| lag::is_behind(entry, &newest)) {
+    let newest = lag::newest(&installed, &published);
+    let events = match installed.iter().any(|entry| lag::is_behind(entry, &newest)) {
         true => events(&fleet),
         false => Vec::new(),
     };
-    let rows = lag::rows(held, &newest, &events);
+    let rows = lag::rows(installed, &newest, &events);
     let report = Report { notes: &fleet.notes, answers: &answers, newest: &newest, rows: &rows };
     match options.is_json {
         true => report.json(out)?,
@@ -86,8 +86,8 @@
 }
 
 /// Versions that the platform publishes; what it does not answer becomes a note.
-fn published_versions(fleet: &mut Fleet, held: &[Held]) -> Vec<(String, u64)> {
-    let mut accounts: Vec<&String> = held.iter().map(|entry| &entry.account).collect();
+fn published_versions(fleet: &mut Fleet, installed: &[InstalledVersion]) -> Vec<(String, u64)> {
+    let mut accounts: Vec<&String> = installed.iter().map(|entry| &entry.account).collect();
     accounts.sort_unstable();
     accounts.dedup();
     let mut versions = Vec::new();
--- a/crates/goosectl/src/commands/settings/report.rs
+++ b/crates/goosectl/src/commands/settings/report.rs
@@ -23,7 +23,7 @@
     notes: &'a [String],
     accounts: Vec<AccountJson<'a>>,
     instances: Vec<RowJson<'a>>,
-    silent: Vec<SilentJson<'a>>,
+    silent: Vec<UnresponsiveJson<'a>>,
 }
 
 #[derive(Serialize)]
@@ -42,7 +42,7 @@
 }
 
 #[derive(Serialize)]
-struct SilentJson<'a> {
+struct UnresponsiveJson<'a> {
     instance: &'a str,
     code: &'a str,
     text: &'a str,
@@ -51,8 +51,8 @@
 impl Report<'_> {
     /// Whether something is wrong.
     pub(super) fn exit(&self) -> Exit {
-        match (self.silent().count(), self.lagging()) {
-            (silent, _) if silent == self.answers.len() => Exit::Unreachable,
+        match (self.unresponsive().count(), self.lagging()) {
+            (unresponsive, _) if unresponsive == self.answers.len() => Exit::Unreachable,
             (0, 0) => Exit::Success,
             _ => Exit::Findings,
         }
@@ -63,18 +63,19 @@
         output::write_notes(out, self.notes)?;
         let mut table = Table::new(["ACCOUNT", "INSTANCE", "VERSION", "NEWEST", "STATE", "SINCE"]);
         self.rows.iter().for_each(|row| table.push_row(self.cells(row)));
-        self.silent().for_each(|silent| {
+        self.unresponsive().for_each(|unresponsive| {
             table.push_row(
-                ["-", silent.instance, "-", "-", "silent", &silent.cell()].map(str::to_owned),
+                ["-", unresponsive.instance, "-", "-", "silent", &unresponsive.cell()]
+                    .map(str::to_owned),
             );
         });
         write!(out, "{table}")?;
-        let (lagging, silent) = (self.lagging(), self.silent().count());
+        let (lagging, unresponsive) = (self.lagging(), self.unresponsive().count());
         if lagging > 0 {
             writeln!(out, "{INSTANCES_LAG}: {lagging} of {} lag", self.rows.len())?;
         }
-        if silent > 0 {
-            writeln!(out, "{INSTANCE_UNREACHABLE}: {silent} instance(s) do not answer")?;
+        if unresponsive > 0 {
+            writeln!(out, "{INSTANCE_UNREACHABLE}: {unresponsive} instance(s) do not answer")?;
         }
         Ok(())
     }
@@ -87,14 +88,14 @@
             notes: self.notes,
             accounts: accounts.collect(),
             instances: self.rows.iter().map(RowJson::from).collect(),
-            silent: self.silent().collect(),
+            silent: self.unresponsive().collect(),
         };
         output::write_json(out, &report)
     }
 
     fn cells(&self, row: &Row) -> [String; 6] {
         let number = |number: Option<u64>| number.map_or("-".to_owned(), |n| n.to_string());
-        let newest = self.newest.iter().find(|(account, _)| *account == row.held.account);
+        let newest = self.newest.iter().find(|(account, _)| *account == row.installed.account);
         let state = if row.lags { "lags" } else { "newest" };
         let since = match (row.lags, row.since_ms) {
             (false, _) => String::new(),
@@ -102,9 +103,9 @@
             (true, None) => "unknown".to_owned(),
         };
         [
-            row.held.account.clone(),
-            row.held.instance.clone(),
-            number(row.held.version),
+            row.installed.account.clone(),
+            row.installed.instance.clone(),
+            number(row.installed.version),
             number(newest.map(|(_, version)| *version)),
             state.to_owned(),
             since,
@@ -115,16 +116,16 @@
         self.rows.iter().filter(|row| row.lags).count()
     }
 
-    fn silent(&self) -> impl Iterator<Item = SilentJson<'_>> {
+    fn unresponsive(&self) -> impl Iterator<Item = UnresponsiveJson<'_>> {
         self.answers.iter().filter_map(|answer| {
-            let silence = answer.result.as_ref().err()?;
+            let error = answer.result.as_ref().err()?;
             let instance = &answer.target.name;
-            Some(SilentJson { instance, code: &silence.code, text: &silence.text })
+            Some(UnresponsiveJson { instance, code: &error.code, text: &error.text })
         })
     }
 }
 
-impl SilentJson<'_> {
+impl UnresponsiveJson<'_> {
     fn cell(&self) -> String {
         format!("{}: {}", self.code, self.text)
     }
@@ -133,9 +134,9 @@
 impl<'a> From<&'a Row> for RowJson<'a> {
     fn from(row: &'a Row) -> Self {
         Self {
-            instance: &row.held.instance,
-            account: &row.held.account,
-            version: row.held.version,
+            instance: &row.installed.instance,
+            account: &row.installed.account,
+            version: row.installed.version,
             lags: row.lags,
             lags_since_ms: row.since_ms,
         }
--- a/crates/goosectl/src/commands/settings/tests.rs
+++ b/crates/goosectl/src/commands/settings/tests.rs
@@ -4,11 +4,11 @@
 use serde_json::json;
 use telemetry::clock::Timestamp;
 
-use super::lag::{self, Held};
+use super::lag::{self, InstalledVersion};
 use crate::fleet::Event;
 
-fn held(instance: &str, account: &str, version: Option<u64>) -> Held {
-    Held { instance: instance.into(), account: account.into(), version }
+fn installed(instance: &str, account: &str, version: Option<u64>) -> InstalledVersion {
+    InstalledVersion { instance: instance.into(), account: account.into(), version }
 }
 
 /// `instance` took `version` of `account` at `at_ms`.
@@ -58,20 +58,27 @@
     #[case] events: &[Event],
     #[case] expected: &[(&str, Option<u64>)],
 ) {
-    let all: Vec<Held> = versions.iter().map(|(name, v)| held(name, "cascadia", *v)).collect();
+    let all: Vec<InstalledVersion> =
+        versions.iter().map(|(name, v)| installed(name, "cascadia", *v)).collect();
     let published: Vec<(String, u64)> =
         published.iter().map(|(name, version)| ((*name).to_owned(), *version)).collect();
     let newest = lag::newest(&all, &published);
     let rows = lag::rows(all, &newest, events);
-    let lagging: Vec<(&str, Option<u64>)> =
-        rows.iter().filter(|row| row.lags).map(|row| (&*row.held.instance, row.since_ms)).collect();
+    let lagging: Vec<(&str, Option<u64>)> = rows
+        .iter()
+        .filter(|row| row.lags)
+        .map(|row| (&*row.installed.instance, row.since_ms))
+        .collect();
     assert_eq!(lagging, expected);
 }
 
 #[test]
 fn newest_by_account() {
-    let all =
-        [held(ONE, "cascadia", Some(3)), held(ONE, "bajio", None), held(TWO, "cascadia", Some(4))];
+    let all = [
+        installed(ONE, "cascadia", Some(3)),
+        installed(ONE, "bajio", None),
+        installed(TWO, "cascadia", Some(4)),
+    ];
     let newest = lag::newest(&all, &[("bajio".to_owned(), 2)]);
     assert_eq!(newest, [("bajio".to_owned(), 2), ("cascadia".to_owned(), 4)]);
 }
