--- a/crates/goosectl/src/commands/explain/mod.rs
+++ b/crates/goosectl/src/commands/explain/mod.rs
@@ -53,7 +53,7 @@
 ";
 
 fn run(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
-    if logs::is_asked(parser) {
+    if logs::is_requested(parser) {
         return logs::explain(parser, out);
     }
     let Some(arguments) = arguments::parse(parser)? else {
--- a/crates/goosectl/src/commands/logs/mod.rs
+++ b/crates/goosectl/src/commands/logs/mod.rs
@@ -15,7 +15,7 @@
 use parse::Line;
 
 /// Option that selects this way of working.
-const OPTION: &str = "--logs";
+const LOGS_OPTION: &str = "--logs";
 /// Most bytes of a line that are looked at; a longer one is none of ours.
 const LINE_BYTES_MAX: usize = 16 << 10;
 
@@ -39,10 +39,10 @@
 ";
 
 /// Whether a command line asks for logs.
-pub(crate) fn is_asked(parser: &lexopt::Parser) -> bool {
+pub(crate) fn is_requested(parser: &lexopt::Parser) -> bool {
     let mut rest = parser.clone();
     let Ok(mut arguments) = rest.raw_args() else { return false };
-    arguments.any(|argument| argument == OPTION)
+    arguments.any(|argument| argument == LOGS_OPTION)
 }
 
 /// Runs `explain --logs`.
@@ -51,7 +51,7 @@
         return Err(Failure::usage("give an id and at least one file"));
     };
     let lines = read(&files)?;
-    let found = walk::of_request(&lines, &id);
+    let found = walk::lines_of_request(&lines, &id);
     if found.is_empty() {
         let text =
             format!("no line names {id}; lines over the bound are left out, see `suppressed`");
@@ -69,18 +69,18 @@
         return Err(Failure::usage("give at least one file"));
     };
     let lines = read(&files)?;
-    for line in walk::of_processes(&lines) {
+    for line in walk::lines_of_processes(&lines) {
         writeln!(out, "{}", line.text())?;
     }
-    for (event, count) in walk::counts(&lines) {
+    for (event, count) in walk::count_flow_events(&lines) {
         writeln!(out, "flows: {event} {count}")?;
     }
     Ok(Exit::Success)
 }
 
-type Asked = (Vec<OsString>, Option<String>);
+type LogArguments = (Vec<OsString>, Option<String>);
 
-fn arguments(parser: &mut lexopt::Parser) -> Result<Option<Asked>, Failure> {
+fn arguments(parser: &mut lexopt::Parser) -> Result<Option<LogArguments>, Failure> {
     let (mut files, mut id) = (Vec::new(), None);
     while let Some(argument) = parser.next()? {
         match argument {
--- a/crates/goosectl/src/commands/logs/walk.rs
+++ b/crates/goosectl/src/commands/logs/walk.rs
@@ -26,23 +26,23 @@
 
 /// The lines about a request or about a caller's flow. A request's id leads to its flows, and these
 /// to all lines about them.
-pub(super) fn of_request<'a>(lines: &'a [Line], id: &str) -> Vec<&'a Line> {
+pub(super) fn lines_of_request<'a>(lines: &'a [Line], id: &str) -> Vec<&'a Line> {
     let flows = || lines.iter().filter_map(|line| line.flow.as_ref());
     let named = flows().filter(|flow| flow.request == id || flow.caller == id);
     let callers: Vec<&str> = named.map(|flow| flow.caller.as_str()).collect();
-    let concerns = |line: &&Line| {
+    let is_related = |line: &&Line| {
         line.flow.as_ref().is_some_and(|flow| callers.contains(&flow.caller.as_str()))
     };
-    lines.iter().filter(concerns).collect()
+    lines.iter().filter(is_related).collect()
 }
 
 /// The lines of processes about themselves.
-pub(super) fn of_processes(lines: &[Line]) -> impl Iterator<Item = &Line> {
+pub(super) fn lines_of_processes(lines: &[Line]) -> impl Iterator<Item = &Line> {
     lines.iter().filter(|line| line.flow.is_none())
 }
 
 /// How many lines there are about flows, by event; those left out count.
-pub(super) fn counts(lines: &[Line]) -> Vec<(String, u64)> {
+pub(super) fn count_flow_events(lines: &[Line]) -> Vec<(String, u64)> {
     let mut counts: Vec<(String, u64)> = Vec::new();
     for flow in lines.iter().filter_map(|line| line.flow.as_ref()) {
         match counts.binary_search_by(|(event, _)| event.cmp(&flow.event)) {
--- a/crates/goosectl/src/commands/timeline/arguments.rs
+++ b/crates/goosectl/src/commands/timeline/arguments.rs
@@ -21,7 +21,7 @@
 
 impl Arguments {
     /// Files alone need no instance.
-    pub(super) fn asks_instances(&self) -> bool {
+    pub(super) fn queries_instances(&self) -> bool {
         let options = &self.options;
         let named = options.platform.is_some()
             || options.settings.is_some()
--- a/crates/goosectl/src/commands/timeline/causes.rs
+++ b/crates/goosectl/src/commands/timeline/causes.rs
@@ -15,7 +15,7 @@
 const CLOCK_LAG_MS: u64 = 500;
 
 /// An instance whose events wait.
-struct Parked {
+struct Deferred {
     /// Index of the event that must come first.
     cause: usize,
     /// Indices of the waiting events in the instance's order.
@@ -23,11 +23,11 @@
 }
 
 /// State of one pass over the events.
-struct Pass<'a> {
+struct Reordering<'a> {
     events: &'a [Event],
     /// By event: index of a later one that is its cause.
     causes: Vec<Option<usize>>,
-    parked: Vec<Parked>,
+    deferred: Vec<Deferred>,
     order: Vec<usize>,
 }
 
@@ -38,10 +38,11 @@
     if causes.iter().all(Option::is_none) {
         return events;
     }
-    let mut pass = Pass { events: &events, causes, parked: Vec::new(), order: Vec::new() };
-    (0..events.len()).for_each(|index| pass.arrive(index));
-    pass.flush();
-    let order = pass.order;
+    let mut reordering =
+        Reordering { events: &events, causes, deferred: Vec::new(), order: Vec::new() };
+    (0..events.len()).for_each(|index| reordering.visit(index));
+    reordering.flush();
+    let order = reordering.order;
     let mut events: Vec<Option<Event>> = events.into_iter().map(Some).collect();
     order.into_iter().filter_map(|index| events[index].take()).collect()
 }
@@ -69,20 +70,20 @@
     causes
 }
 
-impl Pass<'_> {
+impl Reordering<'_> {
     /// Takes the next event of its process: out, or to wait.
-    fn arrive(&mut self, index: usize) {
+    fn visit(&mut self, index: usize) {
         let instance = &self.events[index].instance;
-        let own = |parked: &&mut Parked| {
-            parked.waiting.front().is_some_and(|first| self.events[*first].instance == *instance)
+        let same_instance = |deferred: &&mut Deferred| {
+            deferred.waiting.front().is_some_and(|first| self.events[*first].instance == *instance)
         };
-        if let Some(parked) = self.parked.iter_mut().find(own) {
-            parked.waiting.push_back(index);
+        if let Some(deferred) = self.deferred.iter_mut().find(same_instance) {
+            deferred.waiting.push_back(index);
             return;
         }
         match self.causes[index].take() {
             Some(cause) => {
-                self.parked.push(Parked { cause, waiting: VecDeque::from([index]) });
+                self.deferred.push(Deferred { cause, waiting: VecDeque::from([index]) });
             }
             None => self.emit(index),
         }
@@ -90,17 +91,19 @@
 
     fn emit(&mut self, index: usize) {
         self.order.push(index);
-        while let Some(place) = self.parked.iter().position(|parked| parked.cause == index) {
-            let released = self.parked.swap_remove(place);
-            released.waiting.into_iter().for_each(|waiting| self.arrive(waiting));
+        while let Some(position) = self.deferred.iter().position(|deferred| deferred.cause == index)
+        {
+            let released = self.deferred.swap_remove(position);
+            released.waiting.into_iter().for_each(|waiting| self.visit(waiting));
         }
     }
 
     /// Lets out what waits in a circle, which clocks that jump may make of two pairs.
     fn flush(&mut self) {
-        let parked = std::mem::take(&mut self.parked);
-        let mut left: Vec<usize> = parked.into_iter().flat_map(|parked| parked.waiting).collect();
-        left.sort_unstable();
-        self.order.append(&mut left);
+        let deferred = std::mem::take(&mut self.deferred);
+        let mut remaining: Vec<usize> =
+            deferred.into_iter().flat_map(|deferred| deferred.waiting).collect();
+        remaining.sort_unstable();
+        self.order.append(&mut remaining);
     }
 }
--- a/crates/goosectl/src/commands/timeline/files.rs
+++ b/crates/goosectl/src/commands/timeline/files.rs
@@ -25,8 +25,8 @@
             lists.push(serde_json::from_str(&text).map_err(|error| unreadable(&path, &error))?);
         } else if name.ends_with(".yaml") {
             // Files that are no agent's settings tell no names.
-            let place = fs::read_to_string(&path).ok().as_deref().and_then(place);
-            place.iter().for_each(|place| names.add(place));
+            let served = fs::read_to_string(&path).ok().as_deref().and_then(served_upstream);
+            served.iter().for_each(|served| names.add(served));
         }
     }
     match lists.is_empty() {
@@ -42,7 +42,7 @@
     Ok(paths)
 }
 
-fn place(yaml: &str) -> Option<ServedUpstream> {
+fn served_upstream(yaml: &str) -> Option<ServedUpstream> {
     let settings = agent::parse(yaml).ok()?;
     Some(ServedUpstream {
         account: settings.account.to_string(),
--- a/crates/goosectl/src/commands/timeline/merge.rs
+++ b/crates/goosectl/src/commands/timeline/merge.rs
@@ -34,11 +34,11 @@
 
 /// The events that a filter lets through, in their order.
 pub(super) fn filtered(events: Vec<Event>, filter: &Filter) -> Vec<Event> {
-    events.into_iter().filter(|event| filter.fits(event)).collect()
+    events.into_iter().filter(|event| filter.matches(event)).collect()
 }
 
 impl Filter {
-    fn fits(&self, event: &Event) -> bool {
+    fn matches(&self, event: &Event) -> bool {
         let flow = self.flow.as_ref().is_none_or(|flow| event.field("flow") == *flow);
         let account = self.account.as_ref().is_none_or(|account| event.account == *account);
         let kind = self.kinds.is_empty() || self.kinds.contains(&event.kind);
--- a/crates/goosectl/src/commands/timeline/mod.rs
+++ b/crates/goosectl/src/commands/timeline/mod.rs
@@ -66,18 +66,18 @@
     events: Vec<Event>,
     names: Names,
     notes: Vec<String>,
-    silent: usize,
+    unresponsive_count: usize,
 }
 
 fn run(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
-    if logs::is_asked(parser) {
+    if logs::is_requested(parser) {
         return logs::timeline(parser, out);
     }
     let Some(arguments) = arguments::parse(parser)? else {
         write!(out, "{HELP}{OPTIONS_HELP}{}{EXAMPLES}", logs::TIMELINE_HELP)?;
         return Ok(Exit::Success);
     };
-    let Gathered { events, names, notes, silent } = gather(&arguments)?;
+    let Gathered { events, names, notes, unresponsive_count } = gather(&arguments)?;
     let events = merge::filtered(events, &arguments.filter);
     match (&arguments.html, arguments.options.is_json) {
         (Some(path), _) => {
@@ -97,7 +97,7 @@
             text::lines(out, &events, &names)?;
         }
     }
-    Ok(if silent > 0 { Exit::Findings } else { Exit::Success })
+    Ok(if unresponsive_count > 0 { Exit::Findings } else { Exit::Success })
 }
 
 fn gather(arguments: &Arguments) -> Result<Gathered, Failure> {
@@ -108,13 +108,16 @@
             let latest_ms = events.last().map_or(0, Event::wall_ms);
             let after = arguments.last_ms.map(|last_ms| latest_ms.saturating_sub(last_ms));
             let events = merge::later_than(events, after);
-            Gathered { events, names, notes: Vec::new(), silent: 0 }
-        }
-        None => {
-            Gathered { events: Vec::new(), names: Names::default(), notes: Vec::new(), silent: 0 }
+            Gathered { events, names, notes: Vec::new(), unresponsive_count: 0 }
         }
+        None => Gathered {
+            events: Vec::new(),
+            names: Names::default(),
+            notes: Vec::new(),
+            unresponsive_count: 0,
+        },
     };
-    if arguments.asks_instances() {
+    if arguments.queries_instances() {
         ask(arguments, &mut gathered)?;
     }
     Ok(gathered)
@@ -132,14 +135,14 @@
     for answer in answers {
         match answer.result {
             Ok(events) => lists.push(events),
-            Err(silence) => {
-                gathered.notes.push(format!("{} is silent: {silence}", answer.target.name));
-                gathered.silent += 1;
+            Err(error) => {
+                gathered.notes.push(format!("{} is silent: {error}", answer.target.name));
+                gathered.unresponsive_count += 1;
             }
         }
     }
     gathered.events = merge::merge(lists);
-    if gathered.silent == asked && gathered.events.is_empty() {
+    if gathered.unresponsive_count == asked && gathered.events.is_empty() {
         let text = format!("none of {asked} instance(s) answers");
         return Err(Failure::new(INSTANCE_UNREACHABLE, Exit::Unreachable, text));
     }
--- a/crates/goosectl/src/commands/timeline/names.rs
+++ b/crates/goosectl/src/commands/timeline/names.rs
@@ -16,15 +16,15 @@
 impl Names {
     /// Takes in the agents of the platform's list.
     pub(super) fn add_listed(&mut self, targets: &[Target]) {
-        targets.iter().filter_map(Target::served_upstream).for_each(|place| self.add(place));
+        targets.iter().filter_map(Target::served_upstream).for_each(|served| self.add(served));
     }
 
     /// Takes in one upstream.
-    pub(super) fn add(&mut self, place: &ServedUpstream) {
-        let id = UpstreamId::of(&place.account, &place.service, &place.upstream);
+    pub(super) fn add(&mut self, served: &ServedUpstream) {
+        let id = UpstreamId::of(&served.account, &served.service, &served.upstream);
         let id = format!("{:016x}", id.0);
         if let Err(index) = self.names.binary_search_by(|(known, _)| known.cmp(&id)) {
-            self.names.insert(index, (id, place.upstream.clone()));
+            self.names.insert(index, (id, served.upstream.clone()));
         }
     }
 
--- a/crates/goosectl/src/commands/timeline/svg.rs
+++ b/crates/goosectl/src/commands/timeline/svg.rs
@@ -16,7 +16,7 @@
 const AXIS_PX: usize = 24;
 const DOT_PX: u64 = 4;
 /// Distances between two ticks that people can read, in milliseconds.
-const STEPS_MS: [u64; 16] =
+const TICK_STEPS_MS: [u64; 16] =
     [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 30_000, 60_000, 300_000];
 const TICKS_MAX: u64 = 12;
 /// Lines from an assignment to its admission; more would cover the dots.
@@ -112,7 +112,7 @@
     }
 
     /// Kinds of one lane stand a little apart, so that one does not hide another.
-    fn place(&self, event: &Event) -> (u64, usize) {
+    fn position(&self, event: &Event) -> (u64, usize) {
         let y = self.y(&event.instance) + self.kind(event) % 5 * 3;
         (self.x(event.wall_ms()), y - 6)
     }
@@ -120,7 +120,7 @@
 
 fn axis(svg: &mut String, layout: &Layout<'_>, height: usize) {
     let fits = |step: &&u64| layout.span_ms / **step <= TICKS_MAX;
-    let step = STEPS_MS.iter().find(fits).copied();
+    let step = TICK_STEPS_MS.iter().find(fits).copied();
     let step = step.unwrap_or(layout.span_ms.div_ceil(TICKS_MAX));
     let end_ms = layout.first_ms + layout.span_ms;
     let mut at_ms = layout.first_ms.next_multiple_of(step);
@@ -145,23 +145,23 @@
 /// A line from each assigned opening to the event that its holder took it.
 fn links(svg: &mut String, layout: &Layout<'_>, events: &[Event]) {
     let key = |event: &Event| (event.field("flow"), event.field("nonce"));
-    let mut taken: Vec<_> = events
+    let mut admitted: Vec<_> = events
         .iter()
         .filter(|event| event.kind == "admitted")
         .map(|event| (key(event), event))
         .collect();
-    taken.sort_by(|a, b| a.0.cmp(&b.0));
+    admitted.sort_by(|a, b| a.0.cmp(&b.0));
     let assigned = events.iter().filter(|event| event.kind == "assigned");
     for event in assigned.take(LINKS_MAX) {
         let wanted = key(event);
-        let Ok(index) = taken.binary_search_by(|(key, _)| key.cmp(&wanted)) else { continue };
-        let ((x1, y1), (x2, y2)) = (layout.place(event), layout.place(taken[index].1));
+        let Ok(index) = admitted.binary_search_by(|(key, _)| key.cmp(&wanted)) else { continue };
+        let ((x1, y1), (x2, y2)) = (layout.position(event), layout.position(admitted[index].1));
         let _ = writeln!(svg, "<path class=\"link\" d=\"M{x1} {y1}L{x2} {y2}\"/>");
     }
 }
 
 fn dot(svg: &mut String, layout: &Layout<'_>, event: &Event, names: &Names) {
-    let ((x, y), kind) = (layout.place(event), layout.kind(event));
+    let ((x, y), kind) = (layout.position(event), layout.kind(event));
     let colour = colour(&event.kind);
     let title = escape(&text::line(event, names, 0));
     let _ = writeln!(
--- a/crates/goosectl/src/commands/timeline/tests.rs
+++ b/crates/goosectl/src/commands/timeline/tests.rs
@@ -173,10 +173,11 @@
 
 #[test]
 fn lines_with_names() {
-    let place = ServedUpstream { account: "c".into(), service: "s".into(), upstream: "s-2".into() };
+    let served =
+        ServedUpstream { account: "c".into(), service: "s".into(), upstream: "s-2".into() };
     let id = format!("{:016x}", decision::keys::UpstreamId::of("c", "s", "s-2").0);
     let mut names = Names::default();
-    names.add(&place);
+    names.add(&served);
     let day = 86_400_000_u64;
     let events = [
         event(((day - 1) << 16) + 2, "agent-1", "assigned", json!({"flow": "01", "to": id})),
