--- a/crates/goosectl/src/commands/drain_watch/tests.rs
+++ b/crates/goosectl/src/commands/drain_watch/tests.rs
@@ -26,8 +26,8 @@
 /// Two quiet looks are wanted, and one before them to know from where on to count.
 #[rstest]
 #[case::drained(false, vec![empty(), empty(), empty()], &[NotYetQuiet, NotYetQuiet, Drained])]
-#[case::quiet_while_it_holds(false, vec![sample(1, 0, 0), sample(1, 0, 0), empty()], &[Holds, Holds, Drained])]
-#[case::opening_begins_anew(
+#[case::no_openings_while_it_holds_flows(false, vec![sample(1, 0, 0), sample(1, 0, 0), empty()], &[Holds, Holds, Drained])]
+#[case::opening_restarts_the_count(
     false,
     vec![empty(), empty(), sample(0, 0, 1), empty(), empty(), empty()],
     &[NotYetQuiet, NotYetQuiet, NotYetQuiet, NotYetQuiet, NotYetQuiet, Drained]
@@ -35,7 +35,7 @@
 #[case::closing_counts(false, vec![sample(0, 1, 0), sample(0, 1, 0), sample(0, 1, 0)], &[Holds, Holds, Holds])]
 #[case::closing_ignored(true, vec![sample(0, 1, 0), sample(0, 1, 0), sample(0, 1, 0)], &[NotYetQuiet, NotYetQuiet, Drained])]
 #[case::too_many_to_list(false, vec![truncated(), truncated(), truncated()], &[Holds, Holds, Holds])]
-#[case::silence_begins_anew(
+#[case::failed_poll_restarts_the_count(
     false,
     vec![empty(), empty(), unanswered(false), empty(), empty(), empty()],
     &[NotYetQuiet, NotYetQuiet, Unknown, NotYetQuiet, NotYetQuiet, Drained]
--- a/crates/goosectl/src/commands/timeline/tests.rs
+++ b/crates/goosectl/src/commands/timeline/tests.rs
@@ -23,15 +23,15 @@
 #[rstest]
 #[case::by_time(&[(1, "a"), (5, "a")], &[(3, "b")], &[(1, "a"), (3, "b"), (5, "a")])]
 #[case::ties_by_instance(&[(1, "b")], &[(1, "a")], &[(1, "a"), (1, "b")])]
-#[case::doubled(&[(1, "a"), (2, "a")], &[(2, "a")], &[(1, "a"), (2, "a")])]
+#[case::duplicate(&[(1, "a"), (2, "a")], &[(2, "a")], &[(1, "a"), (2, "a")])]
 #[case::none(&[], &[], &[])]
 fn merge_order(
-    #[case] one: &[(u64, &str)],
-    #[case] two: &[(u64, &str)],
+    #[case] first: &[(u64, &str)],
+    #[case] second: &[(u64, &str)],
     #[case] expected: &[(u64, &str)],
 ) {
     let list = |list: &[(u64, &str)]| list.iter().map(|(hlc, name)| plain(*hlc, name)).collect();
-    let merged = merge::merge(vec![list(one), list(two)]);
+    let merged = merge::merge(vec![list(first), list(second)]);
     let found: Vec<(u64, &str)> = merged.iter().map(|e| (e.hlc, &*e.instance)).collect();
     assert_eq!(found, expected);
 }
@@ -45,16 +45,16 @@
     b.observe_at(assigned, 5_000);
     let admitted = b.now_at(5_001);
     a.observe_at(admitted, 10_001);
-    let noted = a.now_at(10_002);
+    let recorded = a.now_at(10_002);
     let lists = vec![
         vec![event(admitted.0, "b", "admitted", json!({}))],
         vec![
             event(assigned.0, "a", "assigned", json!({})),
-            event(noted.0, "a", "noted", json!({})),
+            event(recorded.0, "a", "recorded", json!({})),
         ],
     ];
     let kinds: Vec<String> = merge::merge(lists).into_iter().map(|event| event.kind).collect();
-    assert_eq!(kinds, ["assigned", "admitted", "noted"]);
+    assert_eq!(kinds, ["assigned", "admitted", "recorded"]);
 }
 
 /// An event as `instance kind nonce`, at its millisecond.
@@ -65,7 +65,7 @@
 
 #[rstest]
 #[case::in_order(&[(1, "a assigned 7"), (2, "b admitted 7")], &["a assigned 7", "b admitted 7"])]
-#[case::assignment_noted_late(
+#[case::assignment_recorded_late(
     &[(1, "b admitted 7"), (2, "a assigned 7")], &["a assigned 7", "b admitted 7"]
 )]
 #[case::own_events_follow(
@@ -87,7 +87,7 @@
     &[(1, "c admitted 8"), (2, "b admitted 7"), (3, "b assigned 8"), (4, "a assigned 7")],
     &["a assigned 7", "b admitted 7", "b assigned 8", "c admitted 8"]
 )]
-#[case::circle(
+#[case::cycle(
     &[(1, "a admitted 7"), (2, "b admitted 8"), (3, "b assigned 7"), (4, "a assigned 8")],
     &["a admitted 7", "b admitted 8", "b assigned 7", "a assigned 8"]
 )]
--- a/crates/goosectl/tests/check.rs
+++ b/crates/goosectl/tests/check.rs
@@ -79,7 +79,7 @@
     "@good.yaml:1:10: E1020 account: published for `bajio` but names `cascadia`\n@good.yaml: 1 fault(s)\n@good.yaml: addresses were not compared with their owners: no --root\n",
     ""
 )]
-#[case::step(
+#[case::next_version(
     "check @next.yaml --account cascadia --root @root.yaml --against @good.yaml",
     Exit::Success,
     "@next.yaml: good: account cascadia version 8, 1 service(s), 1 upstream(s)\n",
@@ -91,7 +91,7 @@
     "@next.yaml: good: account cascadia version 8, 1 service(s), 1 upstream(s)\n",
     ""
 )]
-#[case::step_back(
+#[case::older_version(
     "check @good.yaml --account cascadia --root @root.yaml --against @next.yaml",
     Exit::Findings,
     "@good.yaml:2:10: E1030 version: 7 is not larger than 8, which is in force\n@good.yaml: 1 fault(s)\n",
@@ -103,7 +103,7 @@
     "@root4.yaml: good: root version 4, 1 account(s)\n",
     ""
 )]
-#[case::root_back(
+#[case::older_root(
     "check @root.yaml --against @root4.yaml",
     Exit::Findings,
     "@root.yaml:1:10: E1030 version: 3 is not larger than 4, which is in force\n@root.yaml: 1 fault(s)\n",
@@ -115,7 +115,7 @@
     "",
     "goosectl: E5001: check: no FILE given\n"
 )]
-#[case::root_alone(
+#[case::root_without_account(
     "check @good.yaml --root @root.yaml",
     Exit::Usage,
     "",
--- a/crates/goosectl/tests/common/mod.rs
+++ b/crates/goosectl/tests/common/mod.rs
@@ -19,7 +19,7 @@
 pub(crate) type Answers = Vec<(&'static str, Body)>;
 
 /// How a command line ended.
-pub(crate) struct Line {
+pub(crate) struct Output {
     pub(crate) exit: Exit,
     pub(crate) out: String,
     pub(crate) err: String,
@@ -46,7 +46,7 @@
     }
 }
 
-impl Line {
+impl Output {
     pub(crate) fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.out).unwrap_or_else(|e| panic!("{e}: {}{}", self.out, self.err))
     }
@@ -61,18 +61,18 @@
 }
 
 /// An address at which nobody listens.
-pub(crate) fn nobody() -> SocketAddr {
+pub(crate) fn unused_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
 /// Runs goosectl in this process.
-pub(crate) fn run(line: &str) -> Line {
+pub(crate) fn run(line: &str) -> Output {
     let (mut out, mut err) = (Vec::new(), Vec::new());
     let arguments = line.split_whitespace().map(Into::into);
     let exit = goosectl::run(arguments, &mut out, &mut err);
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    Line { exit, out: text(out), err: text(err) }
+    Output { exit, out: text(out), err: text(err) }
 }
 
 /// A folder of the test's own.
--- a/crates/goosectl/tests/fleet.rs
+++ b/crates/goosectl/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use common::{Answers, Line, serve};
+use common::{Answers, Output, serve};
 use goosectl::Exit;
 use rstest::rstest;
 use serde_json::json;
@@ -40,7 +40,7 @@
     }
 
     /// Runs a line with `--platform`; addresses in the output become names.
-    fn run(&self, line: &str) -> Line {
+    fn run(&self, line: &str) -> Output {
         let mut found = common::run(&format!("{line} --platform {}", self.platform));
         for (index, control) in self.controls.iter().enumerate() {
             let name = format!("<{index}>");
@@ -173,10 +173,10 @@
     assert_eq!(found["events"].as_array().unwrap().len(), 1);
 }
 
-fn explained(instance: &str, state: &str) -> Answers {
-    let place = format!(r#"{{"state":"{state}","holder":null,"evidence":null}}"#);
+fn explain_answer(instance: &str, state: &str) -> Answers {
+    let location = format!(r#"{{"state":"{state}","holder":null,"evidence":null}}"#);
     let body = format!(
-        r#"{{"instance":"{instance}","version":9,"bucket":0,"ranking":[],"home":null,"place":{place}}}"#
+        r#"{{"instance":"{instance}","version":9,"bucket":0,"ranking":[],"home":null,"place":{location}}}"#
     );
     vec![("/explain", body.into())]
 }
@@ -186,7 +186,7 @@
 #[rstest]
 #[case::service("203.0.113.1:8443", Exit::Success, &["service shelf", "home shelf-1: rank", "holder shelf-2 (open): its agent says so"], "")]
 #[case::no_service("203.0.113.1:80", Exit::Findings, &["service none: balancers drop the packet (E2103 no_service)"], "")]
-#[case::nobody("198.51.100.1:80", Exit::Findings, &[], "goosectl: E5007: no account owns 198.51.100.1 (root version 3)\n")]
+#[case::no_owner("198.51.100.1:80", Exit::Findings, &[], "goosectl: E5007: no account owns 198.51.100.1 (root version 3)\n")]
 fn explain_tuple(
     #[case] destination: &str,
     #[case] exit: Exit,
@@ -195,8 +195,8 @@
 ) {
     let home = r#"{"instance":"bal-1","version":9,"home":"127.20.1.1:6080"}"#;
     let fleet = Fleet::new(
-        explained("agent-1", "unknown"),
-        explained("agent-2", "open"),
+        explain_answer("agent-1", "unknown"),
+        explain_answer("agent-2", "open"),
         vec![("/explain", home.to_owned().into())],
     );
     let found = fleet.run(&format!("explain tcp 192.0.2.1:40000 {destination} {KEY}"));
@@ -209,16 +209,16 @@
 /// watch must see: only two quiet looks later it is drained.
 #[test]
 fn drain_watch_until_drained() {
-    let looks = Arc::new(AtomicUsize::new(0));
-    let counted = looks.clone();
+    let polls = Arc::new(AtomicUsize::new(0));
+    let counted = polls.clone();
     let flows = move || {
         let open = usize::from(counted.fetch_add(1, Ordering::Relaxed) == 0);
         format!(r#"{{"instance":"agent-1","open":{open},"flows":[]}}"#)
     };
     let id = format!("{:016x}", decision::keys::UpstreamId::of("cascadia", "shelf", "shelf-1").0);
-    let seen = looks.clone();
+    let polled = polls.clone();
     let events = move || {
-        let assigned = seen.load(Ordering::Relaxed) == 2;
+        let assigned = polled.load(Ordering::Relaxed) == 2;
         let event = format!(
             r#"{{"hlc":9,"instance":"agent-2","account":"cascadia","kind":"assigned","fields":{{"to":"{id}"}}}}"#
         );
@@ -245,12 +245,12 @@
 }
 
 #[rstest]
-#[case::in_time(
+#[case::timed_out(
     "drain-watch shelf-1 --timeout-s 0",
     Exit::TimedOut,
     "E5009: shelf-1 is not drained in time: it holds flows"
 )]
-#[case::unknown(
+#[case::unknown_upstream(
     "drain-watch shelf-9",
     Exit::Usage,
     "E5007: the platform's list names no agent of upstream `shelf-9`"
@@ -275,7 +275,7 @@
 #[test]
 fn status_without_platform() {
     let balancer = serve(status("bal-1", "balancer", true, 7, "{}"));
-    let file = common::balancer_file("status_without_platform", common::nobody(), balancer);
+    let file = common::balancer_file("status_without_platform", common::unused_address(), balancer);
     let found = common::run(&format!("status --json --settings {}", file.display()));
     assert_eq!(found.exit, Exit::Success, "{}", found.err);
     let found = found.json();
@@ -284,8 +284,8 @@
 }
 
 #[rstest]
-#[case::nobody("status", Exit::Unreachable, "E5004: no list from the platform: http://")]
-#[case::named_silent("status --instance 127.0.0.1:1", Exit::Unreachable, "")]
+#[case::no_platform("status", Exit::Unreachable, "E5004: no list from the platform: http://")]
+#[case::named_unresponsive("status --instance 127.0.0.1:1", Exit::Unreachable, "")]
 #[case::not_an_address("status --instance here", Exit::Usage, "E5001: ")]
 #[case::unknown_option("flows --colour", Exit::Usage, "E5001: invalid option '--colour'")]
 #[case::no_key(
@@ -307,7 +307,7 @@
 #[case::no_folder("timeline --from /nowhere", Exit::File, "E5002: /nowhere: ")]
 #[case::no_file("status --settings /nowhere", Exit::File, "E5002: /nowhere: ")]
 fn command_line_fails(#[case] line: &str, #[case] exit: Exit, #[case] err: &str) {
-    let found = common::run(&format!("{line} --platform {}", common::nobody()));
+    let found = common::run(&format!("{line} --platform {}", common::unused_address()));
     assert_eq!(found.exit, exit, "{}", found.err);
     let expected = if err.is_empty() { String::new() } else { format!("goosectl: {err}") };
     assert!(found.err.starts_with(&expected), "{}", found.err);
@@ -357,7 +357,7 @@
 #[rstest]
 #[case::agree(Some(r#"["pnw-b"]"#), "pnw-b", Exit::Success)]
 #[case::differ(Some("[]"), "-", Exit::Findings)]
-#[case::silent(None, "E5004: http://<1>/zones: status 404", Exit::Findings)]
+#[case::unresponsive(None, "E5004: http://<1>/zones: status 404", Exit::Findings)]
 fn zones_of_two_balancers(
     #[case] second: Option<&str>,
     #[case] shown: &str,
@@ -375,7 +375,7 @@
 }
 
 #[test]
-fn zones_without_an_answer() {
-    let line = common::run(&format!("zones --instance {}", common::nobody()));
+fn zones_without_answer() {
+    let line = common::run(&format!("zones --instance {}", common::unused_address()));
     assert_eq!(line.exit, Exit::Unreachable);
 }
--- a/crates/goosectl/tests/logs.rs
+++ b/crates/goosectl/tests/logs.rs
@@ -26,9 +26,11 @@
 }
 
 fn events(out: &str) -> Vec<&str> {
-    let words = ["waited", "lost", "placed", "started", "upstream_slow"];
+    let known_events = ["waited", "lost", "placed", "started", "upstream_slow"];
     let lines = out.lines().filter(|line| !line.starts_with("flows:"));
-    lines.filter_map(|line| words.iter().copied().find(|word| line.contains(word))).collect()
+    lines
+        .filter_map(|line| known_events.iter().copied().find(|event| line.contains(event)))
+        .collect()
 }
 
 /// The on-call engineer has the id of a failed request. It leads to the flow, and the flow to what
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn explain_logs_without_a_line() {
+fn explain_logs_without_match() {
     let (exit, _, err) = run("explain-none", "explain --logs @ ffff");
     assert_eq!(exit, Exit::Findings);
     assert!(err.contains("E5007"), "{err}");
