--- a/crates/goosectl/src/commands/check/arguments.rs
+++ b/crates/goosectl/src/commands/check/arguments.rs
@@ -7,7 +7,7 @@
 
 use crate::exit::Failure;
 
-/// What to check, and how to show it.
+/// Which document to check, and how to print the result.
 #[derive(Debug)]
 pub(super) struct Arguments {
     pub(super) file: PathBuf,
@@ -16,7 +16,7 @@
     pub(super) is_json: bool,
 }
 
-/// Kind of the checked document.
+/// The kind of document to check.
 #[derive(Debug)]
 pub(super) enum Document {
     Root,
@@ -24,13 +24,14 @@
 }
 
 impl Arguments {
-    /// Whether addresses can be compared with their owners.
+    /// Whether the check compares addresses with their owners. A subtree without a root document
+    /// does not allow it.
     pub(super) fn compares_addresses(&self) -> bool {
         !matches!(self.document, Document::Account { root: None, .. })
     }
 }
 
-/// Reads the rest of the command line; `None` if help is asked for.
+/// Parses the rest of the command line; `None` if `--help` is given.
 pub(super) fn parse(parser: &mut lexopt::Parser) -> Result<Option<Arguments>, Failure> {
     let (mut file, mut account, mut root, mut against) = (None, None, None, None);
     let mut is_json = false;
--- a/crates/goosectl/src/commands/check/mod.rs
+++ b/crates/goosectl/src/commands/check/mod.rs
@@ -1,4 +1,4 @@
-//! `goosectl check`: every fault of a document before it is published.
+//! `goosectl check`: reports every fault of a document before it is published.
 
 mod arguments;
 mod report;
@@ -26,24 +26,24 @@
        goosectl check FILE [--against OLDFILE] [--json]
 
 Shows every fault of a document with line, column and result code. With --account, FILE is the
-subtree to be published for that account; without, it is a root document.
+subtree to be published for that account; without it, FILE is a root document.
 
 Options:
-  --account NAME     account that the subtree is published for
+  --account NAME     account for which the subtree is to be published
   --root FILE        root document; without it, addresses are not compared with their owners
-  --against OLDFILE  document that is published now; the step from it to FILE is checked as well
-  --json             one JSON object instead of lines
+  --against OLDFILE  document that is published now; also check the change from it to FILE
+  --json             print one JSON object instead of lines
 
 Examples:
   goosectl check cascadia.yaml --account cascadia --root root.yaml
   goosectl check cascadia.yaml --account cascadia --root root.yaml --against published.yaml
   goosectl check root.yaml --against published-root.yaml --json
 
-Exit codes: 0 no fault, 1 faults, 2 wrong command line, 3 a file cannot be read or is no valid
-root or old document.
+Exit codes: 0 no fault; 1 faults; 2 invalid command line; 3 a file cannot be read, or the root
+document or OLDFILE is invalid.
 ";
 
-/// What was found: the document without faults, or its faults.
+/// The content of a valid document, or the faults of an invalid one.
 type Checked = Result<Content, Vec<Fault>>;
 
 fn run(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
@@ -88,7 +88,8 @@
     Ok(parsed.map(Content::Root))
 }
 
-/// The old subtree is taken without its root: addresses that it lost since are no fault of the new.
+/// Checks a subtree. The old subtree is parsed without the root document: addresses that have been
+/// taken from the account since it was published are no fault of the new one.
 fn check_account(
     yaml: &str,
     name: &str,
--- a/crates/goosectl/src/commands/check/report.rs
+++ b/crates/goosectl/src/commands/check/report.rs
@@ -7,14 +7,14 @@
 use serde::Serialize;
 use settings::{Fault, Root};
 
-/// Outcome of one check.
+/// The result of one check.
 pub(super) struct Report<'a> {
     pub(super) file: &'a Path,
     pub(super) result: &'a Result<Content, Vec<Fault>>,
     pub(super) are_addresses_compared: bool,
 }
 
-/// A document without faults.
+/// The content of a valid document.
 pub(super) enum Content {
     Root(Root),
     Account(AccountSpec),
@@ -41,7 +41,8 @@
 }
 
 impl Report<'_> {
-    /// Lines for people: one for each fault, in the form that editors jump to, and a summary.
+    /// Writes one line for each fault, as `file:line:column: ...` so that editors can jump to it,
+    /// and a summary.
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
         let file = self.file.display();
         match self.result {
@@ -60,7 +61,7 @@
         Ok(())
     }
 
-    /// One JSON object for programs.
+    /// Writes one JSON object.
     pub(super) fn json(&self, out: &mut dyn Write) -> io::Result<()> {
         let faults = self.result.as_ref().err().map(Vec::as_slice).unwrap_or_default();
         let json = ReportJson {
--- a/crates/goosectl/src/commands/drain_watch/arguments.rs
+++ b/crates/goosectl/src/commands/drain_watch/arguments.rs
@@ -10,10 +10,10 @@
 
 const INTERVAL_MS: u64 = 500;
 
-/// Openings reach a draining upstream for less than this after its drain has begun.
+/// Once a drain has begun, openings stop reaching the upstream within less than this time.
 const QUIET_MS: u64 = 3_000;
 
-/// What to watch, and until when.
+/// What to watch, and for how long.
 #[derive(Debug)]
 pub(super) struct Arguments {
     pub(super) options: Options,
@@ -25,13 +25,13 @@
 }
 
 impl Arguments {
-    /// Looks without an opening after which nobody gives any.
+    /// Consecutive samples without an opening after which no more openings are expected.
     pub(super) fn quiet_samples(&self) -> u64 {
         self.quiet_ms.div_ceil(self.interval.as_millis() as u64)
     }
 }
 
-/// Reads the rest of the command line; `None` if help is asked for.
+/// Parses the rest of the command line; `None` if `--help` is given.
 pub(super) fn parse(parser: &mut lexopt::Parser) -> Result<Option<Arguments>, Failure> {
     let (mut options, mut upstream, mut timeout) = (Options::default(), None, None);
     let (mut interval_ms, mut quiet_ms, mut ignore_closing) = (INTERVAL_MS, QUIET_MS, false);
--- a/crates/goosectl/src/commands/drain_watch/look.rs
+++ b/crates/goosectl/src/commands/drain_watch/look.rs
@@ -1,4 +1,4 @@
-//! Looking at the upstream's agent and its peers.
+//! Polls the upstream's agent and its peers.
 
 use decision::keys::UpstreamId;
 use settings::codes;
@@ -8,22 +8,23 @@
 use crate::exit::{Exit, Failure};
 use crate::fleet::{self, Event, Fleet, ServedUpstream, Target};
 
-/// The most that an agent lists.
+/// The most flows that an agent lists in one answer.
 const FLOWS_MAX: usize = 10_000;
 
-/// Looks at a silent agent until the platform's list is read again: each costs a read.
+/// The platform's list is read only after every so many failed polls of the watched agent in a row,
+/// since every request for the list counts against the platform's read budget.
 const FAILED_POLLS_PER_LIST_READ: u64 = 10;
 
-/// The agents of a service, one of which is watched.
+/// The watched agent and its peers, the other agents of the service.
 pub(super) struct Watched {
     agents: Fleet,
     /// Name of the watched instance.
     instance: String,
-    /// Id of its upstream as events show it.
+    /// Id of its upstream, as it is written in events.
     id: String,
-    /// Latest event seen of each agent, in the order of `agents`.
+    /// Timestamp of the latest event received from each agent, in the order of `agents`.
     last_seen: Vec<Option<u64>>,
-    /// Looks in a row at which the watched agent did not answer.
+    /// Consecutive polls that the watched agent did not answer.
     failed_polls: u64,
 }
 
@@ -41,12 +42,12 @@
             return Err(not_found(match found.len() {
                 0 => format!("the platform's list names no agent of upstream `{name}`"),
                 several => {
-                    format!("`{name}` means {several} upstreams; write ACCOUNT/SERVICE/NAME")
+                    format!("`{name}` matches {several} upstreams; write ACCOUNT/SERVICE/NAME")
                 }
             }));
         };
         let Some(served) = watched.served_upstream().cloned() else {
-            return Err(not_found(format!("`{name}` is no agent")));
+            return Err(not_found(format!("`{name}` is not an agent")));
         };
         let is_peer = |target: &Target| {
             let known = target.served_upstream();
@@ -65,8 +66,8 @@
         })
     }
 
-    /// Asks all agents once. Openings are those since the last look; the first look only learns
-    /// from where on to count.
+    /// Queries all agents once. Counts the openings since the previous poll; the first poll counts
+    /// none, since it only learns from which event on to count.
     pub(super) fn poll(&mut self) -> Sample {
         let (openings, mut unresponsive) = self.new_openings();
         unresponsive.retain(|name| *name != self.instance);
@@ -75,7 +76,8 @@
         Sample { is_unlisted: self.is_unlisted(), flows, openings, unresponsive }
     }
 
-    /// Whether the platform's list has dropped the agent, where that is worth a read.
+    /// Whether the platform's list no longer contains the agent. The list is read only when the
+    /// agent does not answer, and then not at every poll.
     fn is_unlisted(&self) -> bool {
         let is_due =
             self.failed_polls > 0 && self.failed_polls.is_multiple_of(FAILED_POLLS_PER_LIST_READ);
@@ -87,13 +89,14 @@
         let is_watched = |target: &Target| target.name == self.instance;
         let answers =
             self.agents.ask::<fleet::Flows>(|target| is_watched(target).then(|| path.clone()));
-        let answer = answers.into_iter().next().ok_or("its agent is not asked")?;
+        let answer = answers.into_iter().next().ok_or("its agent was not queried")?;
         let list = answer.result.map_err(|error| error.to_string())?;
         let closing = list.flows.iter().filter(|flow| flow.state == "finishing").count();
         Ok(Flows { open: list.open, closing, is_complete: list.flows.len() < FLOWS_MAX })
     }
 
-    /// Openings that the upstream took or was given, and names of silent peers.
+    /// Counts the new openings that the upstream admitted or was assigned, and names the agents
+    /// that did not answer.
     fn new_openings(&mut self) -> (usize, Vec<String>) {
         let last_seen = self.last_seen.clone();
         let targets = &self.agents.targets;
@@ -110,13 +113,15 @@
                 continue;
             };
             if last_seen[index].is_some() {
-                let new = events.iter().filter(|event| self.is_opening(event));
-                openings.extend(new.map(|event| (event.field("flow"), event.field("nonce"))));
+                let new_events = events.iter().filter(|event| self.is_opening(event));
+                openings
+                    .extend(new_events.map(|event| (event.field("flow"), event.field("nonce"))));
             }
             let last = events.last().map(|event| event.hlc).or(last_seen[index]);
             self.last_seen[index] = Some(last.unwrap_or(0));
         }
-        // An opening that was assigned shows at its home and at the upstream's own agent.
+        // Both the home that assigns an opening and the upstream's own agent that admits it record
+        // an event.
         openings.sort_unstable();
         openings.dedup();
         (openings.len(), unresponsive)
--- a/crates/goosectl/src/commands/drain_watch/mod.rs
+++ b/crates/goosectl/src/commands/drain_watch/mod.rs
@@ -1,4 +1,4 @@
-//! `goosectl drain-watch`: waits until an upstream can be taken away.
+//! `goosectl drain-watch`: waits until an upstream can be removed.
 
 mod arguments;
 mod look;
@@ -31,19 +31,19 @@
 const HELP: &str = "\
 Usage: goosectl drain-watch UPSTREAM [--timeout-s N] [--ignore-closing] [OPTIONS]
 
-Follows an upstream that is being drained until its agent holds no flow, neither it nor any other
-agent of the service has given it an opening for the time of --quiet-ms, and its agent has answered
-all the while. UPSTREAM is NAME, SERVICE/NAME or ACCOUNT/SERVICE/NAME, as in the platform's list.
-It only watches: the drain itself is begun by publishing `state: draining`.
+Watches an upstream that is being drained until its agent holds no flow and, for the time of
+--quiet-ms, has answered every request while the upstream got no opening, whether through its own
+agent or another one of the service. UPSTREAM is NAME, SERVICE/NAME or ACCOUNT/SERVICE/NAME, as in
+the platform's list. The command only watches: to begin the drain, publish `state: draining`.
 
 A flow whose caller has sent its FIN counts until the agent forgets it, ten minutes after its last
-packet: the answer may still be under way, and the agent does not see it leave.
+packet: the upstream may still be sending its answer, which the agent does not see.
 
 Options:
   --timeout-s N      give up after N seconds (default: never)
-  --ignore-closing   do not wait for flows whose callers have ended their half
-  --interval-ms N    time between two looks (default 500)
-  --quiet-ms N       time without an opening (default 3000)
+  --ignore-closing   do not wait for flows whose callers have sent their FIN
+  --interval-ms N    time between two polls in milliseconds (default 500)
+  --quiet-ms N       required time without an opening in milliseconds (default 3000)
 ";
 
 const EXAMPLES: &str = "
@@ -51,9 +51,9 @@
   goosectl drain-watch shelf-1 --platform 127.1.0.1:8000 --timeout-s 600
   goosectl drain-watch cascadia/shelf/shelf-1 --settings agent.yaml --ignore-closing --json
 
-Exit codes: 0 drained, 1 the agent has ended before it was seen drained, 2 wrong command line or no
-such upstream, 3 unreadable file, 4 the platform does not answer, 5 not drained in time. Ctrl-C ends
-it by the signal (130 in a shell).
+Exit codes: 0 drained; 1 the agent ended before it was seen drained; 2 invalid command line or no
+such upstream; 3 unreadable file; 4 the platform does not answer; 5 not drained in time. Ctrl-C ends
+the command by the signal (130 in a shell).
 ";
 
 fn run(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
@@ -83,14 +83,15 @@
 }
 
 fn gone(upstream: &str, last: Option<Flows>) -> Failure {
-    let held = last.map_or("never heard".to_owned(), |flows| {
+    let held = last.map_or("and never answered".to_owned(), |flows| {
         format!("last seen with {} open and {} closing flow(s)", flows.open, flows.closing)
     });
     let text = format!("the agent of {upstream} has ended, {held}");
     Failure::new(codes::INSTANCE_UNREACHABLE, Exit::Findings, text)
 }
 
-/// One line for each look, written at once: somebody watches.
+/// Writes one line or JSON document for a sample, and flushes it so that a watching operator sees
+/// it immediately.
 fn show(
     out: &mut dyn Write,
     arguments: &Arguments,
--- a/crates/goosectl/src/commands/drain_watch/progress.rs
+++ b/crates/goosectl/src/commands/drain_watch/progress.rs
@@ -1,20 +1,20 @@
-//! From looks to the verdict that an upstream is drained.
+//! Decides from a series of samples whether an upstream is drained.
 
 use std::fmt;
 
 use serde_json::{Value, json};
 
-/// What one look has found.
+/// The result of one poll.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Sample {
-    /// Flows of the upstream, or why its agent does not tell.
+    /// Flows of the upstream, or why its agent gave no usable answer.
     pub(super) flows: Result<Flows, String>,
-    /// Openings given to the upstream since the last sample.
+    /// Openings that the upstream got since the previous sample.
     pub(super) openings: usize,
-    /// Agents whose events are not known. One of them may have given the upstream an opening; it
-    /// would show as admitted by the upstream's own agent.
+    /// Peers that did not answer. If one of them has assigned the upstream an opening, the event of
+    /// the upstream's own agent that admits it still shows it.
     pub(super) unresponsive: Vec<String>,
-    /// Whether the platform's list has dropped the agent.
+    /// Whether the platform's list no longer contains the agent.
     pub(super) is_unlisted: bool,
 }
 
@@ -22,39 +22,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Flows {
     pub(super) open: usize,
-    /// Flows whose callers have ended their half.
+    /// Flows whose callers have sent their FIN.
     pub(super) closing: usize,
-    /// False if there were too many to list, so that `closing` is too small.
+    /// False if there were too many flows to list, so that `closing` may be too small.
     pub(super) is_complete: bool,
 }
 
 /// Whether an upstream is drained.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// It holds no flow and gets no opening.
+    /// It holds no flow and has got no opening for long enough.
     Drained,
     /// Its agent does not answer.
     Unknown,
-    /// Its agent does not answer and is no longer listed: whether it was drained is not known.
+    /// Its agent does not answer and is no longer listed; whether it was drained is not known.
     Gone,
     /// It holds flows.
     Holds,
-    /// It holds none, but has had an opening a moment ago.
+    /// It holds no flow, but the required time without an opening has not passed yet.
     NotYetQuiet,
 }
 
-/// Looks so far.
+/// State derived from the samples so far.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Progress {
     required_quiet_samples: u64,
     ignore_closing: bool,
-    /// Looks in a row without an opening at which the agent answered.
+    /// Consecutive samples without an opening in which the agent answered.
     quiet_samples: u64,
     last_flows: Option<Flows>,
 }
 
 impl Progress {
-    /// No look yet. The first one counts as none: it cannot tell about openings.
+    /// The state before the first sample. One sample more than `required_quiet_samples` is
+    /// required, since the first one cannot contain openings.
     pub(super) fn new(required_quiet_samples: u64, ignore_closing: bool) -> Self {
         Self {
             required_quiet_samples: required_quiet_samples + 1,
@@ -64,12 +65,12 @@
         }
     }
 
-    /// Flows at the last look at which the agent answered.
+    /// Flows in the latest sample in which the agent answered.
     pub(super) fn last_flows(&self) -> Option<Flows> {
         self.last_flows
     }
 
-    /// Takes in a sample.
+    /// Adds a sample and returns the verdict.
     pub(super) fn update(&mut self, sample: &Sample) -> Verdict {
         let Ok(flows) = sample.flows else {
             self.quiet_samples = 0;
@@ -100,7 +101,7 @@
     }
 }
 
-/// A look for people.
+/// A sample as a line of text.
 pub(super) fn line(sample: &Sample, verdict: &Verdict) -> String {
     let flows = match &sample.flows {
         Ok(flows) => {
@@ -111,12 +112,12 @@
     };
     let unresponsive = match sample.unresponsive.is_empty() {
         true => String::new(),
-        false => format!("; silent: {}", sample.unresponsive.join(", ")),
+        false => format!("; no answer from {}", sample.unresponsive.join(", ")),
     };
     format!("{flows}, {} new opening(s): {verdict}{unresponsive}", sample.openings)
 }
 
-/// A look for programs.
+/// A sample as a JSON document.
 pub(super) fn json(sample: &Sample, verdict: &Verdict) -> Value {
     let flows = sample.flows.as_ref().ok();
     json!({
--- a/crates/goosectl/src/commands/drain_watch/tests.rs
+++ b/crates/goosectl/src/commands/drain_watch/tests.rs
@@ -1,4 +1,4 @@
-//! When an upstream counts as drained.
+//! Tests of the verdict whether an upstream is drained.
 
 use rstest::rstest;
 
@@ -23,7 +23,8 @@
     sample(0, 0, 0)
 }
 
-/// Two quiet looks are wanted, and one before them to know from where on to count.
+/// Two samples without an opening are required, and one before them to learn from which event on to
+/// count.
 #[rstest]
 #[case::drained(false, vec![empty(), empty(), empty()], &[NotYetQuiet, NotYetQuiet, Drained])]
 #[case::no_openings_while_it_holds_flows(false, vec![sample(1, 0, 0), sample(1, 0, 0), empty()], &[Holds, Holds, Drained])]
