--- a/crates/goosectl/src/commands/logs/mod.rs
+++ b/crates/goosectl/src/commands/logs/mod.rs
@@ -1,4 +1,4 @@
-//! Reading the JSON lines that processes log: for `explain --logs` and `timeline --logs`.
+//! Reads the JSON lines that processes log, for `explain --logs` and `timeline --logs`.
 
 mod parse;
 mod walk;
@@ -14,9 +14,9 @@
 use crate::exit::{Exit, Failure};
 use parse::Line;
 
-/// Option that selects this way of working.
+/// Option that makes a command read log files instead of querying instances.
 const LOGS_OPTION: &str = "--logs";
-/// Most bytes of a line that are looked at; a longer one is none of ours.
+/// Only this many bytes of a line are parsed; the processes log no longer lines.
 const LINE_BYTES_MAX: usize = 16 << 10;
 
 /// Help of `explain --logs`.
@@ -24,9 +24,9 @@
 With logs instead of running instances:
   goosectl explain --logs FILE [--logs FILE]... ID
 
-Prints the decisions about one request or flow in causal order, with what decided and what came of
-it, from the log lines of many processes together; FILE may be `-` for standard input, and text
-before a line's `{` is passed over. ID is a request's id, or ADDRESS:PORT of its caller.
+Prints the log lines of all processes about one request or flow in the order of time: which process
+decided what, and with which result. FILE may be `-` for standard input; text before the first `{`
+of a line is ignored. ID is a request's id, or ADDRESS:PORT of its caller.
 ";
 
 /// Help of `timeline --logs`.
@@ -34,11 +34,11 @@
 With logs instead of running instances:
   goosectl timeline --logs FILE [--logs FILE]...
 
-Prints what processes logged about themselves (starts, views, the configuration service, slow and
-silent upstreams) in the order of time; lines about single flows are counted only.
+Prints the log lines that are not about single flows (starts, views, the configuration service, slow
+and unresponsive upstreams) in the order of time. Lines about single flows are only counted.
 ";
 
-/// Whether a command line asks for logs.
+/// Whether a command line has the option `--logs`.
 pub(crate) fn is_requested(parser: &lexopt::Parser) -> bool {
     let mut rest = parser.clone();
     let Ok(mut arguments) = rest.raw_args() else { return false };
@@ -48,13 +48,12 @@
 /// Runs `explain --logs`.
 pub(crate) fn explain(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
     let Some((files, Some(id))) = arguments(parser)? else {
-        return Err(Failure::usage("give an id and at least one file"));
+        return Err(Failure::usage("give an id and at least one file with --logs"));
     };
     let lines = read(&files)?;
     let found = walk::lines_of_request(&lines, &id);
     if found.is_empty() {
-        let text =
-            format!("no line names {id}; lines over the bound are left out, see `suppressed`");
+        let text = format!("no line names {id}; rate-limited lines are missing, see `suppressed`");
         return Err(Failure::new(codes::NOT_FOUND, Exit::Findings, text));
     }
     for line in found {
@@ -66,7 +65,7 @@
 /// Runs `timeline --logs`.
 pub(crate) fn timeline(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
     let Some((files, _)) = arguments(parser)? else {
-        return Err(Failure::usage("give at least one file"));
+        return Err(Failure::usage("give at least one file with --logs"));
     };
     let lines = read(&files)?;
     for line in walk::lines_of_processes(&lines) {
--- a/crates/goosectl/src/commands/logs/parse.rs
+++ b/crates/goosectl/src/commands/logs/parse.rs
@@ -1,24 +1,22 @@
-//! One log line.
+//! Parses and prints one log line.
 
 use serde::Deserialize;
 use telemetry::flowline::FlowLine;
 
-/// A line as a process wrote it.
+/// A line that a process logged.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(super) struct Line {
-    /// Time of day at the instance.
+    /// Time by the instance's clock.
     pub(super) timestamp: String,
-    /// Severity.
     #[serde(default)]
     pub(super) level: String,
-    /// Text.
     #[serde(default)]
     pub(super) message: String,
     #[serde(default)]
     kvs: serde_json::Value,
     #[serde(default)]
     diags: Diagnostics,
-    /// The decision, if the line is about a flow.
+    /// The decoded `kvs`, if the line is about a flow.
     #[serde(skip)]
     pub(super) flow: Option<FlowLine>,
 }
@@ -29,7 +27,8 @@
     instance: String,
 }
 
-/// Reads a line; text before the first brace is passed over. `None` if it is none of ours.
+/// Parses a line; text before the first brace is ignored. `None` if the line is not a log line of
+/// our processes.
 pub(super) fn line(text: &str) -> Option<Line> {
     let json = &text[text.find('{')?..];
     let mut line: Line = serde_json::from_str(json).ok()?;
@@ -40,12 +39,11 @@
 }
 
 impl Line {
-    /// Name of the instance.
     pub(super) fn instance(&self) -> &str {
         &self.diags.instance
     }
 
-    /// The line for people.
+    /// The line in human-readable form.
     pub(super) fn text(&self) -> String {
         let head = format!("{}  {:5} {:16}", self.timestamp, self.level, self.instance());
         let Some(flow) = &self.flow else {
--- a/crates/goosectl/src/commands/logs/walk.rs
+++ b/crates/goosectl/src/commands/logs/walk.rs
@@ -1,9 +1,9 @@
-//! Which lines belong together, and in which order.
+//! Sorts, selects and counts log lines.
 
 use super::parse::Line;
 
-/// Sorts lines by time. Lines of one process keep their order, also if its time of day jumps back
-/// between two of them: within an instance, order in the file is order in time.
+/// Sorts lines by time. Lines of one instance keep their order in the file even if its clock was
+/// set back between two of them.
 pub(super) fn sort(lines: &mut [Line]) {
     let mut latest: Vec<(String, String)> = Vec::new();
     let mut keys = Vec::with_capacity(lines.len());
@@ -24,8 +24,9 @@
     lines.clone_from_slice(&sorted);
 }
 
-/// The lines about a request or about a caller's flow. A request's id leads to its flows, and these
-/// to all lines about them.
+/// The lines about a request or a caller's flow. `id` is the id of a request or the address of a
+/// caller. It selects flows, and all lines about these flows are returned, also those that do not
+/// state the request.
 pub(super) fn lines_of_request<'a>(lines: &'a [Line], id: &str) -> Vec<&'a Line> {
     let flows = || lines.iter().filter_map(|line| line.flow.as_ref());
     let named = flows().filter(|flow| flow.request == id || flow.caller == id);
@@ -36,12 +37,12 @@
     lines.iter().filter(is_related).collect()
 }
 
-/// The lines of processes about themselves.
+/// The lines that are not about a flow.
 pub(super) fn lines_of_processes(lines: &[Line]) -> impl Iterator<Item = &Line> {
     lines.iter().filter(|line| line.flow.is_none())
 }
 
-/// How many lines there are about flows, by event; those left out count.
+/// Number of lines about flows by event, including the suppressed ones.
 pub(super) fn count_flow_events(lines: &[Line]) -> Vec<(String, u64)> {
     let mut counts: Vec<(String, u64)> = Vec::new();
     for flow in lines.iter().filter_map(|line| line.flow.as_ref()) {
--- a/crates/goosectl/src/commands/settings/lag.rs
+++ b/crates/goosectl/src/commands/settings/lag.rs
@@ -1,18 +1,18 @@
-//! Who runs which version, and who lags.
+//! Finds which instance has which version in force, and which instances lag.
 
 use shell::settings_sync::instances::Kind;
 
 use crate::fleet::{Answer, Event, Status};
 
-/// Kind of the events that tell when an instance took a version.
+/// Kind of the events that record when an instance accepted a version.
 const ACCEPTED: &str = "settings_accepted";
 
-/// One account's settings on one instance.
+/// The version of an account's settings that an instance has in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct InstalledVersion {
     pub(super) instance: String,
     pub(super) account: String,
-    /// `None` if the instance should have settings of the account and has none.
+    /// `None` if the instance should have settings of the account but has none.
     pub(super) version: Option<u64>,
 }
 
@@ -21,11 +21,13 @@
 pub(super) struct Row {
     pub(super) installed: InstalledVersion,
     pub(super) lags: bool,
-    /// When some instance took a newer version, in milliseconds since 1970.
+    /// When the first instance accepted a newer version, in milliseconds since 1970. `None` if this
+    /// instance does not lag or no event states the time.
     pub(super) since_ms: Option<u64>,
 }
 
-/// Settings on all instances that answered: every account on a balancer, its own on an agent.
+/// Versions on all instances that answered. A balancer should have the settings of every account,
+/// an agent those of its own.
 pub(super) fn installed(answers: &[Answer<Status>]) -> Vec<InstalledVersion> {
     let answered = || answers.iter().filter_map(|a| Some((a, a.result.as_ref().ok()?)));
     let mut accounts: Vec<&str> = answered()
@@ -52,7 +54,8 @@
     answered().flat_map(of_instance).collect()
 }
 
-/// Newest version of each account on any instance or at the platform, sorted by account.
+/// The newest version of each account, on any instance or published by the platform, sorted by
+/// account.
 pub(super) fn newest(
     installed: &[InstalledVersion],
     published: &[(String, u64)],
@@ -64,7 +67,7 @@
     versions
 }
 
-/// Whether a newer version exists.
+/// Whether a newer version than the installed one exists.
 pub(super) fn is_behind(installed: &InstalledVersion, newest: &[(String, u64)]) -> bool {
     let found = newest.iter().find(|(account, _)| *account == installed.account);
     found.is_some_and(|(_, version)| installed.version.is_none_or(|own| own < *version))
@@ -89,7 +92,7 @@
     rows
 }
 
-/// When the first instance took a version newer than the one installed.
+/// When the first instance accepted a version newer than the installed one.
 fn since(installed: &InstalledVersion, events: &[Event]) -> Option<u64> {
     let newer = |event: &&Event| {
         let version = event.fields.get("version").and_then(serde_json::Value::as_u64);
--- a/crates/goosectl/src/commands/settings/mod.rs
+++ b/crates/goosectl/src/commands/settings/mod.rs
@@ -1,4 +1,4 @@
-//! `goosectl settings`: which versions are in force, and who lags.
+//! `goosectl settings`: shows which versions are in force and which instances lag.
 
 mod lag;
 mod report;
@@ -19,7 +19,7 @@
 /// Entry in the command table.
 pub(crate) const COMMAND: Command = Command {
     name: "settings",
-    summary: "show the settings in force on each instance, and who lags",
+    summary: "show the settings in force on each instance, and which instances lag",
     example: "goosectl settings --platform 127.1.0.1:8000 --account cascadia",
     run,
 };
@@ -29,12 +29,12 @@
 
 Shows the version of each account's settings that each instance has in force. An instance lags if
 another one, or the platform with --published, has a newer version. SINCE is when the first instance
-took a newer version, if the instances' time lines still tell.
+accepted a newer version; it is unknown once the instances' time lines have dropped that event.
 
 Options:
-  --account NAME     only this account
-  --published        compare with what the platform publishes: one read for each account, which
-                     counts against the read budget
+  --account NAME     show only this account
+  --published        also compare with the versions that the platform publishes; this takes one
+                     read for each account, which counts against the read budget
 ";
 
 const EXAMPLES: &str = "
@@ -42,8 +42,8 @@
   goosectl settings --platform 127.1.0.1:8000
   goosectl settings --settings /etc/gooseberrysill/balancer.yaml --account cascadia --published
 
-Exit codes: 0 nobody lags, 1 some lag or are silent, 2 wrong command line, 3 unreadable file,
-4 no instance answers.
+Exit codes: 0 no instance lags; 1 some lag or do not answer; 2 invalid command line; 3 unreadable
+file; 4 no instance answers.
 ";
 
 fn run(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
@@ -85,7 +85,7 @@
     Ok(report.exit())
 }
 
-/// Versions that the platform publishes; what it does not answer becomes a note.
+/// Reads the versions that the platform publishes. A failed read adds a note.
 fn published_versions(fleet: &mut Fleet, installed: &[InstalledVersion]) -> Vec<(String, u64)> {
     let mut accounts: Vec<&String> = installed.iter().map(|entry| &entry.account).collect();
     accounts.sort_unstable();
--- a/crates/goosectl/src/commands/settings/report.rs
+++ b/crates/goosectl/src/commands/settings/report.rs
@@ -10,7 +10,7 @@
 use crate::fleet::{Answer, Status};
 use crate::output::{self, Table};
 
-/// Versions in force everywhere.
+/// The versions in force on all instances.
 pub(super) struct Report<'a> {
     pub(super) notes: &'a [String],
     pub(super) answers: &'a [Answer<Status>],
@@ -49,7 +49,7 @@
 }
 
 impl Report<'_> {
-    /// Whether something is wrong.
+    /// The exit code.
     pub(super) fn exit(&self) -> Exit {
         match (self.unresponsive().count(), self.lagging()) {
             (unresponsive, _) if unresponsive == self.answers.len() => Exit::Unreachable,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A table with a row for each account on each instance, and a summary.
+    /// Writes a table with a row for each account on each instance, and a summary.
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
         output::write_notes(out, self.notes)?;
         let mut table = Table::new(["ACCOUNT", "INSTANCE", "VERSION", "NEWEST", "STATE", "SINCE"]);
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// One JSON document.
+    /// Writes one JSON document.
     pub(super) fn json(&self, out: &mut dyn Write) -> io::Result<()> {
         let accounts = self.newest.iter();
         let accounts = accounts.map(|(account, newest)| AccountJson { account, newest: *newest });
--- a/crates/goosectl/src/commands/settings/tests.rs
+++ b/crates/goosectl/src/commands/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Who lags, and since when.
+//! Tests of which instances lag, and since when.
 
 use rstest::rstest;
 use serde_json::json;
@@ -11,7 +11,7 @@
     InstalledVersion { instance: instance.into(), account: account.into(), version }
 }
 
-/// `instance` took `version` of `account` at `at_ms`.
+/// `instance` accepted `version` of `account` at `at_ms`.
 fn accepted(instance: &str, account: &str, version: u64, at_ms: u64) -> Event {
     event("settings_accepted", instance, account, version, at_ms)
 }
