--- a/crates/goosectl/src/commands/timeline/arguments.rs
+++ b/crates/goosectl/src/commands/timeline/arguments.rs
@@ -9,7 +9,7 @@
 use crate::exit::Failure;
 use crate::fleet::{Options, parse_flow};
 
-/// Which events, from where, and how to show them.
+/// Which events to read, from where, and how to print them.
 #[derive(Debug, Default)]
 pub(super) struct Arguments {
     pub(super) options: Options,
@@ -20,7 +20,7 @@
 }
 
 impl Arguments {
-    /// Files alone need no instance.
+    /// Whether to query instances. With `--from` only if the command line selects some.
     pub(super) fn queries_instances(&self) -> bool {
         let options = &self.options;
         let named = options.platform.is_some()
@@ -30,7 +30,7 @@
     }
 }
 
-/// Reads the rest of the command line; `None` if help is asked for.
+/// Parses the rest of the command line; `None` if `--help` is given.
 pub(super) fn parse(parser: &mut lexopt::Parser) -> Result<Option<Arguments>, Failure> {
     let mut arguments = Arguments::default();
     while let Some(argument) = parser.next()? {
--- a/crates/goosectl/src/commands/timeline/causes.rs
+++ b/crates/goosectl/src/commands/timeline/causes.rs
@@ -1,38 +1,39 @@
-//! Causes that travel by packet.
+//! Corrects the order of causes and effects that are linked by a packet.
 //!
-//! Failure: a home assigns an opening and passes its packet on, which carries no clock, and notes
-//! the assignment after it has sent the packet. Symptom: in one lab run 6 of 1060 admissions were
-//! listed before the assignments that had led to them. The opening's flow and nonce tell the pair,
-//! so the admission is moved behind the assignment, and with it what its process did next.
+//! A home that assigns an opening forwards its packet, which carries no clock, and records the
+//! assignment after it has sent the packet. Sorting by timestamp alone may therefore list the
+//! admission before the assignment that led to it, as it did for 6 of 1060 admissions in one lab
+//! run. The two events are matched by the opening's flow and nonce. The admission is moved behind
+//! the assignment, together with the later events of its process.
 
 use std::collections::VecDeque;
 
 use crate::fleet::Event;
 
-/// An admission waits for no assignment noted later than this after it. Agents hear one another's
-/// clocks at least this often in services of up to 21; a home that assigns a copy of an opening
-/// which had been admitted long before is no cause of that.
+/// An assignment with a timestamp later than this after the admission is not its cause: the home
+/// has assigned a copy of an opening that had been admitted before. In services of up to 21 agents,
+/// the agents receive one another's clocks at least this often.
 const CLOCK_LAG_MS: u64 = 500;
 
-/// An instance whose events wait.
+/// Events of one instance that are held back.
 struct Deferred {
-    /// Index of the event that must come first.
+    /// Index of the event that must precede them.
     cause: usize,
-    /// Indices of the waiting events in the instance's order.
+    /// Indices of the events, in the instance's order.
     waiting: VecDeque<usize>,
 }
 
 /// State of one pass over the events.
 struct Reordering<'a> {
     events: &'a [Event],
-    /// By event: index of a later one that is its cause.
+    /// For each event, the index of its cause if that comes later in the list.
     causes: Vec<Option<usize>>,
     deferred: Vec<Deferred>,
     order: Vec<usize>,
 }
 
-/// Puts each admission behind the assignment that led to it. `events` are sorted by timestamp, and
-/// the order within each process stays as it is.
+/// Moves each admission behind the assignment that led to it. `events` must be sorted by timestamp;
+/// the order within each process does not change.
 pub(super) fn apply(events: Vec<Event>) -> Vec<Event> {
     let causes = late_causes(&events);
     if causes.iter().all(Option::is_none) {
@@ -47,7 +48,8 @@
     order.into_iter().filter_map(|index| events[index].take()).collect()
 }
 
-/// For each admission the index of its assignment, if that comes later in the list.
+/// For each event that is an admission, the index of its assignment if that comes later in the
+/// list.
 fn late_causes(events: &[Event]) -> Vec<Option<usize>> {
     let key = |event: &Event| (event.account.clone(), event.field("flow"), event.field("nonce"));
     let of_kind =
@@ -71,7 +73,7 @@
 }
 
 impl Reordering<'_> {
-    /// Takes the next event of its process: out, or to wait.
+    /// Emits the next event of an instance, or defers it.
     fn visit(&mut self, index: usize) {
         let instance = &self.events[index].instance;
         let same_instance = |deferred: &&mut Deferred| {
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Lets out what waits in a circle, which clocks that jump may make of two pairs.
+    /// Emits the events that wait for each other in a cycle. Two pairs of events can form a cycle
+    /// if clocks jump.
     fn flush(&mut self) {
         let deferred = std::mem::take(&mut self.deferred);
         let mut remaining: Vec<usize> =
--- a/crates/goosectl/src/commands/timeline/files.rs
+++ b/crates/goosectl/src/commands/timeline/files.rs
@@ -1,4 +1,4 @@
-//! Time lines that were kept in a folder.
+//! Reads time lines that were saved in a folder.
 
 use std::fmt::Display;
 use std::fs;
@@ -13,7 +13,7 @@
 
 const SUFFIX: &str = ".timeline.json";
 
-/// Reads the time lines of a folder, and names from the agents' settings beside them.
+/// Reads the time lines in a folder, and the names of upstreams from the agents' settings in it.
 ///
 /// Errors: [`codes::FILE_UNREADABLE`] if the folder has no time line or one cannot be decoded.
 pub(super) fn read(folder: &Path) -> Result<(Vec<Vec<Event>>, Names), Failure> {
@@ -24,7 +24,7 @@
             let text = fs::read_to_string(&path).map_err(|error| unreadable(&path, &error))?;
             lists.push(serde_json::from_str(&text).map_err(|error| unreadable(&path, &error))?);
         } else if name.ends_with(".yaml") {
-            // Files that are no agent's settings tell no names.
+            // Files other than agents' settings contain no names and are skipped.
             let served = fs::read_to_string(&path).ok().as_deref().and_then(served_upstream);
             served.iter().for_each(|served| names.add(served));
         }
--- a/crates/goosectl/src/commands/timeline/html.rs
+++ b/crates/goosectl/src/commands/timeline/html.rs
@@ -1,4 +1,5 @@
-//! A page that needs nothing but itself: picture, legend and lines; no script, no other file.
+//! Self-contained HTML page with a picture, a legend and the events as text. It has no script and
+//! loads no other file.
 
 use std::fmt::Write as _;
 
@@ -8,7 +9,7 @@
 use crate::fleet::Event;
 use crate::output::date_time;
 
-/// Events on one page; a browser gets slow beyond. The latest ones are shown.
+/// The most events on one page; the latest ones are shown. Browsers get slow with more.
 const EVENTS_MAX: usize = 20_000;
 
 const STYLE: &str = "\
@@ -43,7 +44,8 @@
     page
 }
 
-/// The boxes of the legend hide kinds by style alone.
+/// The start of the page. Its style rules hide a kind whose check box in the legend is not checked,
+/// so that no script is needed.
 fn head(kinds: &[&str]) -> String {
     let mut page = format!(
         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
@@ -65,7 +67,7 @@
     if left_out > 0 {
         let _ = write!(summary, " {left_out} earlier ones are left out; filter or use --json.");
     }
-    summary.push_str(" Point at a dot to read it; untick a kind to hide it.");
+    summary.push_str(" Point at a dot to read its event; clear the box of a kind to hide it.");
     summary
 }
 
--- a/crates/goosectl/src/commands/timeline/mod.rs
+++ b/crates/goosectl/src/commands/timeline/mod.rs
@@ -1,4 +1,4 @@
-//! `goosectl timeline`: the events of all processes in causal order.
+//! `goosectl timeline`: shows the events of all processes in causal order.
 
 mod arguments;
 mod causes;
@@ -36,19 +36,20 @@
                          [--html FILE] [--from DIR] [OPTIONS]
 
 Merges the events of all instances in causal order. The agents of a service put a hybrid logical
-clock on their messages, so an effect never comes before its cause, whatever their machines' clocks
-say; an assignment comes before the admission that it led to. Between balancers, and between
-services, the order is that of the machines' clocks. Each instance keeps its latest events only (a
-balancer 4096, an agent 16384), and none of an earlier life.
+clock on their messages, so an effect never comes before its cause, even if their machines' clocks
+differ; an assignment comes before the admission that it led to. Between balancers, and between
+services, the order is that of the machines' clocks. Each instance keeps only its latest events (a
+balancer 4096, an agent 16384), and none from before its last restart.
 
 Options:
   --flow ID          only events of this flow (16 hexadecimal digits, see `goosectl explain`)
   --account NAME     only events that concern this account
   --kind KIND        only events of this kind; may be repeated
-  --last SECONDS     only events of so many seconds before now, or before the latest one in files
-  --html FILE        write a self-contained page with a picture to FILE instead of lines
-  --from DIR         read the files *.timeline.json in DIR, as `cargo xtask lab --out DIR` keeps
-                     them; no instance is asked unless one is named
+  --last SECONDS     only events of the last SECONDS seconds, counted back from now, or from the
+                     latest event with --from
+  --html FILE        write a self-contained HTML page with a picture to FILE instead of lines
+  --from DIR         read the files *.timeline.json in DIR, as `cargo xtask lab --out DIR` writes
+                     them; query instances only if --platform, --settings or --instance is given
 ";
 
 const EXAMPLES: &str = "
@@ -57,11 +58,11 @@
   goosectl timeline --settings /etc/gooseberrysill/balancer.yaml --flow 0123456789abcdef
   goosectl timeline --from /tmp/lab --kind settings_accepted --kind view_installed --html t.html
 
-Exit codes: 0 done, 1 some instances are silent, 2 wrong command line, 3 a file cannot be read or
-written, 4 no instance answers.
+Exit codes: 0 done; 1 some instances do not answer; 2 invalid command line; 3 a file cannot be read
+or written; 4 no instance answers.
 ";
 
-/// What was gathered.
+/// The events read, and what is needed to print them.
 struct Gathered {
     events: Vec<Event>,
     names: Names,
@@ -130,7 +131,7 @@
     let answers = fleet.ask::<Vec<Event>>(|_| Some(path.clone()));
     gathered.names.add_listed(&fleet.targets);
     gathered.notes.extend(fleet.notes);
-    let asked = answers.len();
+    let queried_count = answers.len();
     let mut lists = vec![std::mem::take(&mut gathered.events)];
     for answer in answers {
         match answer.result {
@@ -142,8 +143,8 @@
         }
     }
     gathered.events = merge::merge(lists);
-    if gathered.unresponsive_count == asked && gathered.events.is_empty() {
-        let text = format!("none of {asked} instance(s) answers");
+    if gathered.unresponsive_count == queried_count && gathered.events.is_empty() {
+        let text = format!("none of {queried_count} instance(s) answers");
         return Err(Failure::new(INSTANCE_UNREACHABLE, Exit::Unreachable, text));
     }
     Ok(())
--- a/crates/goosectl/src/commands/timeline/names.rs
+++ b/crates/goosectl/src/commands/timeline/names.rs
@@ -1,4 +1,4 @@
-//! Names for the ids of upstreams in events.
+//! Translates the ids of upstreams in events to names.
 
 use decision::keys::UpstreamId;
 
@@ -7,19 +7,19 @@
 /// Fields that hold the id of an upstream.
 const UPSTREAM_FIELDS: [&str; 2] = ["to", "peer"];
 
-/// Names by id, sorted by id.
+/// Pairs of id and name, sorted by id.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Names {
     names: Vec<(String, String)>,
 }
 
 impl Names {
-    /// Takes in the agents of the platform's list.
+    /// Adds the upstreams of the agents on the platform's list.
     pub(super) fn add_listed(&mut self, targets: &[Target]) {
         targets.iter().filter_map(Target::served_upstream).for_each(|served| self.add(served));
     }
 
-    /// Takes in one upstream.
+    /// Adds one upstream.
     pub(super) fn add(&mut self, served: &ServedUpstream) {
         let id = UpstreamId::of(&served.account, &served.service, &served.upstream);
         let id = format!("{:016x}", id.0);
@@ -28,7 +28,8 @@
         }
     }
 
-    /// A field's value for people: an upstream's name if the field is an id and the name is known.
+    /// The value of a field as it is printed: the upstream's name if the field is an upstream's id
+    /// and its name is known, else the value itself.
     pub(super) fn show(&self, field: &str, value: String) -> String {
         if !UPSTREAM_FIELDS.contains(&field) {
             return value;
--- a/crates/goosectl/src/commands/timeline/svg.rs
+++ b/crates/goosectl/src/commands/timeline/svg.rs
@@ -1,4 +1,5 @@
-//! The picture: a lane for each instance, a dot for each event, time from left to right.
+//! Draws events as a picture: a lane for each instance, a dot for each event, time from left to
+//! right.
 
 use std::fmt::Write as _;
 
@@ -7,7 +8,7 @@
 use crate::fleet::Event;
 use crate::output::clock_time;
 
-/// Width of the names at the left, in pixels.
+/// Width of the instance names at the left.
 const LABEL_PX: u64 = 180;
 /// Width of the lanes.
 const LANES_PX: u64 = 1_400;
@@ -15,14 +16,14 @@
 /// Height of the time axis.
 const AXIS_PX: usize = 24;
 const DOT_PX: u64 = 4;
-/// Distances between two ticks that people can read, in milliseconds.
+/// Round distances between two ticks of the time axis.
 const TICK_STEPS_MS: [u64; 16] =
     [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 30_000, 60_000, 300_000];
 const TICKS_MAX: u64 = 12;
-/// Lines from an assignment to its admission; more would cover the dots.
+/// The most lines from assignments to admissions; more would cover the dots.
 const LINKS_MAX: usize = 1_000;
 
-/// Colours of the known kinds.
+/// Colours of the known kinds, sorted by kind.
 const COLOURS: [(&str, &str); 13] = [
     ("admitted", "#2a9d4a"),
     ("adopted", "#b5179e"),
@@ -40,7 +41,7 @@
 ];
 const OTHER_COLOUR: &str = "#000000";
 
-/// Where things are in the picture.
+/// Translates events to positions in the picture.
 struct Layout<'a> {
     lanes: Vec<&'a str>,
     kinds: &'a [&'a str],
@@ -54,8 +55,8 @@
     found.map_or(OTHER_COLOUR, |index| COLOURS[index].1)
 }
 
-/// The picture of `events`, which are sorted by time. Dots have the class `kN` with the index of
-/// their kind in `kinds`.
+/// Draws `events`, which must be sorted by time. Each dot has the class `kN`, where N is the index
+/// of its kind in `kinds`.
 pub(super) fn draw(events: &[Event], kinds: &[&str], names: &Names) -> String {
     let layout = Layout::new(events, kinds);
     let height = AXIS_PX + layout.lanes.len() * LANE_PX;
@@ -72,7 +73,7 @@
     svg
 }
 
-/// Text that HTML and SVG take for nothing but text.
+/// Escapes the characters that have a meaning in HTML and SVG.
 pub(super) fn escape(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for character in text.chars() {
@@ -111,7 +112,8 @@
         self.kinds.binary_search(&&*event.kind).unwrap_or(0)
     }
 
-    /// Kinds of one lane stand a little apart, so that one does not hide another.
+    /// The position of an event's dot. Different kinds are shifted vertically, so that dots of the
+    /// same time do not hide each other.
     fn position(&self, event: &Event) -> (u64, usize) {
         let y = self.y(&event.instance) + self.kind(event) % 5 * 3;
         (self.x(event.wall_ms()), y - 6)
@@ -142,7 +144,7 @@
     }
 }
 
-/// A line from each assigned opening to the event that its holder took it.
+/// Draws a line from the assignment of each opening to its admission.
 fn links(svg: &mut String, layout: &Layout<'_>, events: &[Event]) {
     let key = |event: &Event| (event.field("flow"), event.field("nonce"));
     let mut admitted: Vec<_> = events
--- a/crates/goosectl/src/commands/timeline/tests.rs
+++ b/crates/goosectl/src/commands/timeline/tests.rs
@@ -1,4 +1,4 @@
-//! Order, choice and looks of events.
+//! Tests of the merging, filtering and printing of events.
 
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -36,8 +36,8 @@
     assert_eq!(found, expected);
 }
 
-/// The clock of `b` is five seconds behind. `a` assigns an opening, `b` admits it and says so, `a`
-/// notes that: by the wall clocks the admission would come first.
+/// The clock of `b` is five seconds behind. `a` assigns an opening, `b` admits it and reports that,
+/// and `a` records the report. By the wall clocks alone the admission would come first.
 #[test]
 fn merge_cause_before_effect() {
     let (a, b) = (Clock::default(), Clock::default());
@@ -57,7 +57,7 @@
     assert_eq!(kinds, ["assigned", "admitted", "recorded"]);
 }
 
-/// An event as `instance kind nonce`, at its millisecond.
+/// Builds an event from its time in milliseconds and the text `instance kind nonce`.
 fn brief((at_ms, text): (u64, &str)) -> Event {
     let words: Vec<&str> = text.split(' ').collect();
     event(at_ms << 16, words[0], words[1], json!({"flow": "01", "nonce": words[2]}))
@@ -127,7 +127,7 @@
     assert_eq!(svg::escape(text), expected);
 }
 
-/// An instance of a foreign account can put anything into its answers.
+/// Answers of instances, which may contain arbitrary text, must not add markup to the page.
 #[test]
 fn page_shows_text_as_text() {
     let attack = "</title><script>alert(1)</script>";
@@ -137,7 +137,7 @@
     assert_eq!(page.matches("</title>").count(), 2, "{page}");
 }
 
-/// The page loads nothing: no address, script or style from elsewhere.
+/// The page refers to no other resource and has no script.
 #[test]
 fn page_is_self_contained() {
     let events = [plain(1 << 16, "a"), plain(9 << 16, "b")];
@@ -154,7 +154,7 @@
     assert!(html::page(&[], &Names::default(), &[]).contains("No events."));
 }
 
-/// The dots are where their times are, and a line leads from an assignment to its admission only.
+/// Dots are placed by time, and a line links an assignment only to the admission of its opening.
 #[test]
 fn draw_places_and_links() {
     let opening = json!({"flow": "01", "nonce": 7});
--- a/crates/goosectl/src/commands/timeline/text.rs
+++ b/crates/goosectl/src/commands/timeline/text.rs
@@ -1,4 +1,4 @@
-//! One line for each event.
+//! Prints events as text, one line for each.
 
 use std::io::{self, Write};
 
@@ -6,10 +6,10 @@
 use crate::fleet::Event;
 use crate::output;
 
-/// Low bits of a timestamp: a counter within the millisecond.
+/// The low bits of a timestamp, which count events within one millisecond.
 const COUNTER_MASK: u64 = 0xffff;
 
-/// Writes the events and, before the first one of each day, its date.
+/// Writes the events and, before the first one of each day, the date.
 pub(super) fn lines(out: &mut dyn Write, events: &[Event], names: &Names) -> io::Result<()> {
     let width = events.iter().map(|event| event.instance.len()).max().unwrap_or(0);
     let mut date = String::new();
@@ -24,7 +24,8 @@
     writeln!(out, "{} event(s)", events.len())
 }
 
-/// An event as a line: time with the counter of its millisecond, instance, account, kind, fields.
+/// An event as a line: time with the counter within the millisecond, instance, account, kind and
+/// fields.
 pub(super) fn line(event: &Event, names: &Names, width: usize) -> String {
     let (_, time) = split(event.wall_ms());
     let counter = event.hlc & COUNTER_MASK;
