--- a/crates/goosectl/tests/check.rs
+++ b/crates/goosectl/tests/check.rs
@@ -1,4 +1,4 @@
-//! `goosectl check` from command line to output and exit code.
+//! Tests of `goosectl check`, from command line to output and exit code.
 
 use std::path::PathBuf;
 
@@ -19,7 +19,7 @@
          control_address: "127.20.1.1:9080", address: "127.30.1.1:6080", state: active, since: 1}
 "#;
 
-/// A folder of the test's own, removed at the end.
+/// A folder used by one test only and removed at its end.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -36,7 +36,8 @@
         Self(path)
     }
 
-    /// Runs a line in which `@` stands for the folder; gives exit, output and messages.
+    /// Runs a command line in which `@` stands for the folder. Returns the exit code, the output
+    /// and the error messages.
     fn run(&self, line: &str) -> (Exit, String, String) {
         let folder = format!("{}/", self.0.display());
         let arguments = line.split_whitespace().map(|word| word.replace('@', &folder).into());
@@ -49,7 +50,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // A folder that stays behind in target/ harms nobody.
+        // A folder left behind in target/ does no harm.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
--- a/crates/goosectl/tests/common/mod.rs
+++ b/crates/goosectl/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Small servers with fixed or computed answers, and running a command line.
+//! Shared by the tests: HTTP servers with fixed or computed answers, and functions that run a
+//! command line.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,7 +11,7 @@
 pub(crate) const ROOT: &str =
     "version: 3\naccounts: [{name: cascadia, prefixes: [203.0.113.0/28]}]\n";
 
-/// What a server answers on a path.
+/// The answer of a server for one path.
 pub(crate) enum Body {
     Fixed(String),
     Computed(Arc<dyn Fn() -> String + Send + Sync>),
@@ -18,7 +19,7 @@
 
 pub(crate) type Answers = Vec<(&'static str, Body)>;
 
-/// How a command line ended.
+/// The exit code and the output of a command line.
 pub(crate) struct Output {
     pub(crate) exit: Exit,
     pub(crate) out: String,
@@ -52,7 +53,7 @@
     }
 }
 
-/// Serves answers on a free port of the loopback; other paths are not found.
+/// Serves answers on a free port of the loopback interface; other paths get status 404.
 pub(crate) fn serve(answers: Answers) -> SocketAddr {
     let routes = answers.into_iter().fold(Routes::default(), |routes, (path, body)| {
         routes.get(path, move |_| Reply::text(body.text()))
@@ -60,7 +61,7 @@
     shell::http::start("127.0.0.1:0".parse().unwrap(), routes).unwrap()
 }
 
-/// An address at which nobody listens.
+/// An address at which no process listens.
 pub(crate) fn unused_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
@@ -75,14 +76,15 @@
     Output { exit, out: text(out), err: text(err) }
 }
 
-/// A folder of the test's own.
+/// Creates a folder for one test.
 pub(crate) fn folder(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).unwrap();
     folder
 }
 
-/// Settings of a balancer with this platform and one peer.
+/// Writes the settings file of a balancer with this platform address, and with `peer` as its own
+/// control address.
 pub(crate) fn balancer_file(name: &str, platform: SocketAddr, peer: SocketAddr) -> PathBuf {
     let yaml = format!(
         "instance: bal-2\nzone: pnw-a\nregion: pnw\ndata_address: 127.0.0.1:6080\n\
@@ -97,7 +99,7 @@
     path
 }
 
-/// Version 9 of an account with one service of two upstreams.
+/// Version 9 of an account's subtree, with one service of two upstreams.
 pub(crate) fn subtree(shelf_1: SocketAddr, shelf_2: SocketAddr) -> String {
     let upstream = |number: u32, control: SocketAddr| {
         format!(
--- a/crates/goosectl/tests/fleet.rs
+++ b/crates/goosectl/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Commands that ask instances, against small servers that answer as daemons and the platform do.
+//! Tests of the commands that query instances, with small servers in place of the daemons and the
+//! platform.
 
 mod common;
 
@@ -12,7 +13,8 @@
 
 const LIST: &str = "/v1/instances";
 
-/// A platform that lists two agents of shelf and a balancer, with these answers of theirs.
+/// A platform that lists two agents of the service `shelf` and a balancer, and servers that give
+/// these instances' answers.
 struct Fleet {
     platform: std::net::SocketAddr,
     controls: [std::net::SocketAddr; 3],
@@ -39,7 +41,8 @@
         Self { platform, controls }
     }
 
-    /// Runs a line with `--platform`; addresses in the output become names.
+    /// Runs a command line with `--platform`, and replaces the control addresses in the output by
+    /// `<0>`, `<1>` and `<2>`.
     fn run(&self, line: &str) -> Output {
         let mut found = common::run(&format!("{line} --platform {}", self.platform));
         for (index, control) in self.controls.iter().enumerate() {
@@ -62,7 +65,7 @@
     vec![("/status", body.into()), ("/timeline", accepted.into())]
 }
 
-/// One agent ready, one without its endpoint, one balancer not ready.
+/// One agent that is ready, one that answers with status 404, and a balancer that is not ready.
 fn mixed() -> Fleet {
     let counters = r#"{"flows_open":3,"packets_received":9,"packets_delivered":5,"packets_passed_on":2,"tombstone":1,"overload":1}"#;
     let balancer = r#"{"packets_received_total":4,"packets_forwarded_total":3,"no_service":1}"#;
@@ -82,7 +85,7 @@
 E5004: 1 instance(s) do not answer
 ";
 
-/// The width of the column depends on the length of the address that stands for <1>.
+/// The lines without their padding, which depends on the length of the address replaced by `<1>`.
 fn without_padding(text: &str) -> Vec<String> {
     text.lines().map(|line| line.split_whitespace().collect::<Vec<_>>().join(" ")).collect()
 }
@@ -119,7 +122,7 @@
     assert_eq!(without_padding(&found.out), without_padding(SETTINGS));
 }
 
-/// Version 9 is published and nobody has it yet.
+/// Version 9 is published, and no instance has it in force yet.
 #[test]
 fn settings_compared_with_the_platform() {
     let found = mixed().run("settings --published --json").json();
@@ -205,8 +208,9 @@
     assert!(expected.iter().all(|line| text.contains(line)), "{text}");
 }
 
-/// The agent holds a flow at first. When it has ended the peer still gives it an opening, which the
-/// watch must see: only two quiet looks later it is drained.
+/// The agent holds a flow at the first poll. After the flow has ended, the peer assigns the agent
+/// an opening. The command must notice the opening and report the upstream as drained only at the
+/// third further poll without one.
 #[test]
 fn drain_watch_until_drained() {
     let polls = Arc::new(AtomicUsize::new(0));
@@ -271,7 +275,7 @@
     assert_eq!((found.exit, found.err), (exit, format!("goosectl: {err}\n")));
 }
 
-/// With the platform down the balancers of a process's settings file are asked.
+/// If the platform does not answer, the balancers in a process's settings file are queried.
 #[test]
 fn status_without_platform() {
     let balancer = serve(status("bal-1", "balancer", true, 7, "{}"));
@@ -313,7 +317,7 @@
     assert!(found.err.starts_with(&expected), "{}", found.err);
 }
 
-/// Every command tells its options, an example and its exit codes without asking anybody.
+/// The help of every command states its options, examples and exit codes, and needs no instance.
 #[rstest]
 #[case("check")]
 #[case("status")]
@@ -353,7 +357,8 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// Balancers that differ, or are silent, are a finding: some still send flows to a closed zone.
+/// Balancers that differ or do not answer are a finding: some may still send new flows to a closed
+/// availability zone.
 #[rstest]
 #[case::agree(Some(r#"["pnw-b"]"#), "pnw-b", Exit::Success)]
 #[case::differ(Some("[]"), "-", Exit::Findings)]
--- a/crates/goosectl/tests/logs.rs
+++ b/crates/goosectl/tests/logs.rs
@@ -1,11 +1,11 @@
-//! `goosectl explain --logs` and `goosectl timeline --logs`, from lines to output.
+//! Tests of `goosectl explain --logs` and `goosectl timeline --logs`, from log lines to output.
 
 use std::path::PathBuf;
 
 use goosectl::Exit;
 use rstest::rstest;
 
-/// Lines of three processes, as they come out of a collector: with a prefix, and not in order. The
+/// Lines of three processes as a log collector delivers them: with a prefix, and not sorted. The
 /// clock of `side-a` jumps back by an hour between its two lines.
 const LINES: &str = r#"
  34.7 edge-a {"timestamp":"2026-03-02T10:00:02.000Z","level":"INFO","message":"flow","kvs":{"code":2205,"event":"lost","caller":"100.64.0.7:4000","endpoint":"198.18.0.1:443","request":"ad6c","peer":"","revision":9,"elapsed_ms":700,"suppressed":0},"diags":{"instance":"edge-a"}}
@@ -33,8 +33,8 @@
         .collect()
 }
 
-/// The on-call engineer has the id of a failed request. It leads to the flow, and the flow to what
-/// other processes decided, although one of their clocks is wrong.
+/// The id of a failed request selects its flow, and the flow selects the lines of all processes
+/// about it, although the clock of one of them is wrong.
 #[rstest]
 #[case::by_request("ad6c", &["waited", "lost"])]
 #[case::by_caller("100.64.0.9:4000", &["placed"])]
