--- a/crates/goosectl/src/commands/drain_watch/look.rs
+++ b/crates/goosectl/src/commands/drain_watch/look.rs
@@ -35,7 +35,7 @@
     pub(super) fn find(mut fleet: Fleet, name: &str) -> Result<Self, Failure> {
         let not_found = |text: String| Failure::new(codes::NOT_FOUND, Exit::Usage, text);
         let is_match = |target: &&Target| {
-            target.served_upstream().is_some_and(|served| is_named(served, name))
+            target.served_upstream().is_some_and(|served| matches_name(served, name))
         };
         let found: Vec<Target> = fleet.targets.iter().filter(is_match).cloned().collect();
         let [watched] = &found[..] else {
@@ -133,7 +133,7 @@
     }
 }
 
-fn is_named(served: &ServedUpstream, name: &str) -> bool {
+fn matches_name(served: &ServedUpstream, name: &str) -> bool {
     let ServedUpstream { account, service, upstream } = served;
     let words: Vec<&str> = name.split('/').collect();
     let own = [account.as_str(), service, upstream];
--- a/crates/goosectl/src/commands/drain_watch/mod.rs
+++ b/crates/goosectl/src/commands/drain_watch/mod.rs
@@ -71,8 +71,8 @@
         show(out, &arguments, &sample, &verdict)?;
         match verdict {
             Verdict::Drained => return Ok(Exit::Success),
-            Verdict::Gone => return Err(gone(&arguments.upstream, progress.last_flows())),
-            Verdict::Unknown | Verdict::Holds | Verdict::NotYetQuiet => {}
+            Verdict::AgentGone => return Err(gone(&arguments.upstream, progress.last_flows())),
+            Verdict::AgentUnresponsive | Verdict::HoldsFlows | Verdict::NotYetQuiet => {}
         }
         if arguments.timeout.is_some_and(|timeout| started.elapsed() >= timeout) {
             let text = format!("{} is not drained in time: {verdict}", arguments.upstream);
--- a/crates/goosectl/src/commands/drain_watch/progress.rs
+++ b/crates/goosectl/src/commands/drain_watch/progress.rs
@@ -34,11 +34,11 @@
     /// It holds no flow and has got no opening for long enough.
     Drained,
     /// Its agent does not answer.
-    Unknown,
+    AgentUnresponsive,
     /// Its agent does not answer and is no longer listed; whether it was drained is not known.
-    Gone,
+    AgentGone,
     /// It holds flows.
-    Holds,
+    HoldsFlows,
     /// It holds no flow, but the required time without an opening has not passed yet.
     NotYetQuiet,
 }
@@ -74,13 +74,17 @@
     pub(super) fn update(&mut self, sample: &Sample) -> Verdict {
         let Ok(flows) = sample.flows else {
             self.quiet_samples = 0;
-            return if sample.is_unlisted { Verdict::Gone } else { Verdict::Unknown };
+            return if sample.is_unlisted {
+                Verdict::AgentGone
+            } else {
+                Verdict::AgentUnresponsive
+            };
         };
         self.last_flows = Some(flows);
         self.quiet_samples = if sample.openings == 0 { self.quiet_samples + 1 } else { 0 };
         let waits_for_closing = !self.ignore_closing && (flows.closing > 0 || !flows.is_complete);
         if flows.open > 0 || waits_for_closing {
-            return Verdict::Holds;
+            return Verdict::HoldsFlows;
         }
         match self.quiet_samples >= self.required_quiet_samples {
             true => Verdict::Drained,
@@ -93,9 +97,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Drained => "drained",
-            Self::Unknown => "its agent does not answer",
-            Self::Gone => "its agent has ended",
-            Self::Holds => "it holds flows",
+            Self::AgentUnresponsive => "its agent does not answer",
+            Self::AgentGone => "its agent has ended",
+            Self::HoldsFlows => "it holds flows",
             Self::NotYetQuiet => "it holds no flow; waiting whether it gets an opening",
         })
     }
--- a/crates/goosectl/src/commands/drain_watch/tests.rs
+++ b/crates/goosectl/src/commands/drain_watch/tests.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 
 use super::progress::{Flows, Progress, Sample, Verdict};
-use Verdict::{Drained, Gone, Holds, NotYetQuiet, Unknown};
+use Verdict::{AgentGone, AgentUnresponsive, Drained, HoldsFlows, NotYetQuiet};
 
 fn sample(open: usize, closing: usize, openings: usize) -> Sample {
     let flows = Ok(Flows { open, closing, is_complete: true });
@@ -27,21 +27,21 @@
 /// count.
 #[rstest]
 #[case::drained(false, vec![empty(), empty(), empty()], &[NotYetQuiet, NotYetQuiet, Drained])]
-#[case::no_openings_while_it_holds_flows(false, vec![sample(1, 0, 0), sample(1, 0, 0), empty()], &[Holds, Holds, Drained])]
+#[case::no_openings_while_it_holds_flows(false, vec![sample(1, 0, 0), sample(1, 0, 0), empty()], &[HoldsFlows, HoldsFlows, Drained])]
 #[case::opening_restarts_the_count(
     false,
     vec![empty(), empty(), sample(0, 0, 1), empty(), empty(), empty()],
     &[NotYetQuiet, NotYetQuiet, NotYetQuiet, NotYetQuiet, NotYetQuiet, Drained]
 )]
-#[case::closing_counts(false, vec![sample(0, 1, 0), sample(0, 1, 0), sample(0, 1, 0)], &[Holds, Holds, Holds])]
+#[case::closing_counts(false, vec![sample(0, 1, 0), sample(0, 1, 0), sample(0, 1, 0)], &[HoldsFlows, HoldsFlows, HoldsFlows])]
 #[case::closing_ignored(true, vec![sample(0, 1, 0), sample(0, 1, 0), sample(0, 1, 0)], &[NotYetQuiet, NotYetQuiet, Drained])]
-#[case::too_many_to_list(false, vec![truncated(), truncated(), truncated()], &[Holds, Holds, Holds])]
+#[case::too_many_to_list(false, vec![truncated(), truncated(), truncated()], &[HoldsFlows, HoldsFlows, HoldsFlows])]
 #[case::failed_poll_restarts_the_count(
     false,
     vec![empty(), empty(), unanswered(false), empty(), empty(), empty()],
-    &[NotYetQuiet, NotYetQuiet, Unknown, NotYetQuiet, NotYetQuiet, Drained]
+    &[NotYetQuiet, NotYetQuiet, AgentUnresponsive, NotYetQuiet, NotYetQuiet, Drained]
 )]
-#[case::ended(false, vec![sample(2, 0, 0), unanswered(false), unanswered(true)], &[Holds, Unknown, Gone])]
+#[case::ended(false, vec![sample(2, 0, 0), unanswered(false), unanswered(true)], &[HoldsFlows, AgentUnresponsive, AgentGone])]
 fn verdicts(
     #[case] ignore_closing: bool,
     #[case] samples: Vec<Sample>,
--- a/crates/goosectl/src/commands/settings/lag.rs
+++ b/crates/goosectl/src/commands/settings/lag.rs
@@ -36,10 +36,10 @@
     accounts.sort_unstable();
     accounts.dedup();
     let of_instance = |(answer, status): (&Answer<Status>, &Status)| -> Vec<InstalledVersion> {
-        let listed = answer.target.served_upstream().map(|served| served.account.as_str());
+        let own_account = answer.target.served_upstream().map(|served| served.account.as_str());
         let is_balancer = status.kind == "balancer" || answer.target.kind() == Some(Kind::Balancer);
-        let expected = |account: &str| is_balancer || listed == Some(account);
-        let one = |account: &&str| {
+        let expected = |account: &str| is_balancer || own_account == Some(account);
+        let version_of = |account: &&str| {
             let entry = status.settings.iter().find(|entry| entry.account == **account);
             let version = entry.map(|entry| entry.version);
             let installed = InstalledVersion {
@@ -49,7 +49,7 @@
             };
             (version.is_some() || expected(account)).then_some(installed)
         };
-        accounts.iter().filter_map(one).collect()
+        accounts.iter().filter_map(version_of).collect()
     };
     answered().flat_map(of_instance).collect()
 }
--- a/crates/goosectl/src/commands/timeline/svg.rs
+++ b/crates/goosectl/src/commands/timeline/svg.rs
@@ -121,8 +121,8 @@
 }
 
 fn axis(svg: &mut String, layout: &Layout<'_>, height: usize) {
-    let fits = |step: &&u64| layout.span_ms / **step <= TICKS_MAX;
-    let step = TICK_STEPS_MS.iter().find(fits).copied();
+    let is_coarse_enough = |step: &&u64| layout.span_ms / **step <= TICKS_MAX;
+    let step = TICK_STEPS_MS.iter().find(is_coarse_enough).copied();
     let step = step.unwrap_or(layout.span_ms.div_ceil(TICKS_MAX));
     let end_ms = layout.first_ms + layout.span_ms;
     let mut at_ms = layout.first_ms.next_multiple_of(step);
