--- a/crates/goosectl/src/commands/drain_watch/mod.rs
+++ b/crates/goosectl/src/commands/drain_watch/mod.rs
@@ -1,4 +1,4 @@
-//! `goosectl drain-watch`: waits until an upstream can be taken away.
+//! `goosectl drain-watch`: waits until an upstream can be removed.
 
 mod arguments;
 mod look;
@@ -18,7 +18,7 @@
 use crate::output;
 use arguments::Arguments;
 use look::Watched;
-use progress::{Flows, Look, Progress, Verdict};
+use progress::{Flows, Progress, Sample, Verdict};
 
 /// Entry in the command table.
 pub(crate) const COMMAND: Command = Command {
@@ -31,19 +31,19 @@
 const HELP: &str = "\
 Usage: goosectl drain-watch UPSTREAM [--timeout-s N] [--ignore-closing] [OPTIONS]
 
-Follows an upstream that is being drained until its agent holds no flow, neither it nor any other
-agent of the service has given it an opening for the time of --quiet-ms, and its agent has answered
-all the while. UPSTREAM is NAME, SERVICE/NAME or ACCOUNT/SERVICE/NAME, as in the platform's list.
-It only watches: the drain itself is begun by publishing `state: draining`.
+Watches an upstream that is being drained until its agent holds no flow and, for the time of
+--quiet-ms, has answered every request while the upstream got no opening, whether through its own
+agent or another one of the service. UPSTREAM is NAME, SERVICE/NAME or ACCOUNT/SERVICE/NAME, as in
+the platform's list. The command only watches: to begin the drain, publish `state: draining`.
 
 A flow whose caller has sent its FIN counts until the agent forgets it, ten minutes after its last
-packet: the answer may still be under way, and the agent does not see it leave.
+packet: the upstream may still be sending its answer, which the agent does not see.
 
 Options:
   --timeout-s N      give up after N seconds (default: never)
-  --ignore-closing   do not wait for flows whose callers have ended their half
-  --interval-ms N    time between two looks (default 500)
-  --quiet-ms N       time without an opening (default 3000)
+  --ignore-closing   do not wait for flows whose callers have sent their FIN
+  --interval-ms N    time between two polls in milliseconds (default 500)
+  --quiet-ms N       required time without an opening in milliseconds (default 3000)
 ";
 
 const EXAMPLES: &str = "
@@ -51,9 +51,9 @@
   goosectl drain-watch shelf-1 --platform 127.1.0.1:8000 --timeout-s 600
   goosectl drain-watch cascadia/shelf/shelf-1 --settings agent.yaml --ignore-closing --json
 
-Exit codes: 0 drained, 1 the agent has ended before it was seen drained, 2 wrong command line or no
-such upstream, 3 unreadable file, 4 the platform does not answer, 5 not drained in time. Ctrl-C ends
-it by the signal (130 in a shell).
+Exit codes: 0 drained; 1 the agent ended before it was seen drained; 2 invalid command line or no
+such upstream; 3 unreadable file; 4 the platform does not answer; 5 not drained in time. Ctrl-C ends
+the command by the signal (130 in a shell).
 ";
 
 fn run(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
@@ -64,15 +64,15 @@
     let fleet = Fleet::find(&arguments.options)?;
     let mut watched = Watched::find(fleet, &arguments.upstream)?;
     let started = Instant::now();
-    let mut progress = Progress::new(arguments.quiet_looks(), arguments.ignore_closing);
+    let mut progress = Progress::new(arguments.quiet_samples(), arguments.ignore_closing);
     loop {
-        let look = watched.look();
-        let verdict = progress.take(&look);
-        show(out, &arguments, &look, &verdict)?;
+        let sample = watched.poll();
+        let verdict = progress.update(&sample);
+        show(out, &arguments, &sample, &verdict)?;
         match verdict {
             Verdict::Drained => return Ok(Exit::Success),
-            Verdict::Gone => return Err(gone(&arguments.upstream, progress.last_flows())),
-            Verdict::Unknown | Verdict::Holds | Verdict::NotYetQuiet => {}
+            Verdict::AgentGone => return Err(gone(&arguments.upstream, progress.last_flows())),
+            Verdict::AgentUnresponsive | Verdict::HoldsFlows | Verdict::NotYetQuiet => {}
         }
         if arguments.timeout.is_some_and(|timeout| started.elapsed() >= timeout) {
             let text = format!("{} is not drained in time: {verdict}", arguments.upstream);
@@ -83,23 +83,24 @@
 }
 
 fn gone(upstream: &str, last: Option<Flows>) -> Failure {
-    let held = last.map_or("never heard".to_owned(), |flows| {
+    let held = last.map_or("and never answered".to_owned(), |flows| {
         format!("last seen with {} open and {} closing flow(s)", flows.open, flows.closing)
     });
     let text = format!("the agent of {upstream} has ended, {held}");
     Failure::new(codes::INSTANCE_UNREACHABLE, Exit::Findings, text)
 }
 
-/// One line for each look, written at once: somebody watches.
+/// Writes one line or JSON document for a sample, and flushes it so that a watching operator sees
+/// it immediately.
 fn show(
     out: &mut dyn Write,
     arguments: &Arguments,
-    look: &Look,
+    sample: &Sample,
     verdict: &Verdict,
 ) -> Result<(), Failure> {
     match arguments.options.is_json {
-        true => output::write_json(out, &progress::json(look, verdict))?,
-        false => writeln!(out, "{}", progress::line(look, verdict))?,
+        true => output::write_json(out, &progress::json(sample, verdict))?,
+        false => writeln!(out, "{}", progress::line(sample, verdict))?,
     }
     out.flush()?;
     Ok(())
--- a/crates/goosectl/src/commands/timeline/causes.rs
+++ b/crates/goosectl/src/commands/timeline/causes.rs
@@ -1,52 +1,55 @@
-//! Causes that travel by packet.
+//! Corrects the order of causes and effects that are linked by a packet.
 //!
-//! Failure: a home assigns an opening and passes its packet on, which carries no clock, and notes
-//! the assignment after it has sent the packet. Symptom: in one lab run 6 of 1060 admissions were
-//! listed before the assignments that had led to them. The opening's flow and nonce tell the pair,
-//! so the admission is moved behind the assignment, and with it what its process did next.
+//! A home that assigns an opening forwards its packet, which carries no clock, and records the
+//! assignment after it has sent the packet. Sorting by timestamp alone may therefore list the
+//! admission before the assignment that led to it, as it did for 6 of 1060 admissions in one lab
+//! run. The two events are matched by the opening's flow and nonce. The admission is moved behind
+//! the assignment, together with the later events of its process.
 
 use std::collections::VecDeque;
 
 use crate::fleet::Event;
 
-/// An admission waits for no assignment noted later than this after it. Agents hear one another's
-/// clocks at least this often in services of up to 21; a home that assigns a copy of an opening
-/// which had been admitted long before is no cause of that.
+/// An assignment with a timestamp later than this after the admission is not its cause: the home
+/// has assigned a copy of an opening that had been admitted before. In services of up to 21 agents,
+/// the agents receive one another's clocks at least this often.
 const CLOCK_LAG_MS: u64 = 500;
 
-/// An instance whose events wait.
-struct Parked {
-    /// Index of the event that must come first.
+/// Events of one instance that are held back.
+struct Deferred {
+    /// Index of the event that must precede them.
     cause: usize,
-    /// Indices of the waiting events in the instance's order.
+    /// Indices of the events, in the instance's order.
     waiting: VecDeque<usize>,
 }
 
 /// State of one pass over the events.
-struct Pass<'a> {
+struct Reordering<'a> {
     events: &'a [Event],
-    /// By event: index of a later one that is its cause.
+    /// For each event, the index of its cause if that comes later in the list.
     causes: Vec<Option<usize>>,
-    parked: Vec<Parked>,
+    deferred: Vec<Deferred>,
     order: Vec<usize>,
 }
 
-/// Puts each admission behind the assignment that led to it. `events` are sorted by timestamp, and
-/// the order within each process stays as it is.
+/// Moves each admission behind the assignment that led to it. `events` must be sorted by timestamp;
+/// the order within each process does not change.
 pub(super) fn apply(events: Vec<Event>) -> Vec<Event> {
     let causes = late_causes(&events);
     if causes.iter().all(Option::is_none) {
         return events;
     }
-    let mut pass = Pass { events: &events, causes, parked: Vec::new(), order: Vec::new() };
-    (0..events.len()).for_each(|index| pass.arrive(index));
-    pass.flush();
-    let order = pass.order;
+    let mut reordering =
+        Reordering { events: &events, causes, deferred: Vec::new(), order: Vec::new() };
+    (0..events.len()).for_each(|index| reordering.visit(index));
+    reordering.flush();
+    let order = reordering.order;
     let mut events: Vec<Option<Event>> = events.into_iter().map(Some).collect();
     order.into_iter().filter_map(|index| events[index].take()).collect()
 }
 
-/// For each admission the index of its assignment, if that comes later in the list.
+/// For each event that is an admission, the index of its assignment if that comes later in the
+/// list.
 fn late_causes(events: &[Event]) -> Vec<Option<usize>> {
     let key = |event: &Event| (event.account.clone(), event.field("flow"), event.field("nonce"));
     let of_kind =
@@ -69,20 +72,20 @@
     causes
 }
 
-impl Pass<'_> {
-    /// Takes the next event of its process: out, or to wait.
-    fn arrive(&mut self, index: usize) {
+impl Reordering<'_> {
+    /// Emits the next event of an instance, or defers it.
+    fn visit(&mut self, index: usize) {
         let instance = &self.events[index].instance;
-        let own = |parked: &&mut Parked| {
-            parked.waiting.front().is_some_and(|first| self.events[*first].instance == *instance)
+        let same_instance = |deferred: &&mut Deferred| {
+            deferred.waiting.front().is_some_and(|first| self.events[*first].instance == *instance)
         };
-        if let Some(parked) = self.parked.iter_mut().find(own) {
-            parked.waiting.push_back(index);
+        if let Some(deferred) = self.deferred.iter_mut().find(same_instance) {
+            deferred.waiting.push_back(index);
             return;
         }
         match self.causes[index].take() {
             Some(cause) => {
-                self.parked.push(Parked { cause, waiting: VecDeque::from([index]) });
+                self.deferred.push(Deferred { cause, waiting: VecDeque::from([index]) });
             }
             None => self.emit(index),
         }
@@ -90,17 +93,20 @@
 
     fn emit(&mut self, index: usize) {
         self.order.push(index);
-        while let Some(place) = self.parked.iter().position(|parked| parked.cause == index) {
-            let released = self.parked.swap_remove(place);
-            released.waiting.into_iter().for_each(|waiting| self.arrive(waiting));
+        while let Some(position) = self.deferred.iter().position(|deferred| deferred.cause == index)
+        {
+            let released = self.deferred.swap_remove(position);
+            released.waiting.into_iter().for_each(|waiting| self.visit(waiting));
         }
     }
 
-    /// Lets out what waits in a circle, which clocks that jump may make of two pairs.
+    /// Emits the events that wait for each other in a cycle. Two pairs of events can form a cycle
+    /// if clocks jump.
     fn flush(&mut self) {
-        let parked = std::mem::take(&mut self.parked);
-        let mut left: Vec<usize> = parked.into_iter().flat_map(|parked| parked.waiting).collect();
-        left.sort_unstable();
-        self.order.append(&mut left);
+        let deferred = std::mem::take(&mut self.deferred);
+        let mut remaining: Vec<usize> =
+            deferred.into_iter().flat_map(|deferred| deferred.waiting).collect();
+        remaining.sort_unstable();
+        self.order.append(&mut remaining);
     }
 }
--- a/crates/goosectl/src/commands/timeline/mod.rs
+++ b/crates/goosectl/src/commands/timeline/mod.rs
@@ -1,4 +1,4 @@
-//! `goosectl timeline`: the events of all processes in causal order.
+//! `goosectl timeline`: shows the events of all processes in causal order.
 
 mod arguments;
 mod causes;
@@ -36,19 +36,20 @@
                          [--html FILE] [--from DIR] [OPTIONS]
 
 Merges the events of all instances in causal order. The agents of a service put a hybrid logical
-clock on their messages, so an effect never comes before its cause, whatever their machines' clocks
-say; an assignment comes before the admission that it led to. Between balancers, and between
-services, the order is that of the machines' clocks. Each instance keeps its latest events only (a
-balancer 4096, an agent 16384), and none of an earlier life.
+clock on their messages, so an effect never comes before its cause, even if their machines' clocks
+differ; an assignment comes before the admission that it led to. Between balancers, and between
+services, the order is that of the machines' clocks. Each instance keeps only its latest events (a
+balancer 4096, an agent 16384), and none from before its last restart.
 
 Options:
   --flow ID          only events of this flow (16 hexadecimal digits, see `goosectl explain`)
   --account NAME     only events that concern this account
   --kind KIND        only events of this kind; may be repeated
-  --last SECONDS     only events of so many seconds before now, or before the latest one in files
-  --html FILE        write a self-contained page with a picture to FILE instead of lines
-  --from DIR         read the files *.timeline.json in DIR, as `cargo xtask lab --out DIR` keeps
-                     them; no instance is asked unless one is named
+  --last SECONDS     only events of the last SECONDS seconds, counted back from now, or from the
+                     latest event with --from
+  --html FILE        write a self-contained HTML page with a picture to FILE instead of lines
+  --from DIR         read the files *.timeline.json in DIR, as `cargo xtask lab --out DIR` writes
+                     them; query instances only if --platform, --settings or --instance is given
 ";
 
 const EXAMPLES: &str = "
@@ -57,27 +58,27 @@
   goosectl timeline --settings /etc/gooseberrysill/balancer.yaml --flow 0123456789abcdef
   goosectl timeline --from /tmp/lab --kind settings_accepted --kind view_installed --html t.html
 
-Exit codes: 0 done, 1 some instances are silent, 2 wrong command line, 3 a file cannot be read or
-written, 4 no instance answers.
+Exit codes: 0 done; 1 some instances do not answer; 2 invalid command line; 3 a file cannot be read
+or written; 4 no instance answers.
 ";
 
-/// What was gathered.
+/// The events read, and what is needed to print them.
 struct Gathered {
     events: Vec<Event>,
     names: Names,
     notes: Vec<String>,
-    silent: usize,
+    unresponsive_count: usize,
 }
 
 fn run(parser: &mut lexopt::Parser, out: &mut dyn Write) -> Result<Exit, Failure> {
-    if logs::is_asked(parser) {
+    if logs::is_requested(parser) {
         return logs::timeline(parser, out);
     }
     let Some(arguments) = arguments::parse(parser)? else {
         write!(out, "{HELP}{OPTIONS_HELP}{}{EXAMPLES}", logs::TIMELINE_HELP)?;
         return Ok(Exit::Success);
     };
-    let Gathered { events, names, notes, silent } = gather(&arguments)?;
+    let Gathered { events, names, notes, unresponsive_count } = gather(&arguments)?;
     let events = merge::filtered(events, &arguments.filter);
     match (&arguments.html, arguments.options.is_json) {
         (Some(path), _) => {
@@ -97,7 +98,7 @@
             text::lines(out, &events, &names)?;
         }
     }
-    Ok(if silent > 0 { Exit::Findings } else { Exit::Success })
+    Ok(if unresponsive_count > 0 { Exit::Findings } else { Exit::Success })
 }
 
 fn gather(arguments: &Arguments) -> Result<Gathered, Failure> {
@@ -108,13 +109,16 @@
             let latest_ms = events.last().map_or(0, Event::wall_ms);
             let after = arguments.last_ms.map(|last_ms| latest_ms.saturating_sub(last_ms));
             let events = merge::later_than(events, after);
-            Gathered { events, names, notes: Vec::new(), silent: 0 }
-        }
-        None => {
-            Gathered { events: Vec::new(), names: Names::default(), notes: Vec::new(), silent: 0 }
+            Gathered { events, names, notes: Vec::new(), unresponsive_count: 0 }
         }
+        None => Gathered {
+            events: Vec::new(),
+            names: Names::default(),
+            notes: Vec::new(),
+            unresponsive_count: 0,
+        },
     };
-    if arguments.asks_instances() {
+    if arguments.queries_instances() {
         ask(arguments, &mut gathered)?;
     }
     Ok(gathered)
@@ -127,20 +131,20 @@
     let answers = fleet.ask::<Vec<Event>>(|_| Some(path.clone()));
     gathered.names.add_listed(&fleet.targets);
     gathered.notes.extend(fleet.notes);
-    let asked = answers.len();
+    let queried_count = answers.len();
     let mut lists = vec![std::mem::take(&mut gathered.events)];
     for answer in answers {
         match answer.result {
             Ok(events) => lists.push(events),
-            Err(silence) => {
-                gathered.notes.push(format!("{} is silent: {silence}", answer.target.name));
-                gathered.silent += 1;
+            Err(error) => {
+                gathered.notes.push(format!("{} is silent: {error}", answer.target.name));
+                gathered.unresponsive_count += 1;
             }
         }
     }
     gathered.events = merge::merge(lists);
-    if gathered.silent == asked && gathered.events.is_empty() {
-        let text = format!("none of {asked} instance(s) answers");
+    if gathered.unresponsive_count == queried_count && gathered.events.is_empty() {
+        let text = format!("none of {queried_count} instance(s) answers");
         return Err(Failure::new(INSTANCE_UNREACHABLE, Exit::Unreachable, text));
     }
     Ok(())
--- a/crates/goosectl/src/commands/timeline/tests.rs
+++ b/crates/goosectl/src/commands/timeline/tests.rs
@@ -1,4 +1,4 @@
-//! Order, choice and looks of events.
+//! Tests of the merging, filtering and printing of events.
 
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -23,21 +23,21 @@
 #[rstest]
 #[case::by_time(&[(1, "a"), (5, "a")], &[(3, "b")], &[(1, "a"), (3, "b"), (5, "a")])]
 #[case::ties_by_instance(&[(1, "b")], &[(1, "a")], &[(1, "a"), (1, "b")])]
-#[case::doubled(&[(1, "a"), (2, "a")], &[(2, "a")], &[(1, "a"), (2, "a")])]
+#[case::duplicate(&[(1, "a"), (2, "a")], &[(2, "a")], &[(1, "a"), (2, "a")])]
 #[case::none(&[], &[], &[])]
 fn merge_order(
-    #[case] one: &[(u64, &str)],
-    #[case] two: &[(u64, &str)],
+    #[case] first: &[(u64, &str)],
+    #[case] second: &[(u64, &str)],
     #[case] expected: &[(u64, &str)],
 ) {
     let list = |list: &[(u64, &str)]| list.iter().map(|(hlc, name)| plain(*hlc, name)).collect();
-    let merged = merge::merge(vec![list(one), list(two)]);
+    let merged = merge::merge(vec![list(first), list(second)]);
     let found: Vec<(u64, &str)> = merged.iter().map(|e| (e.hlc, &*e.instance)).collect();
     assert_eq!(found, expected);
 }
 
-/// The clock of `b` is five seconds behind. `a` assigns an opening, `b` admits it and says so, `a`
-/// notes that: by the wall clocks the admission would come first.
+/// The clock of `b` is five seconds behind. `a` assigns an opening, `b` admits it and reports that,
+/// and `a` records the report. By the wall clocks alone the admission would come first.
 #[test]
 fn merge_cause_before_effect() {
     let (a, b) = (Clock::default(), Clock::default());
@@ -45,19 +45,19 @@
     b.observe_at(assigned, 5_000);
     let admitted = b.now_at(5_001);
     a.observe_at(admitted, 10_001);
-    let noted = a.now_at(10_002);
+    let recorded = a.now_at(10_002);
     let lists = vec![
         vec![event(admitted.0, "b", "admitted", json!({}))],
         vec![
             event(assigned.0, "a", "assigned", json!({})),
-            event(noted.0, "a", "noted", json!({})),
+            event(recorded.0, "a", "recorded", json!({})),
         ],
     ];
     let kinds: Vec<String> = merge::merge(lists).into_iter().map(|event| event.kind).collect();
-    assert_eq!(kinds, ["assigned", "admitted", "noted"]);
+    assert_eq!(kinds, ["assigned", "admitted", "recorded"]);
 }
 
-/// An event as `instance kind nonce`, at its millisecond.
+/// Builds an event from its time in milliseconds and the text `instance kind nonce`.
 fn brief((at_ms, text): (u64, &str)) -> Event {
     let words: Vec<&str> = text.split(' ').collect();
     event(at_ms << 16, words[0], words[1], json!({"flow": "01", "nonce": words[2]}))
@@ -65,7 +65,7 @@
 
 #[rstest]
 #[case::in_order(&[(1, "a assigned 7"), (2, "b admitted 7")], &["a assigned 7", "b admitted 7"])]
-#[case::assignment_noted_late(
+#[case::assignment_recorded_late(
     &[(1, "b admitted 7"), (2, "a assigned 7")], &["a assigned 7", "b admitted 7"]
 )]
 #[case::own_events_follow(
@@ -87,7 +87,7 @@
     &[(1, "c admitted 8"), (2, "b admitted 7"), (3, "b assigned 8"), (4, "a assigned 7")],
     &["a assigned 7", "b admitted 7", "b assigned 8", "c admitted 8"]
 )]
-#[case::circle(
+#[case::cycle(
     &[(1, "a admitted 7"), (2, "b admitted 8"), (3, "b assigned 7"), (4, "a assigned 8")],
     &["a admitted 7", "b admitted 8", "b assigned 7", "a assigned 8"]
 )]
@@ -127,7 +127,7 @@
     assert_eq!(svg::escape(text), expected);
 }
 
-/// An instance of a foreign account can put anything into its answers.
+/// Answers of instances, which may contain arbitrary text, must not add markup to the page.
 #[test]
 fn page_shows_text_as_text() {
     let attack = "</title><script>alert(1)</script>";
@@ -137,7 +137,7 @@
     assert_eq!(page.matches("</title>").count(), 2, "{page}");
 }
 
-/// The page loads nothing: no address, script or style from elsewhere.
+/// The page refers to no other resource and has no script.
 #[test]
 fn page_is_self_contained() {
     let events = [plain(1 << 16, "a"), plain(9 << 16, "b")];
@@ -154,7 +154,7 @@
     assert!(html::page(&[], &Names::default(), &[]).contains("No events."));
 }
 
-/// The dots are where their times are, and a line leads from an assignment to its admission only.
+/// Dots are placed by time, and a line links an assignment only to the admission of its opening.
 #[test]
 fn draw_places_and_links() {
     let opening = json!({"flow": "01", "nonce": 7});
@@ -173,10 +173,11 @@
 
 #[test]
 fn lines_with_names() {
-    let place = ServedUpstream { account: "c".into(), service: "s".into(), upstream: "s-2".into() };
+    let served =
+        ServedUpstream { account: "c".into(), service: "s".into(), upstream: "s-2".into() };
     let id = format!("{:016x}", decision::keys::UpstreamId::of("c", "s", "s-2").0);
     let mut names = Names::default();
-    names.add(&place);
+    names.add(&served);
     let day = 86_400_000_u64;
     let events = [
         event(((day - 1) << 16) + 2, "agent-1", "assigned", json!({"flow": "01", "to": id})),
--- a/crates/goosectl/tests/check.rs
+++ b/crates/goosectl/tests/check.rs
@@ -1,4 +1,4 @@
-//! `goosectl check` from command line to output and exit code.
+//! Tests of `goosectl check`, from command line to output and exit code.
 
 use std::path::PathBuf;
 
@@ -19,7 +19,7 @@
          control_address: "127.20.1.1:9080", address: "127.30.1.1:6080", state: active, since: 1}
 "#;
 
-/// A folder of the test's own, removed at the end.
+/// A folder used by one test only and removed at its end.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -36,7 +36,8 @@
         Self(path)
     }
 
-    /// Runs a line in which `@` stands for the folder; gives exit, output and messages.
+    /// Runs a command line in which `@` stands for the folder. Returns the exit code, the output
+    /// and the error messages.
     fn run(&self, line: &str) -> (Exit, String, String) {
         let folder = format!("{}/", self.0.display());
         let arguments = line.split_whitespace().map(|word| word.replace('@', &folder).into());
@@ -49,7 +50,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // A folder that stays behind in target/ harms nobody.
+        // A folder left behind in target/ does no harm.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
@@ -79,7 +80,7 @@
     "@good.yaml:1:10: E1020 account: published for `bajio` but names `cascadia`\n@good.yaml: 1 fault(s)\n@good.yaml: addresses were not compared with their owners: no --root\n",
     ""
 )]
-#[case::step(
+#[case::next_version(
     "check @next.yaml --account cascadia --root @root.yaml --against @good.yaml",
     Exit::Success,
     "@next.yaml: good: account cascadia version 8, 1 service(s), 1 upstream(s)\n",
@@ -91,7 +92,7 @@
     "@next.yaml: good: account cascadia version 8, 1 service(s), 1 upstream(s)\n",
     ""
 )]
-#[case::step_back(
+#[case::older_version(
     "check @good.yaml --account cascadia --root @root.yaml --against @next.yaml",
     Exit::Findings,
     "@good.yaml:2:10: E1030 version: 7 is not larger than 8, which is in force\n@good.yaml: 1 fault(s)\n",
@@ -103,7 +104,7 @@
     "@root4.yaml: good: root version 4, 1 account(s)\n",
     ""
 )]
-#[case::root_back(
+#[case::older_root(
     "check @root.yaml --against @root4.yaml",
     Exit::Findings,
     "@root.yaml:1:10: E1030 version: 3 is not larger than 4, which is in force\n@root.yaml: 1 fault(s)\n",
@@ -115,7 +116,7 @@
     "",
     "goosectl: E5001: check: no FILE given\n"
 )]
-#[case::root_alone(
+#[case::root_without_account(
     "check @good.yaml --root @root.yaml",
     Exit::Usage,
     "",
--- a/crates/goosectl/tests/fleet.rs
+++ b/crates/goosectl/tests/fleet.rs
@@ -1,18 +1,20 @@
-//! Commands that ask instances, against small servers that answer as daemons and the platform do.
+//! Tests of the commands that query instances, with small servers in place of the daemons and the
+//! platform.
 
 mod common;
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use common::{Answers, Line, serve};
+use common::{Answers, Output, serve};
 use goosectl::Exit;
 use rstest::rstest;
 use serde_json::json;
 
 const LIST: &str = "/v1/instances";
 
-/// A platform that lists two agents of shelf and a balancer, with these answers of theirs.
+/// A platform that lists two agents of the service `shelf` and a balancer, and servers that give
+/// these instances' answers.
 struct Fleet {
     platform: std::net::SocketAddr,
     controls: [std::net::SocketAddr; 3],
@@ -39,8 +41,9 @@
         Self { platform, controls }
     }
 
-    /// Runs a line with `--platform`; addresses in the output become names.
-    fn run(&self, line: &str) -> Line {
+    /// Runs a command line with `--platform`, and replaces the control addresses in the output by
+    /// `<0>`, `<1>` and `<2>`.
+    fn run(&self, line: &str) -> Output {
         let mut found = common::run(&format!("{line} --platform {}", self.platform));
         for (index, control) in self.controls.iter().enumerate() {
             let name = format!("<{index}>");
@@ -62,7 +65,7 @@
     vec![("/status", body.into()), ("/timeline", accepted.into())]
 }
 
-/// One agent ready, one without its endpoint, one balancer not ready.
+/// One agent that is ready, one that answers with status 404, and a balancer that is not ready.
 fn mixed() -> Fleet {
     let counters = r#"{"flows_open":3,"packets_received":9,"packets_delivered":5,"packets_passed_on":2,"tombstone":1,"overload":1}"#;
     let balancer = r#"{"packets_received_total":4,"packets_forwarded_total":3,"no_service":1}"#;
@@ -82,7 +85,7 @@
 E5004: 1 instance(s) do not answer
 ";
 
-/// The width of the column depends on the length of the address that stands for <1>.
+/// The lines without their padding, which depends on the length of the address replaced by `<1>`.
 fn without_padding(text: &str) -> Vec<String> {
     text.lines().map(|line| line.split_whitespace().collect::<Vec<_>>().join(" ")).collect()
 }
@@ -119,7 +122,7 @@
     assert_eq!(without_padding(&found.out), without_padding(SETTINGS));
 }
 
-/// Version 9 is published and nobody has it yet.
+/// Version 9 is published, and no instance has it in force yet.
 #[test]
 fn settings_compared_with_the_platform() {
     let found = mixed().run("settings --published --json").json();
@@ -173,10 +176,10 @@
     assert_eq!(found["events"].as_array().unwrap().len(), 1);
 }
 
-fn explained(instance: &str, state: &str) -> Answers {
-    let place = format!(r#"{{"state":"{state}","holder":null,"evidence":null}}"#);
+fn explain_answer(instance: &str, state: &str) -> Answers {
+    let location = format!(r#"{{"state":"{state}","holder":null,"evidence":null}}"#);
     let body = format!(
-        r#"{{"instance":"{instance}","version":9,"bucket":0,"ranking":[],"home":null,"place":{place}}}"#
+        r#"{{"instance":"{instance}","version":9,"bucket":0,"ranking":[],"home":null,"place":{location}}}"#
     );
     vec![("/explain", body.into())]
 }
@@ -186,7 +189,7 @@
 #[rstest]
 #[case::service("203.0.113.1:8443", Exit::Success, &["service shelf", "home shelf-1: rank", "holder shelf-2 (open): its agent says so"], "")]
 #[case::no_service("203.0.113.1:80", Exit::Findings, &["service none: balancers drop the packet (E2103 no_service)"], "")]
-#[case::nobody("198.51.100.1:80", Exit::Findings, &[], "goosectl: E5007: no account owns 198.51.100.1 (root version 3)\n")]
+#[case::no_owner("198.51.100.1:80", Exit::Findings, &[], "goosectl: E5007: no account owns 198.51.100.1 (root version 3)\n")]
 fn explain_tuple(
     #[case] destination: &str,
     #[case] exit: Exit,
@@ -195,8 +198,8 @@
 ) {
     let home = r#"{"instance":"bal-1","version":9,"home":"127.20.1.1:6080"}"#;
     let fleet = Fleet::new(
-        explained("agent-1", "unknown"),
-        explained("agent-2", "open"),
+        explain_answer("agent-1", "unknown"),
+        explain_answer("agent-2", "open"),
         vec![("/explain", home.to_owned().into())],
     );
     let found = fleet.run(&format!("explain tcp 192.0.2.1:40000 {destination} {KEY}"));
@@ -205,20 +208,21 @@
     assert!(expected.iter().all(|line| text.contains(line)), "{text}");
 }
 
-/// The agent holds a flow at first. When it has ended the peer still gives it an opening, which the
-/// watch must see: only two quiet looks later it is drained.
+/// The agent holds a flow at the first poll. After the flow has ended, the peer assigns the agent
+/// an opening. The command must notice the opening and report the upstream as drained only at the
+/// third further poll without one.
 #[test]
 fn drain_watch_until_drained() {
-    let looks = Arc::new(AtomicUsize::new(0));
-    let counted = looks.clone();
+    let polls = Arc::new(AtomicUsize::new(0));
+    let counted = polls.clone();
     let flows = move || {
         let open = usize::from(counted.fetch_add(1, Ordering::Relaxed) == 0);
         format!(r#"{{"instance":"agent-1","open":{open},"flows":[]}}"#)
     };
     let id = format!("{:016x}", decision::keys::UpstreamId::of("cascadia", "shelf", "shelf-1").0);
-    let seen = looks.clone();
+    let polled = polls.clone();
     let events = move || {
-        let assigned = seen.load(Ordering::Relaxed) == 2;
+        let assigned = polled.load(Ordering::Relaxed) == 2;
         let event = format!(
             r#"{{"hlc":9,"instance":"agent-2","account":"cascadia","kind":"assigned","fields":{{"to":"{id}"}}}}"#
         );
@@ -245,12 +249,12 @@
 }
 
 #[rstest]
-#[case::in_time(
+#[case::timed_out(
     "drain-watch shelf-1 --timeout-s 0",
     Exit::TimedOut,
     "E5009: shelf-1 is not drained in time: it holds flows"
 )]
-#[case::unknown(
+#[case::unknown_upstream(
     "drain-watch shelf-9",
     Exit::Usage,
     "E5007: the platform's list names no agent of upstream `shelf-9`"
@@ -271,11 +275,11 @@
     assert_eq!((found.exit, found.err), (exit, format!("goosectl: {err}\n")));
 }
 
-/// With the platform down the balancers of a process's settings file are asked.
+/// If the platform does not answer, the balancers in a process's settings file are queried.
 #[test]
 fn status_without_platform() {
     let balancer = serve(status("bal-1", "balancer", true, 7, "{}"));
-    let file = common::balancer_file("status_without_platform", common::nobody(), balancer);
+    let file = common::balancer_file("status_without_platform", common::unused_address(), balancer);
     let found = common::run(&format!("status --json --settings {}", file.display()));
     assert_eq!(found.exit, Exit::Success, "{}", found.err);
     let found = found.json();
@@ -284,8 +288,8 @@
 }
 
 #[rstest]
-#[case::nobody("status", Exit::Unreachable, "E5004: no list from the platform: http://")]
-#[case::named_silent("status --instance 127.0.0.1:1", Exit::Unreachable, "")]
+#[case::no_platform("status", Exit::Unreachable, "E5004: no list from the platform: http://")]
+#[case::named_unresponsive("status --instance 127.0.0.1:1", Exit::Unreachable, "")]
 #[case::not_an_address("status --instance here", Exit::Usage, "E5001: ")]
 #[case::unknown_option("flows --colour", Exit::Usage, "E5001: invalid option '--colour'")]
 #[case::no_key(
@@ -307,13 +311,13 @@
 #[case::no_folder("timeline --from /nowhere", Exit::File, "E5002: /nowhere: ")]
 #[case::no_file("status --settings /nowhere", Exit::File, "E5002: /nowhere: ")]
 fn command_line_fails(#[case] line: &str, #[case] exit: Exit, #[case] err: &str) {
-    let found = common::run(&format!("{line} --platform {}", common::nobody()));
+    let found = common::run(&format!("{line} --platform {}", common::unused_address()));
     assert_eq!(found.exit, exit, "{}", found.err);
     let expected = if err.is_empty() { String::new() } else { format!("goosectl: {err}") };
     assert!(found.err.starts_with(&expected), "{}", found.err);
 }
 
-/// Every command tells its options, an example and its exit codes without asking anybody.
+/// The help of every command states its options, examples and exit codes, and needs no instance.
 #[rstest]
 #[case("check")]
 #[case("status")]
@@ -353,11 +357,12 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// Balancers that differ, or are silent, are a finding: some still send flows to a closed zone.
+/// Balancers that differ or do not answer are a finding: some may still send new flows to a closed
+/// availability zone.
 #[rstest]
 #[case::agree(Some(r#"["pnw-b"]"#), "pnw-b", Exit::Success)]
 #[case::differ(Some("[]"), "-", Exit::Findings)]
-#[case::silent(None, "E5004: http://<1>/zones: status 404", Exit::Findings)]
+#[case::unresponsive(None, "E5004: http://<1>/zones: status 404", Exit::Findings)]
 fn zones_of_two_balancers(
     #[case] second: Option<&str>,
     #[case] shown: &str,
@@ -375,7 +380,7 @@
 }
 
 #[test]
-fn zones_without_an_answer() {
-    let line = common::run(&format!("zones --instance {}", common::nobody()));
+fn zones_without_answer() {
+    let line = common::run(&format!("zones --instance {}", common::unused_address()));
     assert_eq!(line.exit, Exit::Unreachable);
 }
--- a/crates/goosectl/tests/logs.rs
+++ b/crates/goosectl/tests/logs.rs
@@ -1,11 +1,11 @@
-//! `goosectl explain --logs` and `goosectl timeline --logs`, from lines to output.
+//! Tests of `goosectl explain --logs` and `goosectl timeline --logs`, from log lines to output.
 
 use std::path::PathBuf;
 
 use goosectl::Exit;
 use rstest::rstest;
 
-/// Lines of three processes, as they come out of a collector: with a prefix, and not in order. The
+/// Lines of three processes as a log collector delivers them: with a prefix, and not sorted. The
 /// clock of `side-a` jumps back by an hour between its two lines.
 const LINES: &str = r#"
  34.7 edge-a {"timestamp":"2026-03-02T10:00:02.000Z","level":"INFO","message":"flow","kvs":{"code":2205,"event":"lost","caller":"100.64.0.7:4000","endpoint":"198.18.0.1:443","request":"ad6c","peer":"","revision":9,"elapsed_ms":700,"suppressed":0},"diags":{"instance":"edge-a"}}
@@ -26,13 +26,15 @@
 }
 
 fn events(out: &str) -> Vec<&str> {
-    let words = ["waited", "lost", "placed", "started", "upstream_slow"];
+    let known_events = ["waited", "lost", "placed", "started", "upstream_slow"];
     let lines = out.lines().filter(|line| !line.starts_with("flows:"));
-    lines.filter_map(|line| words.iter().copied().find(|word| line.contains(word))).collect()
+    lines
+        .filter_map(|line| known_events.iter().copied().find(|event| line.contains(event)))
+        .collect()
 }
 
-/// The on-call engineer has the id of a failed request. It leads to the flow, and the flow to what
-/// other processes decided, although one of their clocks is wrong.
+/// The id of a failed request selects its flow, and the flow selects the lines of all processes
+/// about it, although the clock of one of them is wrong.
 #[rstest]
 #[case::by_request("ad6c", &["waited", "lost"])]
 #[case::by_caller("100.64.0.9:4000", &["placed"])]
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn explain_logs_without_a_line() {
+fn explain_logs_without_match() {
     let (exit, _, err) = run("explain-none", "explain --logs @ ffff");
     assert_eq!(exit, Exit::Findings);
     assert!(err.contains("E5007"), "{err}");
