--- a/crates/fuzzing/src/direct/plan.rs
+++ b/crates/fuzzing/src/direct/plan.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// Draws the next change of a rough world.
-pub(super) fn draw_rough(rng: &mut impl Rng, balancers: usize, upstreams: usize) -> Change {
+/// Draws the next change of a severe_faults world.
+pub(super) fn draw_severe(rng: &mut impl Rng, balancers: usize, upstreams: usize) -> Change {
     let upstream = rng.random_range(0..upstreams);
     match rng.random_range(0..24) {
         0..=3 => Change::KillInstance(upstream),
--- a/crates/fuzzing/src/direct/upstream.rs
+++ b/crates/fuzzing/src/direct/upstream.rs
@@ -7,15 +7,15 @@
 use super::world::Packet;
 
 /// The number with which a life of an upstream answers openings.
-pub(super) fn number_of(boot: u64) -> u32 {
-    (boot.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) as u32
+pub(super) fn initial_sequence_of(incarnation: u64) -> u32 {
+    (incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) as u32
 }
 
 /// What an upstream does with a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reaction {
     /// It is down.
-    Nothing,
+    Drop,
     /// It answers an opening.
     Accept,
     /// It answers data.
@@ -23,7 +23,7 @@
     /// It answers the end of a flow.
     Close,
     /// It takes the packet without a word.
-    Take,
+    Consume,
     /// It does not hold the flow.
     Return,
 }
@@ -33,7 +33,7 @@
 /// Parts of a long answer; each goes out when the one before it is acknowledged.
 const PARTS: u32 = 6;
 /// First and longest pause before a part is sent again.
-const RESEND_MS: u64 = 200;
+const RESEND_MIN_MS: u64 = 200;
 const RESEND_MAX_MS: u64 = 1_600;
 /// How often a part is sent again.
 const RESENDS_MAX: u32 = 8;
@@ -72,7 +72,7 @@
 
     /// Pause before the part is sent again.
     pub(super) fn pause_ms(self) -> u64 {
-        (RESEND_MS << self.resends).min(RESEND_MAX_MS)
+        (RESEND_MIN_MS << self.resends).min(RESEND_MAX_MS)
     }
 }
 
@@ -80,17 +80,17 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Upstream {
     /// Number of this life; zero while it is down.
-    pub(super) boot: u64,
+    pub(super) incarnation: u64,
     /// Index of its service.
     pub(super) service: usize,
     /// Until when it takes long for its answers.
     pub(super) slow_until_ms: u64,
     /// Since when it leaves.
-    pub(super) leaving_ms: Option<u64>,
+    pub(super) draining_since_ms: Option<u64>,
     /// Until when it is cold.
     pub(super) cold_until_ms: u64,
     /// When it took openings of new flows lately.
-    pub(super) opened_ms: Vec<u64>,
+    pub(super) recent_openings_ms: Vec<u64>,
     /// Flows, and whether they are open.
     flows: BTreeMap<FlowKey, bool>,
     /// Long answers under way, and bytes sent on flows that had one.
@@ -100,13 +100,13 @@
 
 impl Upstream {
     /// Starts a life without flows.
-    pub(super) fn start(&mut self, boot: u64, service: usize) {
-        *self = Self { boot, service, ..Self::default() };
+    pub(super) fn start(&mut self, incarnation: u64, service: usize) {
+        *self = Self { incarnation, service, ..Self::default() };
     }
 
     /// Ends a life.
-    pub(super) fn end(&mut self) {
-        self.boot = 0;
+    pub(super) fn stop(&mut self) {
+        self.incarnation = 0;
         self.flows.clear();
         self.answers.clear();
         self.sent_bytes.clear();
@@ -140,32 +140,32 @@
         Some(*answer)
     }
 
-    /// Whether it holds an open flow since the life `boot`.
-    pub(super) fn holds(&self, flow: FlowKey, boot: u64) -> bool {
-        self.boot == boot && boot != 0 && self.flows.get(&flow) == Some(&true)
+    /// Whether it holds an open flow since the life `incarnation`.
+    pub(super) fn holds(&self, flow: FlowKey, incarnation: u64) -> bool {
+        self.incarnation == incarnation && incarnation != 0 && self.flows.get(&flow) == Some(&true)
     }
 
     /// Whether it holds this flow, be it half open.
-    pub(super) fn knows(&self, flow: FlowKey) -> bool {
+    pub(super) fn has_flow(&self, flow: FlowKey) -> bool {
         self.flows.contains_key(&flow)
     }
 
     /// Counts the opening of a new flow; says how many there were within a second.
     pub(super) fn count_opening(&mut self, now_ms: u64) -> usize {
-        self.opened_ms.retain(|at_ms| now_ms - at_ms < 1_000);
-        self.opened_ms.push(now_ms);
-        self.opened_ms.len()
+        self.recent_openings_ms.retain(|at_ms| now_ms - at_ms < 1_000);
+        self.recent_openings_ms.push(now_ms);
+        self.recent_openings_ms.len()
     }
 
     /// Whether it holds any open flow.
-    pub(super) fn is_empty(&self) -> bool {
+    pub(super) fn has_no_open_flows(&self) -> bool {
         !self.flows.values().any(|open| *open)
     }
 
     /// Takes a packet.
-    pub(super) fn take(&mut self, packet: &Packet) -> Reaction {
-        if self.boot == 0 {
-            return Reaction::Nothing;
+    pub(super) fn receive(&mut self, packet: &Packet) -> Reaction {
+        if self.incarnation == 0 {
+            return Reaction::Drop;
         }
         let segment = packet.segment;
         match segment.kind {
@@ -175,22 +175,22 @@
             }
             SegmentKind::Reset => {
                 let held = self.flows.remove(&segment.flow);
-                held.map_or(Reaction::Return, |_| Reaction::Take)
+                held.map_or(Reaction::Return, |_| Reaction::Consume)
             }
-            SegmentKind::Later => self.take_later(packet),
+            SegmentKind::Later => self.receive_later(packet),
         }
     }
 
-    fn take_later(&mut self, packet: &Packet) -> Reaction {
+    fn receive_later(&mut self, packet: &Packet) -> Reaction {
         let Some(open) = self.flows.get_mut(&packet.segment.flow) else { return Reaction::Return };
         // Half open, and the caller acknowledges another upstream: nothing comes back at all.
-        if !*open && packet.acknowledged_boot != self.boot {
-            return Reaction::Take;
+        if !*open && packet.acknowledged_incarnation != self.incarnation {
+            return Reaction::Consume;
         }
         *open = true;
         if packet.segment.last {
             return Reaction::Close;
         }
-        if packet.segment.data_bytes > 0 { Reaction::Answer } else { Reaction::Take }
+        if packet.segment.data_bytes > 0 { Reaction::Answer } else { Reaction::Consume }
     }
 }
--- a/crates/fuzzing/src/direct/world/changes.rs
+++ b/crates/fuzzing/src/direct/world/changes.rs
@@ -9,23 +9,24 @@
 use steering::view::{Route, RouteTable, Standing, Upstream as Listed, View};
 
 use super::{
-    BLANK, Balancer, CALM_MS, CHANGE_MS, COLD_MS, Event, FOREIGN_SERVICE, SERVICES, SPLITS, Size,
-    TICK_MS, World, ZONES, address, balancer_number, route, stamp, upstream_of, zone_of,
+    Balancer, CHANGE_INTERVAL_MS, COLD_MS, EMPTY_PACKET, Event, SERVICES, SETTLE_MS, SPLITS, Size,
+    TICK_MS, UNCONFIGURED_SERVICE, World, ZONES, address, balancer_index, route, upstream_of,
+    zone_of, zone_stamp,
 };
 use crate::direct::upstream::Upstream;
 use crate::direct::{Change, Mutant, plan};
 
 /// Time until the address of an upstream that has left is used again.
-const REUSE_MS: u64 = 2_000;
+const ADDRESS_REUSE_MS: u64 = 2_000;
 /// The same where nothing waits for the instance: longer than its entry lingers.
-const LATE_REUSE_MS: u64 = 7_000;
+const LATE_ADDRESS_REUSE_MS: u64 = 7_000;
 
 /// Of so many upstreams of a service that is scaled in, one leaves.
-const SCALED_IN: usize = 3;
+const SCALE_IN_DIVISOR: usize = 3;
 
 impl World {
     pub(super) fn tick(&mut self) {
-        self.at(TICK_MS, Event::Tick);
+        self.schedule(TICK_MS, Event::Tick);
         for balancer in 0..self.size.balancers {
             self.tick_balancer(balancer);
         }
@@ -35,10 +36,10 @@
     }
 
     fn tick_agent(&mut self, upstream: usize) {
-        let Some(side) = &mut self.agents[upstream] else { return };
-        side.on_tick(self.now_ms);
-        for balancer in side.take_due_replies(self.now_ms) {
-            self.say(balancer_number(balancer), upstream, Verdict::Alive, BLANK);
+        let Some(agent) = &mut self.agents[upstream] else { return };
+        agent.on_tick(self.now_ms);
+        for balancer in agent.take_due_replies(self.now_ms) {
+            self.send_reply(balancer_index(balancer), upstream, Verdict::Alive, EMPTY_PACKET);
         }
     }
 
@@ -50,7 +51,7 @@
             up,
             paused_until_ms,
             cut_until_ms,
-            whole_from_ms,
+            complete_from_ms,
             confirmed_ms,
             ..
         } = &mut self.balancers[balancer];
@@ -61,7 +62,7 @@
             *confirmed_ms = self.now_ms;
         }
         let forgets = mutant == Some(Mutant::MissingForgotten);
-        let complete_from_ms = if forgets { 0 } else { *whole_from_ms };
+        let complete_from_ms = if forgets { 0 } else { *complete_from_ms };
         edge.set_trust(Trust { confirmed_ms: *confirmed_ms, complete_from_ms });
         let pings = edge.take_pings(self.now_ms, view);
         let mut actions = Vec::new();
@@ -73,21 +74,22 @@
         }
         for agent in pings {
             let upstream = upstream_of(agent);
-            let delay_ms = self.hop();
-            self.at(delay_ms, Event::Ping { balancer, upstream });
+            let delay_ms = self.network_delay_ms();
+            self.schedule(delay_ms, Event::Ping { balancer, upstream });
         }
     }
 
     pub(super) fn change(&mut self) {
-        let delay_ms = self.rng.random_range(1..2 * CHANGE_MS);
+        let delay_ms = self.rng.random_range(1..2 * CHANGE_INTERVAL_MS);
         // Now and then the world is left alone, so that what must calm down can be judged.
-        let pause_ms = if self.rng.random_bool(0.05) { 2 * CALM_MS } else { 0 };
-        self.at(delay_ms + pause_ms, Event::Change);
-        let Size { balancers, upstreams, rough, moving, long_answers, .. } = self.size;
-        let moved = if moving { plan::draw_move(&mut self.rng) } else { None };
-        let change = moved.unwrap_or_else(|| match (long_answers, rough) {
+        let pause_ms = if self.rng.random_bool(0.05) { 2 * SETTLE_MS } else { 0 };
+        self.schedule(delay_ms + pause_ms, Event::Change);
+        let Size { balancers, upstreams, severe_faults, moving_routes, long_answers, .. } =
+            self.size;
+        let moved = if moving_routes { plan::draw_move(&mut self.rng) } else { None };
+        let change = moved.unwrap_or_else(|| match (long_answers, severe_faults) {
             (true, _) => plan::draw_planned(&mut self.rng, upstreams),
-            (false, true) => plan::draw_rough(&mut self.rng, balancers, upstreams),
+            (false, true) => plan::draw_severe(&mut self.rng, balancers, upstreams),
             (false, false) => plan::draw(&mut self.rng, balancers, upstreams),
         });
         let planned = matches!(
@@ -99,7 +101,7 @@
                 | Change::MoveRoute(_)
         );
         if !planned {
-            self.disturbed_ms = self.disturbed_ms.max(self.now_ms);
+            self.disturbed_until_ms = self.disturbed_until_ms.max(self.now_ms);
         }
         self.outcome.played.push((self.now_ms, change));
         self.play(change);
@@ -112,22 +114,22 @@
             Change::CutBalancer(balancer) => {
                 let for_ms = self.rng.random_range(500..15_000);
                 self.balancers[balancer].cut_until_ms = self.now_ms + for_ms;
-                self.disturbed_ms = self.disturbed_ms.max(self.now_ms + for_ms);
-                self.at(for_ms, Event::List(balancer));
+                self.disturbed_until_ms = self.disturbed_until_ms.max(self.now_ms + for_ms);
+                self.schedule(for_ms, Event::ListArrives(balancer));
             }
             Change::PauseBalancer(balancer) => {
                 let for_ms = self.rng.random_range(100..4_000);
                 let until_ms = &mut self.balancers[balancer].paused_until_ms;
                 // What has come meanwhile waits until the end of the longest pause.
                 *until_ms = (*until_ms).max(self.now_ms + for_ms);
-                self.disturbed_ms = self.disturbed_ms.max(self.now_ms + for_ms);
+                self.disturbed_until_ms = self.disturbed_until_ms.max(self.now_ms + for_ms);
             }
             Change::RestartAgent(upstream) => self.restart_agent(upstream),
             Change::CrashUpstream(upstream) => {
-                if self.upstreams[upstream].leaving_ms.is_none() {
-                    self.upstreams[upstream].end();
+                if self.upstreams[upstream].draining_since_ms.is_none() {
+                    self.upstreams[upstream].stop();
                     let delay_ms = self.rng.random_range(200..3_000);
-                    self.at(delay_ms, Event::StartUpstream(upstream));
+                    self.schedule(delay_ms, Event::StartUpstream(upstream));
                 }
             }
             Change::DrainUpstream(upstream) => self.drain(upstream),
@@ -140,13 +142,13 @@
             Change::KillInstance(upstream) => self.kill_instance(upstream),
             Change::CutAgent(upstream) => {
                 let for_ms = self.rng.random_range(300..3_000);
-                self.away_until_ms[upstream] = self.now_ms + for_ms;
-                self.disturbed_ms = self.disturbed_ms.max(self.now_ms + for_ms);
+                self.unreachable_until_ms[upstream] = self.now_ms + for_ms;
+                self.disturbed_until_ms = self.disturbed_until_ms.max(self.now_ms + for_ms);
             }
             Change::SlowUpstream(upstream) => {
                 let for_ms = self.rng.random_range(500..4_000);
                 self.upstreams[upstream].slow_until_ms = self.now_ms + for_ms;
-                self.disturbed_ms = self.disturbed_ms.max(self.now_ms + for_ms);
+                self.disturbed_until_ms = self.disturbed_until_ms.max(self.now_ms + for_ms);
             }
             Change::LosePower => self.lose_power(),
             Change::CloseZone(zone) => self.close_zone(zone),
@@ -155,16 +157,16 @@
     }
 
     /// A new configuration, which is in force at each balancer with its next list.
-    fn move_route(&mut self, endpoint_number: usize) {
+    fn move_route(&mut self, endpoint_index: usize) {
         let shares = SPLITS[self.rng.random_range(0..SPLITS.len())];
-        for (until_ms, weight) in self.led_until_ms[endpoint_number].iter_mut().zip(shares) {
+        for (until_ms, weight) in self.routed_until_ms[endpoint_index].iter_mut().zip(shares) {
             *until_ms = match *until_ms {
                 _ if weight > 0 => u64::MAX,
                 u64::MAX => self.now_ms,
                 left_ms => left_ms,
             };
         }
-        let moved = route(endpoint_number, shares);
+        let moved = route(endpoint_index, shares);
         let others = self.routes.routes().iter().filter(|route| route.endpoint != moved.endpoint);
         let routes = others.cloned().chain([moved.clone()]).collect();
         let services = self.routes.services().iter().copied();
@@ -181,7 +183,7 @@
         self.closed_since_ms[zone] = Some(self.now_ms);
         self.publish();
         let for_ms = self.rng.random_range(1_000..10_000);
-        self.at(for_ms, Event::OpenZone(zone));
+        self.schedule(for_ms, Event::OpenZone(zone));
     }
 
     pub(super) fn open_zone(&mut self, zone: usize) {
@@ -192,24 +194,26 @@
 
     /// The upstream's entry lapses after some seconds; then it starts anew, with its agent.
     fn kill_instance(&mut self, upstream: usize) {
-        if self.upstreams[upstream].leaving_ms.is_some() || self.upstreams[upstream].boot == 0 {
+        if self.upstreams[upstream].draining_since_ms.is_some()
+            || self.upstreams[upstream].incarnation == 0
+        {
             return;
         }
-        let boot = self.upstreams[upstream].boot;
-        self.upstreams[upstream].end();
+        let incarnation = self.upstreams[upstream].incarnation;
+        self.upstreams[upstream].stop();
         self.agents[upstream] = None;
         let lapse_ms = self.rng.random_range(2_000..8_000);
-        self.disturbed_ms = self.disturbed_ms.max(self.now_ms + lapse_ms);
-        self.at(lapse_ms, Event::LapseEntry { upstream, boot });
+        self.disturbed_until_ms = self.disturbed_until_ms.max(self.now_ms + lapse_ms);
+        self.schedule(lapse_ms, Event::LapseEntry { upstream, incarnation });
     }
 
-    pub(super) fn lapse_entry(&mut self, upstream: usize, boot: u64) {
-        if self.listed[upstream].as_ref().is_some_and(|record| record.born_ms == boot) {
+    pub(super) fn lapse_entry(&mut self, upstream: usize, incarnation: u64) {
+        if self.listed[upstream].as_ref().is_some_and(|record| record.born_ms == incarnation) {
             self.listed[upstream] = None;
             self.publish();
         }
-        self.at(500, Event::StartAgent(upstream));
-        self.at(501, Event::StartUpstream(upstream));
+        self.schedule(500, Event::StartAgent(upstream));
+        self.schedule(501, Event::StartUpstream(upstream));
     }
 
     fn lose_power(&mut self) {
@@ -217,11 +221,11 @@
         for upstream in 0..self.size.upstreams {
             if self.rng.random_bool(0.04) {
                 self.kill_instance(upstream);
-            } else if self.upstreams[upstream].leaving_ms.is_none() {
-                self.upstreams[upstream].end();
+            } else if self.upstreams[upstream].draining_since_ms.is_none() {
+                self.upstreams[upstream].stop();
                 self.restart_agent(upstream);
                 let delay_ms = self.rng.random_range(800..1_500);
-                self.at(delay_ms, Event::StartUpstream(upstream));
+                self.schedule(delay_ms, Event::StartUpstream(upstream));
             }
         }
     }
@@ -231,24 +235,24 @@
         self.balancers[balancer].up = false;
         self.events.retain(|_, event| !event.is_for(balancer));
         let delay_ms = self.rng.random_range(100..800);
-        self.at(delay_ms, Event::StartBalancer(balancer));
+        self.schedule(delay_ms, Event::StartBalancer(balancer));
     }
 
     fn restart_agent(&mut self, upstream: usize) {
         self.agents[upstream] = None;
         let delay_ms = self.rng.random_range(100..800);
-        self.at(delay_ms, Event::StartAgent(upstream));
+        self.schedule(delay_ms, Event::StartAgent(upstream));
     }
 
     pub(super) fn start_agent(&mut self, upstream: usize) {
-        let away_until_ms = &mut self.away_until_ms[upstream];
-        *away_until_ms = (*away_until_ms).max(self.now_ms);
+        let unreachable_until_ms = &mut self.unreachable_until_ms[upstream];
+        *unreachable_until_ms = (*unreachable_until_ms).max(self.now_ms);
         self.agents[upstream] = Some(AgentCore::new(SERVICES[self.upstreams[upstream].service]));
     }
 
     pub(super) fn start_upstream(&mut self, upstream: usize, service: usize) {
-        self.boots += 1;
-        self.upstreams[upstream].start(self.boots, service);
+        self.incarnations += 1;
+        self.upstreams[upstream].start(self.incarnations, service);
         if self.now_ms > 0 {
             self.upstreams[upstream].cold_until_ms = self.now_ms + COLD_MS;
         }
@@ -256,8 +260,8 @@
     }
 
     fn scale_in(&mut self, service: usize) {
-        let first = self.rng.random_range(0..SCALED_IN);
-        let leaving = (first..self.size.upstreams).step_by(SCALED_IN);
+        let first = self.rng.random_range(0..SCALE_IN_DIVISOR);
+        let leaving = (first..self.size.upstreams).step_by(SCALE_IN_DIVISOR);
         let leaving: Vec<usize> =
             leaving.filter(|upstream| self.upstreams[*upstream].service == service).collect();
         leaving.into_iter().for_each(|upstream| self.drain(upstream));
@@ -267,57 +271,58 @@
     fn drain(&mut self, upstream: usize) {
         let service = self.upstreams[upstream].service;
         let staying = |other: &&Upstream| {
-            other.service == service && other.leaving_ms.is_none() && other.boot > 0
+            other.service == service && other.draining_since_ms.is_none() && other.incarnation > 0
         };
-        let leaves = self.upstreams[upstream].leaving_ms.is_some();
+        let leaves = self.upstreams[upstream].draining_since_ms.is_some();
         if leaves || self.upstreams.iter().filter(staying).count() < 3 {
             return;
         }
-        self.upstreams[upstream].leaving_ms = Some(self.now_ms);
+        self.upstreams[upstream].draining_since_ms = Some(self.now_ms);
         if let Some(record) = &mut self.listed[upstream] {
             record.draining = true;
         }
         self.publish();
         let delay_ms = self.rng.random_range(3_500..6_000);
-        self.at(delay_ms, Event::EndUpstream(upstream));
+        self.schedule(delay_ms, Event::StopUpstream(upstream));
     }
 
     /// The address goes to the other service after some seconds, with an agent of its own.
-    pub(super) fn end_upstream(&mut self, upstream: usize) {
-        if !self.upstreams[upstream].is_empty() && self.rng.random_bool(0.5) {
-            self.at(500, Event::EndUpstream(upstream));
+    pub(super) fn stop_upstream(&mut self, upstream: usize) {
+        if !self.upstreams[upstream].has_no_open_flows() && self.rng.random_bool(0.5) {
+            self.schedule(500, Event::StopUpstream(upstream));
             return;
         }
-        self.upstreams[upstream].end();
+        self.upstreams[upstream].stop();
         self.agents[upstream] = None;
         self.listed[upstream] = None;
         self.publish();
         let service = 1 - self.upstreams[upstream].service;
         self.upstreams[upstream].service = service;
-        self.upstreams[upstream].leaving_ms = None;
-        let reused_ms = if self.size.long_answers { LATE_REUSE_MS } else { REUSE_MS };
-        self.at(reused_ms, Event::StartAgent(upstream));
-        self.at(reused_ms + 1, Event::StartUpstream(upstream));
+        self.upstreams[upstream].draining_since_ms = None;
+        let reuse_ms =
+            if self.size.long_answers { LATE_ADDRESS_REUSE_MS } else { ADDRESS_REUSE_MS };
+        self.schedule(reuse_ms, Event::StartAgent(upstream));
+        self.schedule(reuse_ms + 1, Event::StartUpstream(upstream));
     }
 
     /// Entries of upstreams that live go, and come back within two seconds. Balancers notice the
     /// outage that is behind it: they cannot reach the configuration service.
     fn lapse(&mut self) {
         for upstream in 0..self.size.upstreams {
-            if self.upstreams[upstream].boot > 0 && self.rng.random_bool(0.5) {
+            if self.upstreams[upstream].incarnation > 0 && self.rng.random_bool(0.5) {
                 self.listed[upstream] = None;
                 let delay_ms = self.rng.random_range(100..2_000);
-                self.at(delay_ms, Event::Relist(upstream));
+                self.schedule(delay_ms, Event::Relist(upstream));
             }
         }
         for balancer in &mut self.balancers {
-            balancer.whole_from_ms = self.now_ms + OUTAGE_LINGER_MS;
+            balancer.complete_from_ms = self.now_ms + OUTAGE_LINGER_MS;
         }
         self.publish();
     }
 
     pub(super) fn relist(&mut self, upstream: usize) {
-        if self.upstreams[upstream].boot == 0 || self.listed[upstream].is_some() {
+        if self.upstreams[upstream].incarnation == 0 || self.listed[upstream].is_some() {
             return;
         }
         self.listed[upstream] = Some(self.entry(upstream));
@@ -326,14 +331,15 @@
 
     /// What an upstream says of itself.
     fn entry(&self, upstream: usize) -> UpstreamRecord {
-        let Upstream { boot, service, leaving_ms, cold_until_ms, .. } = self.upstreams[upstream];
+        let Upstream { incarnation, service, draining_since_ms, cold_until_ms, .. } =
+            self.upstreams[upstream];
         UpstreamRecord {
             id: format!("u-{upstream}").into(),
-            born_ms: boot,
+            born_ms: incarnation,
             address: address(upstream),
             service: SERVICES[service],
-            zone: stamp(zone_of(upstream)),
-            draining: leaving_ms.is_some(),
+            zone: zone_stamp(zone_of(upstream)),
+            draining: draining_since_ms.is_some(),
             warmup_left_ms: cold_until_ms.saturating_sub(self.now_ms),
             slots: 7,
         }
@@ -345,7 +351,7 @@
         let foreign = (0..self.size.upstreams).map(|upstream| UpstreamRecord {
             id: format!("x-{upstream}").into(),
             born_ms: u64::MAX,
-            service: FOREIGN_SERVICE,
+            service: UNCONFIGURED_SERVICE,
             draining: false,
             ..self.entry(upstream)
         });
@@ -358,34 +364,35 @@
 
     /// Upstreams write their entries again and again while they are cold.
     fn cold_for_ms(&self, record: &UpstreamRecord) -> u64 {
-        let Upstream { boot, cold_until_ms, .. } = self.upstreams[upstream_of(record.address)];
-        if boot == record.born_ms { cold_until_ms.saturating_sub(self.now_ms) } else { 0 }
+        let Upstream { incarnation, cold_until_ms, .. } =
+            self.upstreams[upstream_of(record.address)];
+        if incarnation == record.born_ms { cold_until_ms.saturating_sub(self.now_ms) } else { 0 }
     }
 
     /// The list reaches each balancer at another moment.
     pub(super) fn publish(&mut self) {
         for balancer in 0..self.size.balancers {
             let delay_ms = self.rng.random_range(1..30);
-            self.at(delay_ms, Event::List(balancer));
+            self.schedule(delay_ms, Event::ListArrives(balancer));
         }
     }
 
-    pub(super) fn take_list(&mut self, balancer: usize) {
+    pub(super) fn receive_list(&mut self, balancer: usize) {
         let now_ms = self.now_ms;
         if self.balancers[balancer].cut_until_ms > now_ms {
             return;
         }
         let mut membership = std::mem::take(&mut self.balancers[balancer].membership);
-        self.fill(&mut membership);
+        self.fill_membership(&mut membership);
         membership.expire(now_ms);
-        self.take_routes(balancer);
+        self.update_routes(balancer);
         let Balancer { routes, history, .. } = &self.balancers[balancer];
         self.balancers[balancer].view = self.view_of(&membership, routes, history);
         self.balancers[balancer].membership = membership;
     }
 
     /// Versions that came while the balancer was cut off are known to others only.
-    fn take_routes(&mut self, balancer: usize) {
+    fn update_routes(&mut self, balancer: usize) {
         if self.mutant == Some(Mutant::OldRoutesKept) {
             return;
         }
@@ -400,9 +407,9 @@
             history.on_routes(now_ms, &old, &self.routes);
         }
         self.learn_history(&mut history, current_until_ms);
-        let taker = &mut self.balancers[balancer];
-        taker.routes = Arc::clone(&self.routes);
-        taker.history = history;
+        let learner = &mut self.balancers[balancer];
+        learner.routes = Arc::clone(&self.routes);
+        learner.history = history;
     }
 
     /// What balancers in touch tell of services that routes have left.
@@ -411,18 +418,18 @@
             *history = History::default();
             return;
         }
-        let in_touch = |teller: &&Balancer| teller.up && teller.cut_until_ms <= self.now_ms;
-        for teller in self.balancers.iter().filter(in_touch) {
-            if history.is_behind(self.now_ms, teller.history.summary(self.now_ms)) {
-                let told = teller.history.contents(self.now_ms, teller.routes.version);
-                history.merge(self.now_ms, current_until_ms, &self.routes, &told);
+        let in_touch = |peer: &&Balancer| peer.up && peer.cut_until_ms <= self.now_ms;
+        for peer in self.balancers.iter().filter(in_touch) {
+            if history.is_behind(self.now_ms, peer.history.summary(self.now_ms)) {
+                let contents = peer.history.contents(self.now_ms, peer.routes.version);
+                history.merge(self.now_ms, current_until_ms, &self.routes, &contents);
             }
         }
     }
 
-    pub(super) fn fill(&self, membership: &mut Membership) {
+    pub(super) fn fill_membership(&self, membership: &mut Membership) {
         let closed = self.closed_since_ms.iter().zip(0..).filter(|(since, _)| since.is_some());
-        let mut closed: Vec<_> = closed.map(|(_, zone)| stamp(zone)).collect();
+        let mut closed: Vec<_> = closed.map(|(_, zone)| zone_stamp(zone)).collect();
         if self.mutant == Some(Mutant::ZoneNeverOpened) {
             closed.extend(membership.closed_zones());
         }
@@ -445,7 +452,8 @@
             _ => Arc::new(history.clone()),
         };
         let view = membership.view_since(Arc::clone(&routes), Arc::clone(&history));
-        let listed = view.upstreams().iter().filter_map(|upstream| altered(*upstream, self.mutant));
+        let listed =
+            view.upstreams().iter().filter_map(|upstream| apply_mutant(*upstream, self.mutant));
         let closed = match self.mutant {
             Some(Mutant::ClosedZoneIgnored) => Vec::new(),
             _ => view.closed_zones().to_vec(),
@@ -465,7 +473,7 @@
 }
 
 /// An upstream as a balancer without the safeguard would see it.
-fn altered(upstream: Listed, mutant: Option<Mutant>) -> Option<Listed> {
+fn apply_mutant(upstream: Listed, mutant: Option<Mutant>) -> Option<Listed> {
     match (mutant, upstream.standing) {
         (Some(Mutant::MissingForgotten), Standing::Missing { .. }) => None,
         (Some(Mutant::DrainIgnored), Standing::Draining) => {
--- a/crates/fuzzing/src/direct/world/layout.rs
+++ b/crates/fuzzing/src/direct/world/layout.rs
@@ -5,18 +5,18 @@
 use steering::flow::FlowKey;
 use steering::view::{RegionStamp, Route, ServiceStamp, Share, ZoneStamp};
 
-/// How much there is in a world, and how rough it is.
+/// How much there is in a world, and how severe_faults it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
     pub(super) balancers: usize,
     pub(super) upstreams: usize,
     /// The first upstream of the second service.
-    pub(super) second_from: usize,
+    pub(super) second_service_from: usize,
     pub(super) callers: usize,
     /// Whether instances die and are cut off, upstreams are slow, and callers end their flows.
-    pub(super) rough: bool,
+    pub(super) severe_faults: bool,
     /// Whether routes change their services.
-    pub(super) moving: bool,
+    pub(super) moving_routes: bool,
     /// Whether all change is planned, and answers come in parts that callers acknowledge: an upstream that
     /// has left is replaced long after, so that many of those that are asked have just gone.
     pub(super) long_answers: bool,
@@ -27,36 +27,36 @@
     pub const SMALL: Self = Self {
         balancers: 3,
         upstreams: 7,
-        second_from: 4,
+        second_service_from: 4,
         callers: 24,
-        rough: false,
-        moving: false,
+        severe_faults: false,
+        moving_routes: false,
         long_answers: false,
     };
     /// As small, with routes that change their services.
-    pub const MOVING: Self = Self { moving: true, ..Self::SMALL };
-    /// As small, but rough, and with many flows at each upstream.
-    pub const CROWDED: Self = Self { callers: 120, rough: true, ..Self::SMALL };
+    pub const MOVING: Self = Self { moving_routes: true, ..Self::SMALL };
+    /// As small, but severe_faults, and with many flows at each upstream.
+    pub const CROWDED: Self = Self { callers: 120, severe_faults: true, ..Self::SMALL };
     /// The same with routes that change their services.
-    pub const CROWDED_MOVING: Self = Self { moving: true, ..Self::CROWDED };
+    pub const CROWDED_MOVING: Self = Self { moving_routes: true, ..Self::CROWDED };
     /// Over a hundred upstreams, and instances that die with them.
     pub const LARGE: Self = Self {
         balancers: 6,
         upstreams: 120,
-        second_from: 100,
+        second_service_from: 100,
         callers: 200,
-        rough: true,
-        moving: false,
+        severe_faults: true,
+        moving_routes: false,
         long_answers: false,
     };
     /// A whole service in planned change, with answers in parts.
     pub const LONG_ANSWERS: Self = Self {
         balancers: 6,
         upstreams: 48,
-        second_from: 36,
+        second_service_from: 36,
         callers: 200,
-        rough: false,
-        moving: false,
+        severe_faults: false,
+        moving_routes: false,
         long_answers: true,
     };
 }
@@ -67,7 +67,7 @@
 /// Shares of the services among which a route changes.
 pub(super) const SPLITS: [[u32; SERVICES_COUNT]; 4] = [[1, 0], [0, 1], [9, 1], [1, 3]];
 /// A service that no configuration names.
-pub(super) const FOREIGN_SERVICE: ServiceStamp = ServiceStamp(3);
+pub(super) const UNCONFIGURED_SERVICE: ServiceStamp = ServiceStamp(3);
 /// Availability zones; upstreams are spread over them in turn.
 pub(in crate::direct) const ZONES: usize = 3;
 /// Zones of the first region; the others are in the second.
@@ -86,7 +86,7 @@
     Ipv4Addr::from_bits(0x0a01_0001 + u32::try_from(balancer).unwrap_or_default())
 }
 
-pub(super) fn balancer_number(address: Ipv4Addr) -> usize {
+pub(super) fn balancer_index(address: Ipv4Addr) -> usize {
     (address.to_bits() - balancer_address(0).to_bits()) as usize
 }
 
@@ -94,11 +94,11 @@
     upstream % ZONES
 }
 
-pub(super) fn stamp(zone: usize) -> ZoneStamp {
+pub(super) fn zone_stamp(zone: usize) -> ZoneStamp {
     ZoneStamp(1 + u32::try_from(zone).unwrap_or_default())
 }
 
-pub(super) fn region(zone: usize) -> RegionStamp {
+pub(super) fn region_of(zone: usize) -> RegionStamp {
     REGIONS[usize::from(zone >= FIRST_REGION_ZONES)]
 }
 
@@ -106,21 +106,21 @@
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), [443, 8443][service])
 }
 
-pub(super) fn endpoint_number(flow: FlowKey) -> usize {
+pub(super) fn endpoint_index(flow: FlowKey) -> usize {
     usize::from(flow.endpoint == endpoint(1))
 }
 
 /// The route of an endpoint with these shares. That of the second one stays in the first region.
-pub(super) fn route(endpoint_number: usize, shares: [u32; SERVICES_COUNT]) -> Route {
+pub(super) fn route(endpoint_index: usize, shares: [u32; SERVICES_COUNT]) -> Route {
     let shares = SERVICES.into_iter().zip(shares);
     let shares = shares.map(|(service, weight)| Share { service, weight });
     Route {
-        endpoint: endpoint(endpoint_number),
+        endpoint: endpoint(endpoint_index),
         shares: shares.filter(|share| share.weight > 0).collect(),
         slo_ms: 0,
         wait_slos: 0,
         urgent: false,
         repeatable: true,
-        regions: REGIONS[..endpoint_number].into(),
+        regions: REGIONS[..endpoint_index].into(),
     }
 }
--- a/crates/fuzzing/src/direct/world/mod.rs
+++ b/crates/fuzzing/src/direct/world/mod.rs
@@ -19,8 +19,8 @@
 
 pub use layout::Size;
 use layout::{
-    FOREIGN_SERVICE, SERVICES, SPLITS, address, balancer_address, balancer_number, endpoint,
-    endpoint_number, region, route, stamp, upstream_of, zone_of,
+    SERVICES, SPLITS, UNCONFIGURED_SERVICE, address, balancer_address, balancer_index, endpoint,
+    endpoint_index, region_of, route, upstream_of, zone_of, zone_stamp,
 };
 pub(super) use layout::{SERVICES_COUNT, ZONES};
 
@@ -30,21 +30,21 @@
 
 /// Time after which an agent that was away is heard by everybody again: what a balancer knows of
 /// its silence may be half a second old.
-const HEARD_MS: u64 = 600;
+const REACHABLE_AFTER_MS: u64 = 600;
 /// Age at which a flow may be discarded.
 const FLOW_TTL_MS: u64 = 20_000;
 const TICK_MS: u64 = 20;
 /// Time for which a starting balancer waits for what others know.
-const ASK_OTHERS_MS: u64 = 100;
+const PEER_QUERY_MS: u64 = 100;
 /// Mean pause between two changes.
-const CHANGE_MS: u64 = 400;
+const CHANGE_INTERVAL_MS: u64 = 400;
 /// Time after a disturbance in which a flow may stay unfound.
-const CALM_MS: u64 = 5_000;
+const SETTLE_MS: u64 = 5_000;
 /// A balancer in touch has a change of the list in force after this time: an upstream that leaves, or
 /// whose availability zone is closed, gets no openings any more.
-const IN_FORCE_MS: u64 = 3_000;
+const PROPAGATION_MS: u64 = 3_000;
 /// The service whose cold upstreams are limited.
-const LIMITED: usize = 0;
+const LIMITED_SERVICE: usize = 0;
 /// Openings that a cold upstream of it bears in a second.
 const COLD_OPENINGS_PER_S: u32 = 5;
 /// Openings in a second that break the promise: the platform's rules grant half as many more, and five.
@@ -59,11 +59,11 @@
 pub(super) struct Packet {
     pub(super) segment: Segment,
     /// The life of the upstream whose number the caller acknowledges; zero before that.
-    pub(super) acknowledged_boot: u64,
+    pub(super) acknowledged_incarnation: u64,
 }
 
 /// A packet that is about no flow, for an agent's word that it lives.
-const BLANK: Packet = Packet {
+const EMPTY_PACKET: Packet = Packet {
     segment: Segment {
         flow: FlowKey {
             caller: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
@@ -75,31 +75,31 @@
         data_bytes: 0,
         last: false,
     },
-    acknowledged_boot: 0,
+    acknowledged_incarnation: 0,
 };
 
 #[derive(Clone, Debug)]
 enum Event {
-    Caller(usize),
+    CallerTimer(usize),
     ToBalancer(usize, Packet),
     ToAgent { balancer: usize, packet: Packet, to: Destination, report: bool },
     Ping { balancer: usize, upstream: usize },
-    Said { balancer: usize, upstream: usize, verdict: Verdict, packet: Packet },
-    Accepted { caller: usize, flow: FlowKey, upstream: usize, boot: u64 },
+    Reply { balancer: usize, upstream: usize, verdict: Verdict, packet: Packet },
+    Accepted { caller: usize, flow: FlowKey, upstream: usize, incarnation: u64 },
     Answered { caller: usize, flow: FlowKey },
     Part { caller: usize, flow: FlowKey, part: LongAnswer },
-    Resend { upstream: usize, boot: u64, flow: FlowKey, part: LongAnswer },
+    Resend { upstream: usize, incarnation: u64, flow: FlowKey, part: LongAnswer },
     ResetCaller { caller: usize, flow: FlowKey },
     Closed { caller: usize, flow: FlowKey },
-    Speaks { upstream: usize, boot: u64, packet: Packet },
-    LapseEntry { upstream: usize, boot: u64 },
+    SlowAnswer { upstream: usize, incarnation: u64, packet: Packet },
+    LapseEntry { upstream: usize, incarnation: u64 },
     Tick,
     Change,
-    List(usize),
+    ListArrives(usize),
     StartBalancer(usize),
     StartAgent(usize),
     StartUpstream(usize),
-    EndUpstream(usize),
+    StopUpstream(usize),
     Relist(usize),
     OpenZone(usize),
 }
@@ -108,7 +108,7 @@
     /// Whether it is a packet that waits for this balancer.
     fn is_for(&self, number: usize) -> bool {
         matches!(self,
-            Self::ToBalancer(balancer, _) | Self::Said { balancer, .. } if *balancer == number)
+            Self::ToBalancer(balancer, _) | Self::Reply { balancer, .. } if *balancer == number)
     }
 }
 
@@ -121,10 +121,10 @@
     up: bool,
     cut_until_ms: u64,
     paused_until_ms: u64,
-    whole_from_ms: u64,
+    complete_from_ms: u64,
     confirmed_ms: u64,
     /// Since when it runs, if no other balancer could tell it then what went before.
-    alone_since_ms: Option<u64>,
+    started_alone_ms: Option<u64>,
 }
 
 /// Everything there is.
@@ -140,7 +140,7 @@
     balancers: Vec<Balancer>,
     agents: Vec<Option<AgentCore>>,
     /// Until when each agent was or will be out of reach last.
-    away_until_ms: Vec<u64>,
+    unreachable_until_ms: Vec<u64>,
     upstreams: Vec<Upstream>,
     listed: Vec<Option<UpstreamRecord>>,
     callers: Vec<Caller>,
@@ -148,7 +148,7 @@
     routes: Arc<RouteTable>,
     /// Until when each endpoint's route led to each service: zero if it never did, the end of time if
     /// it does.
-    led_until_ms: [[u64; SERVICES_COUNT]; SERVICES_COUNT],
+    routed_until_ms: [[u64; SERVICES_COUNT]; SERVICES_COUNT],
     regions: Arc<Regions>,
     /// Since when each availability zone is closed, if it is, and otherwise open.
     closed_since_ms: [Option<u64>; ZONES],
@@ -156,17 +156,19 @@
     /// By how many new flows each upstream was passed over that could have taken them.
     passed_over: Vec<usize>,
     salt: u64,
-    boots: u64,
+    incarnations: u64,
     ports: u16,
-    disturbed_ms: u64,
+    disturbed_until_ms: u64,
 }
 
 impl World {
     /// A calm world in which all callers open their flows.
     pub fn new(size: Size, seed: u64, mutant: Option<Mutant>) -> Self {
         let route = |service: usize| route(service, SPLITS[service]);
-        let limited =
-            Service { stamp: SERVICES[LIMITED], cold_openings_per_ks: COLD_OPENINGS_PER_S * 1_000 };
+        let limited = Service {
+            stamp: SERVICES[LIMITED_SERVICE],
+            cold_openings_per_ks: COLD_OPENINGS_PER_S * 1_000,
+        };
         let limits = [limited].into_iter().filter(|_| mutant != Some(Mutant::ColdLimitIgnored));
 
         let mut world = Self {
@@ -179,21 +181,23 @@
             next_event: 0,
             balancers: Vec::new(),
             agents: Vec::new(),
-            away_until_ms: vec![0; size.upstreams],
+            unreachable_until_ms: vec![0; size.upstreams],
             upstreams: vec![Upstream::default(); size.upstreams],
             listed: vec![None; size.upstreams],
             callers: Vec::new(),
             packets: Vec::new(),
             routes: Arc::new(RouteTable::new(1, vec![route(0), route(1)], limits)),
-            led_until_ms: [[u64::MAX, 0], [0, u64::MAX]],
-            regions: Arc::new(Regions::new((0..ZONES).map(|zone| (stamp(zone), region(zone))))),
+            routed_until_ms: [[u64::MAX, 0], [0, u64::MAX]],
+            regions: Arc::new(Regions::new(
+                (0..ZONES).map(|zone| (zone_stamp(zone), region_of(zone))),
+            )),
             closed_since_ms: [None; ZONES],
             opened_since_ms: [0; ZONES],
             passed_over: vec![0; size.upstreams],
             salt: seed,
-            boots: 0,
+            incarnations: 0,
             ports: 1_024,
-            disturbed_ms: 0,
+            disturbed_until_ms: 0,
         };
         world.populate();
         world
@@ -213,25 +217,25 @@
     fn populate(&mut self) {
         for upstream in 0..self.size.upstreams {
             self.agents.push(None);
-            self.start_upstream(upstream, usize::from(upstream >= self.size.second_from));
+            self.start_upstream(upstream, usize::from(upstream >= self.size.second_service_from));
             self.start_agent(upstream);
         }
         for _ in 0..self.size.balancers {
-            let balancer = self.blank_balancer();
+            let balancer = self.new_balancer();
             self.balancers.push(balancer);
         }
         for caller in 0..self.size.callers {
             let flow = self.new_flow();
             self.callers.push(Caller::open(flow, 0));
-            self.at((caller % 24) as u64 * 7, Event::Caller(caller));
+            self.schedule((caller % 24) as u64 * 7, Event::CallerTimer(caller));
         }
-        self.at(TICK_MS, Event::Tick);
-        self.at(1_000, Event::Change);
+        self.schedule(TICK_MS, Event::Tick);
+        self.schedule(1_000, Event::Change);
     }
 
-    fn blank_balancer(&self) -> Balancer {
+    fn new_balancer(&self) -> Balancer {
         let mut membership = Membership::default();
-        self.fill(&mut membership);
+        self.fill_membership(&mut membership);
         let mut history = match self.now_ms {
             0 => History::from_first_start(FLOW_TTL_MS),
             now_ms => History::from_now(now_ms, FLOW_TTL_MS),
@@ -248,34 +252,36 @@
             up: true,
             cut_until_ms: 0,
             paused_until_ms: 0,
-            whole_from_ms: self.doubts_of_others(),
+            complete_from_ms: self.peers_complete_from_ms(),
             confirmed_ms: self.now_ms,
-            alone_since_ms: self.nobody_remembers().then_some(self.now_ms),
+            started_alone_ms: self.no_peer_has_history().then_some(self.now_ms),
         }
     }
 
     /// Whether no balancer in touch has run for longer than the time in which entries come back.
-    fn nobody_remembers(&self) -> bool {
+    fn no_peer_has_history(&self) -> bool {
         !self.balancers.iter().any(|balancer| {
             let in_touch = balancer.up && balancer.cut_until_ms <= self.now_ms;
-            let alone = balancer.alone_since_ms.is_some_and(|since| self.now_ms - since < CALM_MS);
+            let alone =
+                balancer.started_alone_ms.is_some_and(|since| self.now_ms - since < SETTLE_MS);
             in_touch && !alone
         })
     }
 
     /// What a starting balancer hears from the others within its first moments.
-    fn doubts_of_others(&self) -> u64 {
+    fn peers_complete_from_ms(&self) -> u64 {
         let in_touch = |balancer: &&Balancer| balancer.up && balancer.cut_until_ms <= self.now_ms;
-        let others = self.balancers.iter().filter(in_touch).map(|balancer| balancer.whole_from_ms);
-        others.max().unwrap_or(0).max(self.now_ms + ASK_OTHERS_MS)
+        let others =
+            self.balancers.iter().filter(in_touch).map(|balancer| balancer.complete_from_ms);
+        others.max().unwrap_or(0).max(self.now_ms + PEER_QUERY_MS)
     }
 
-    fn at(&mut self, delay_ms: u64, event: Event) {
+    fn schedule(&mut self, delay_ms: u64, event: Event) {
         self.next_event += 1;
         self.events.insert((self.now_ms + delay_ms, self.next_event), event);
     }
 
-    fn hop(&mut self) -> u64 {
+    fn network_delay_ms(&mut self) -> u64 {
         self.rng.random_range(1..4)
     }
 
@@ -287,29 +293,29 @@
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Caller(caller) => self.caller_acts(caller),
+            Event::CallerTimer(caller) => self.on_caller_timer(caller),
             Event::ToBalancer(balancer, packet) => self.at_balancer(balancer, packet),
             Event::ToAgent { balancer, packet, to, report } => {
                 self.at_agent(balancer, packet, to, report);
             }
-            Event::Ping { balancer, upstream } => self.at_pinged(balancer, upstream),
-            Event::Said { balancer, upstream, verdict, packet } => {
-                self.on_said(balancer, upstream, verdict, packet);
+            Event::Ping { balancer, upstream } => self.at_ping(balancer, upstream),
+            Event::Reply { balancer, upstream, verdict, packet } => {
+                self.on_reply(balancer, upstream, verdict, packet);
             }
-            Event::Accepted { caller, flow, upstream, boot } => {
+            Event::Accepted { caller, flow, upstream, incarnation } => {
                 if self.callers[caller].flow == flow {
-                    let packet = self.callers[caller].on_accept(self.now_ms, upstream, boot);
+                    let packet = self.callers[caller].on_accept(self.now_ms, upstream, incarnation);
                     self.send(caller, packet);
                 }
             }
             Event::Answered { caller, flow } => self.on_answered(caller, flow),
             Event::Part { caller, flow, part } => self.on_part(caller, flow, part),
-            Event::Resend { upstream, boot, flow, part } => {
-                self.resend(upstream, boot, flow, part);
+            Event::Resend { upstream, incarnation, flow, part } => {
+                self.resend(upstream, incarnation, flow, part);
             }
             Event::ResetCaller { caller, flow } => {
                 if self.callers[caller].flow == flow {
-                    self.reopen_later(caller);
+                    self.reopen_after_reset(caller);
                 }
             }
             Event::Closed { caller, flow } => {
@@ -318,35 +324,35 @@
                     self.reopen(caller);
                 }
             }
-            Event::Speaks { upstream, boot, packet } => {
-                if self.upstreams[upstream].boot == boot {
+            Event::SlowAnswer { upstream, incarnation, packet } => {
+                if self.upstreams[upstream].incarnation == incarnation {
                     self.answer_data(upstream, packet);
                 }
             }
-            Event::LapseEntry { upstream, boot } => self.lapse_entry(upstream, boot),
+            Event::LapseEntry { upstream, incarnation } => self.lapse_entry(upstream, incarnation),
             Event::Tick => self.tick(),
             Event::Change => self.change(),
-            Event::List(balancer) => self.take_list(balancer),
-            Event::StartBalancer(balancer) => self.balancers[balancer] = self.blank_balancer(),
+            Event::ListArrives(balancer) => self.receive_list(balancer),
+            Event::StartBalancer(balancer) => self.balancers[balancer] = self.new_balancer(),
             Event::StartAgent(upstream) => self.start_agent(upstream),
             Event::StartUpstream(upstream) => {
                 let service = self.upstreams[upstream].service;
                 self.start_upstream(upstream, service);
                 self.publish();
             }
-            Event::EndUpstream(upstream) => self.end_upstream(upstream),
+            Event::StopUpstream(upstream) => self.stop_upstream(upstream),
             Event::Relist(upstream) => self.relist(upstream),
             Event::OpenZone(zone) => self.open_zone(zone),
         }
     }
 
     fn on_answered(&mut self, caller: usize, flow: FlowKey) {
-        let rest_ms = self.rng.random_range(50..1_500);
+        let idle_ms = self.rng.random_range(50..1_500);
         let now_ms = self.now_ms;
         let current = &mut self.callers[caller];
-        if current.flow == flow && current.on_answer(now_ms, rest_ms) {
+        if current.flow == flow && current.on_answer(now_ms, idle_ms) {
             self.outcome.answered += 1;
-            self.at(rest_ms, Event::Caller(caller));
+            self.schedule(idle_ms, Event::CallerTimer(caller));
         }
     }
 
@@ -362,19 +368,19 @@
         }
     }
 
-    fn caller_acts(&mut self, caller: usize) {
+    fn on_caller_timer(&mut self, caller: usize) {
         if self.callers[caller].due_ms > self.now_ms {
             return;
         }
         let before = self.callers[caller].state;
-        if before == State::Resting && self.size.rough && self.rng.random_bool(0.1) {
+        if before == State::Idle && self.size.severe_faults && self.rng.random_bool(0.1) {
             let packet = self.callers[caller].end(self.now_ms);
             self.send(caller, Some(packet));
             return;
         }
-        let packet = self.callers[caller].act(self.now_ms);
+        let packet = self.callers[caller].on_timer(self.now_ms);
         if self.callers[caller].state == State::Ended {
-            self.judge_end(caller, before);
+            self.check_unanswered(caller, before);
             self.reopen(caller);
             return;
         }
@@ -382,23 +388,26 @@
     }
 
     /// A request that nobody answered: its flow must not live where nothing is disturbed.
-    fn judge_end(&mut self, caller: usize, before: State) {
-        if !matches!(before, State::Asking { .. } | State::Taking { .. } | State::Ending { .. }) {
+    fn check_unanswered(&mut self, caller: usize, before: State) {
+        if !matches!(
+            before,
+            State::Requesting { .. } | State::Receiving { .. } | State::Ending { .. }
+        ) {
             return;
         }
-        let calm = self.now_ms.saturating_sub(self.disturbed_ms) >= CALM_MS;
-        if calm && self.is_held(caller) && self.may_be_looked_for(caller) {
-            self.violate(Violation::FlowNotFound);
+        let undisturbed = self.now_ms.saturating_sub(self.disturbed_until_ms) >= SETTLE_MS;
+        if undisturbed && self.is_held(caller) && self.is_lookup_expected(caller) {
+            self.record_violation(Violation::FlowNotFound);
         }
     }
 
     /// Whether the flow is one that balancers owe to look for. A service that no route leads to may be
     /// another client account's: it is asked only where somebody knows that the flow's route has left it.
-    fn may_be_looked_for(&self, caller: usize) -> bool {
+    fn is_lookup_expected(&self, caller: usize) -> bool {
         let Caller { holder, flow, .. } = self.callers[caller];
         let Some((upstream, _)) = holder else { return false };
         let service = self.upstreams[upstream].service;
-        let routed = self.led_until_ms.iter().any(|led| led[service] == u64::MAX);
+        let routed = self.routed_until_ms.iter().any(|until_ms| until_ms[service] == u64::MAX);
         let knows = |balancer: &Balancer| {
             let mut former = balancer.history.former_services_of(self.now_ms, flow.endpoint);
             balancer.up && former.any(|known| known == SERVICES[service])
@@ -408,20 +417,22 @@
 
     fn is_held(&self, caller: usize) -> bool {
         let caller = &self.callers[caller];
-        let holds =
-            |(upstream, boot): (usize, u64)| self.upstreams[upstream].holds(caller.flow, boot);
-        let may_be_discarded = self.size.moving && self.now_ms - caller.opened_ms >= FLOW_TTL_MS;
+        let holds = |(upstream, incarnation): (usize, u64)| {
+            self.upstreams[upstream].holds(caller.flow, incarnation)
+        };
+        let may_be_discarded =
+            self.size.moving_routes && self.now_ms - caller.opened_ms >= FLOW_TTL_MS;
         caller.holder.is_some_and(holds) && !may_be_discarded
     }
 
     /// Whether the agent beside this upstream is there and everybody could have heard it.
     fn is_reachable(&self, upstream: usize) -> bool {
-        let was_away = self.away_until_ms[upstream] + HEARD_MS > self.now_ms;
+        let was_away = self.unreachable_until_ms[upstream] + REACHABLE_AFTER_MS > self.now_ms;
         self.agents[upstream].is_some() && !was_away
     }
 
-    fn is_cut(&self, upstream: usize) -> bool {
-        self.away_until_ms[upstream] > self.now_ms
+    fn is_cut_off(&self, upstream: usize) -> bool {
+        self.unreachable_until_ms[upstream] > self.now_ms
     }
 
     fn reopen(&mut self, caller: usize) {
@@ -429,7 +440,7 @@
     }
 
     /// A caller that was rejected waits a while before it tries again.
-    fn reopen_later(&mut self, caller: usize) {
+    fn reopen_after_reset(&mut self, caller: usize) {
         let rejected = matches!(self.callers[caller].state, State::Opening { .. });
         let pause_ms = if rejected { self.rng.random_range(50..250) } else { 0 };
         self.reopen_after(caller, pause_ms);
@@ -438,20 +449,20 @@
     fn reopen_after(&mut self, caller: usize, pause_ms: u64) {
         let flow = self.new_flow();
         self.callers[caller] = Caller::open(flow, self.now_ms + pause_ms);
-        self.at(pause_ms, Event::Caller(caller));
+        self.schedule(pause_ms, Event::CallerTimer(caller));
     }
 
     fn send(&mut self, caller: usize, packet: Option<Packet>) {
         let Some(packet) = packet else { return };
         let due_ms = self.callers[caller].due_ms;
-        self.at(due_ms.saturating_sub(self.now_ms), Event::Caller(caller));
+        self.schedule(due_ms.saturating_sub(self.now_ms), Event::CallerTimer(caller));
         let port = u64::from(packet.segment.flow.caller.port());
         let balancer = (port.wrapping_mul(0x9e37_79b9).wrapping_add(self.salt) >> 7) as usize;
-        let delay_ms = self.hop();
-        self.at(delay_ms, Event::ToBalancer(balancer % self.size.balancers, packet));
+        let delay_ms = self.network_delay_ms();
+        self.schedule(delay_ms, Event::ToBalancer(balancer % self.size.balancers, packet));
     }
 
-    fn violate(&mut self, violation: Violation) {
+    fn record_violation(&mut self, violation: Violation) {
         self.outcome.violations.push((self.now_ms, violation));
     }
 }
