--- a/crates/fuzzing/tests/direct.rs
+++ b/crates/fuzzing/tests/direct.rs
@@ -8,7 +8,7 @@
 const EPISODES: u64 = 40;
 
 /// Plays an episode that breaks no promise; where it does, the changes before the first are named.
-fn unbroken(size: Size, seed: u64) -> Outcome {
+fn play_without_violation(size: Size, seed: u64) -> Outcome {
     let outcome = play_at(size, seed, LENGTH_MS, None);
     let first = outcome.violations.first().map_or(0, |(at_ms, _)| *at_ms);
     let before: Vec<_> = outcome.played.iter().filter(|(at_ms, _)| *at_ms <= first).collect();
@@ -21,7 +21,7 @@
 fn promises_hold() {
     let (mut answered, mut resets) = (0, 0);
     for seed in 1..=EPISODES {
-        let outcome = unbroken(Size::SMALL, seed);
+        let outcome = play_without_violation(Size::SMALL, seed);
         answered += outcome.answered;
         resets += outcome.resets;
     }
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn episodes_repeat() {
+fn same_seed_same_episode() {
     assert_eq!(play(7, 20_000, None), play(7, 20_000, None));
 }
 
@@ -48,12 +48,12 @@
 #[case::history_not_learnt(Size::MOVING, Mutant::HistoryNotLearnt, Violation::LivingFlowReset)]
 #[case::old_routes_kept(Size::MOVING, Mutant::OldRoutesKept, Violation::OpeningAtFormerService)]
 #[case::zone_never_opened(Size::CROWDED, Mutant::ZoneNeverOpened, Violation::UpstreamPassedOver)]
-fn mutant_is_caught(#[case] size: Size, #[case] mutant: Mutant, #[case] promise: Violation) {
-    let broken = |seed| {
+fn mutant_is_detected(#[case] size: Size, #[case] mutant: Mutant, #[case] promise: Violation) {
+    let is_detected = |seed| {
         let outcome = play_at(size, seed, LENGTH_MS, Some(mutant));
         outcome.violations.iter().any(|(_, violation)| *violation == promise)
     };
-    assert!((1..=EPISODES).any(broken));
+    assert!((1..=EPISODES).any(is_detected));
 }
 
 /// The same with routes that change their services.
@@ -62,7 +62,7 @@
 #[case::crowded(Size::CROWDED_MOVING)]
 fn promises_hold_where_routes_change(#[case] size: Size) {
     for seed in 1..=EPISODES {
-        let outcome = unbroken(size, seed);
+        let outcome = play_without_violation(size, seed);
         assert!(outcome.answered > 500, "seed {seed}: traffic flows: {}", outcome.answered);
     }
 }
@@ -73,10 +73,10 @@
 #[rstest]
 #[case::crowded(Size::CROWDED, 40)]
 #[case::large(Size::LARGE, 4)]
-fn promises_hold_in_a_rough_world(#[case] size: Size, #[case] episodes: u64) {
+fn promises_hold_under_severe_faults(#[case] size: Size, #[case] episodes: u64) {
     let mut resets = 0;
     for seed in 1..=episodes {
-        let outcome = unbroken(size, seed);
+        let outcome = play_without_violation(size, seed);
         assert!(outcome.answered > 1_000, "seed {seed}: traffic flows: {}", outcome.answered);
         resets += outcome.resets;
     }
@@ -85,9 +85,9 @@
 
 /// The same with answers in parts that callers acknowledge, while thirds of a service leave.
 #[test]
-fn promises_hold_in_long_answers() {
+fn promises_hold_with_long_answers() {
     for seed in 1..=EPISODES {
-        let outcome = unbroken(Size::LONG_ANSWERS, seed);
+        let outcome = play_without_violation(Size::LONG_ANSWERS, seed);
         assert!(outcome.answered > 10_000, "seed {seed}: traffic flows: {}", outcome.answered);
     }
 }
@@ -99,9 +99,9 @@
 #[case::third(Size::CROWDED, 82054)]
 #[case::fourth(Size::CROWDED, 82142)]
 #[case::with_power_lost(Size::CROWDED, 3_000_284)]
-#[case::with_routes_that_move(Size::CROWDED_MOVING, 500_221)]
-fn cold_upstream_is_held_to_its_limit_by_its_agent(#[case] size: Size, #[case] seed: u64) {
-    unbroken(size, seed);
+#[case::with_moving_routes(Size::CROWDED_MOVING, 500_221)]
+fn agent_enforces_cold_limit(#[case] size: Size, #[case] seed: u64) {
+    play_without_violation(size, seed);
 }
 
 /// A third of a service leaves, and callers in the middle of a long answer send bare acknowledgements only.
@@ -112,20 +112,20 @@
 #[case::fourth(77)]
 #[case::fifth(85)]
 fn acknowledgements_reach_their_upstream(#[case] seed: u64) {
-    unbroken(Size::LONG_ANSWERS, seed);
+    play_without_violation(Size::LONG_ANSWERS, seed);
 }
 
 /// A balancer stood still with an opening, and refused its copy when it woke: the flow was open by then.
 #[rstest]
 #[case::limited_on_waking(81454)]
 #[case::all_cold_on_waking(80423)]
-fn copy_of_an_opening_that_waited_resets_no_flow(#[case] seed: u64) {
-    unbroken(Size::CROWDED, seed);
+fn delayed_opening_copy_resets_no_flow(#[case] seed: u64) {
+    play_without_violation(Size::CROWDED, seed);
 }
 
 /// A flow is half open at the upstream that answered one balancer, and open at another's.
 #[rstest]
-#[case::mute_to_its_ending(90950)]
-fn flow_is_found_beside_a_half_open_one(#[case] seed: u64) {
-    unbroken(Size::CROWDED, seed);
+#[case::unresponsive_upstream_while_closing(90950)]
+fn open_flow_is_found_despite_half_open_copy(#[case] seed: u64) {
+    play_without_violation(Size::CROWDED, seed);
 }
--- a/crates/fuzzing/tests/mended.rs
+++ b/crates/fuzzing/tests/mended.rs
@@ -25,8 +25,8 @@
 #[rstest]
 #[case::dead_flows_fill_the_upstream(181)]
 #[case::witnesses_restart(645)]
-#[case::closing_flow_believed(197)]
-#[case::told_to_end_and_kept(171)]
+#[case::closing_flow_taken_for_holder(197)]
+#[case::told_to_stop_but_kept(171)]
 #[case::relearned_but_never_ran(205)]
 #[case::opening_never_answered(129)]
 #[case::opening_never_answered_in_planned_change(1350)]
@@ -34,8 +34,8 @@
 #[case::late_reset_cuts_a_later_flow(1101)]
 #[case::late_copies_and_a_late_reset(518)]
 #[case::late_reset_hides_a_later_flow(275)]
-#[case::end_of_a_relearned_flow_untold(90417060)]
-#[case::end_in_the_last_moment_untold(90418104)]
+#[case::end_of_a_relearned_flow_not_reported(90417060)]
+#[case::end_in_the_last_moment_not_reported(90418104)]
 #[case::refused_opening_relearned(405)]
 #[case::ended_flows_fill_the_service(90418283)]
 #[case::ended_flows_fill_a_service_of_four(1030)]
@@ -43,12 +43,12 @@
 #[case::answered_datagrams_fill_the_service(90417810)]
 #[case::answered_datagrams_fill_the_only_active_upstream(200986)]
 #[case::next_connection_after_a_reset(90417772)]
-#[case::unsure_agent_keeps_back_what_it_was_told(300851)]
+#[case::restarted_agent_withholds_learned_flow(300851)]
 #[case::opening_overtakes_a_lookup(297)]
-#[case::full_of_flows_that_ended_unseen(201247)]
+#[case::full_of_flows_with_unseen_end(201247)]
 #[case::full_of_flows_in_planned_change(201356)]
 #[case::full_of_flows_after_many_faults(400)]
-fn mended_episode(#[case] seed: u64) {
+fn fixed_episode(#[case] seed: u64) {
     check(seed);
 }
 
@@ -59,7 +59,7 @@
 #[case::agents_restart(200557)]
 #[case::not_traced(300035)]
 #[case::not_traced_either(617)]
-fn flow_on_ports_of_a_lost_end(#[case] seed: u64) {
+fn flow_on_reused_ports_after_unseen_end(#[case] seed: u64) {
     check(seed);
 }
 
@@ -70,6 +70,6 @@
 #[case::died_before_it_announced(704)]
 #[case::died_and_another_redeployed(1303)]
 #[case::holder_redeployed_while_cut_off(201362)]
-fn flow_between_two_unsure_agents(#[case] seed: u64) {
+fn flow_between_two_restarted_agents(#[case] seed: u64) {
     check(seed);
 }
--- a/crates/fuzzing/tests/mutants.rs
+++ b/crates/fuzzing/tests/mutants.rs
@@ -20,14 +20,14 @@
 #[case::quorum_of_one(Mutant::QuorumOfOne)]
 #[case::drain_ignored(Mutant::DrainIgnored)]
 #[case::adopt_always(Mutant::AdoptAlways)]
-fn caught(#[case] mutant: Mutant) {
+fn mutant_is_detected(#[case] mutant: Mutant) {
     let case = CASES.into_iter().find(|case| case.mutant == mutant).expect("an entry");
     let detection = detect(case, STEPS_MAX).expect("a broken promise");
     println!("{mutant:?} caught after {} steps: {}", detection.steps, detection.promise);
 }
 
 /// A caller's packets go by settings that list an upstream whose host now runs another service.
-fn reused_host() -> Vec<Step> {
+fn host_reused_by_other_service() -> Vec<Step> {
     let publish = |service, change| Step::Publish { service, change, pick: 0, lag_ms: 0 };
     let mut steps = vec![
         publish(0, Change::Drain),
@@ -45,7 +45,7 @@
 }
 
 /// All agents but one stand still, and the balancer sends everything to that one.
-fn one_agent_left() -> Vec<Step> {
+fn one_agent_running() -> Vec<Step> {
     let mut steps = vec![Step::Open { pick: 0 }; 10];
     steps.push(Step::Advance { ms: 2_000 });
     let pause = |host: u8| Step::Pause { pick: 1 + host, lasts_ms: 5_000 };
@@ -58,9 +58,9 @@
 
 /// What chance does not reach within bounded steps is written down as a trace.
 #[rstest]
-#[case::service_not_checked(Mutant::ServiceNotChecked, vec![3, 3], reused_host(), "2")]
-#[case::reset_in_doubt(Mutant::ResetInDoubt, vec![7], one_agent_left(), "1: an open flow")]
-fn caught_by_trace(
+#[case::service_not_checked(Mutant::ServiceNotChecked, vec![3, 3], host_reused_by_other_service(), "2")]
+#[case::reset_in_doubt(Mutant::ResetInDoubt, vec![7], one_agent_running(), "1: an open flow")]
+fn mutant_is_detected_by_trace(
     #[case] mutant: Mutant,
     #[case] sizes: Vec<usize>,
     #[case] steps: Vec<Step>,
--- a/crates/fuzzing/tests/oracle.rs
+++ b/crates/fuzzing/tests/oracle.rs
@@ -21,8 +21,8 @@
 const DIED: Observation = Observation::UpstreamDied { upstream: 1 };
 const CLOSED: Observation = Observation::Closed { request: ONE };
 const REFUSED: Observation = Observation::Refused { request: ONE, promise: REFUSE };
-const TOLD: Observation = Observation::Told { agent: 11, leaving: true };
-const TAKEN_BACK: Observation = Observation::Told { agent: 11, leaving: false };
+const DRAIN_LEARNED: Observation = Observation::Told { agent: 11, leaving: true };
+const DRAIN_CANCELLED: Observation = Observation::Told { agent: 11, leaving: false };
 
 /// All but the last are seen at time zero, the last one at `late_ms`.
 fn check(seen: &[Observation], late_ms: u64, expected: Option<&str>) {
@@ -56,38 +56,38 @@
     &[Observation::Fault, ran(ADMIT, 1), ESTABLISHED, ran(ADMIT, 2), BROKEN],
     Some("1")
 )]
-#[case::opened_anew_after_death(&[Observation::Fault, ran(ADMIT, 1), DIED, ran(ADMIT, 2)], None)]
+#[case::reopened_after_death(&[Observation::Fault, ran(ADMIT, 1), DIED, ran(ADMIT, 2)], None)]
 #[case::twice_at_one_upstream(&[ran(REFUSE, 1), ran(REFUSE, 1)], Some("3"))]
 #[case::twice_at_two(&[Observation::Fault, ran(REFUSE, 1), ran(REFUSE, 2)], Some("3"))]
-#[case::twice_over_two_lives(
+#[case::twice_over_two_incarnations(
     &[Observation::Fault, ran(REFUSE, 1), DIED, ran(REFUSE, 2)],
     Some("3")
 )]
 #[case::handshake_renewed(&[ran(REFUSE_TCP, 1), ran(REFUSE_TCP, 1)], None)]
-#[case::accepted_then_again(&[ran(REFUSE_TCP, 1), ESTABLISHED, ran(REFUSE_TCP, 1)], Some("3"))]
+#[case::run_again_after_accepted(&[ran(REFUSE_TCP, 1), ESTABLISHED, ran(REFUSE_TCP, 1)], Some("3"))]
 #[case::handshake_at_two(&[Observation::Fault, ran(REFUSE_TCP, 1), ran(REFUSE_TCP, 2)], Some("3"))]
 #[case::refused_after_run(&[ran(REFUSE, 1), REFUSED], Some("4"))]
 #[case::run_after_refused(&[REFUSED, ran(REFUSE, 1)], Some("4"))]
 #[case::refused_twice(&[REFUSED, REFUSED], None)]
 #[case::view_forward(&[view(1, 3), view(1, 3), view(1, 4)], None)]
 #[case::view_back(&[view(1, 3), view(1, 2)], Some("7"))]
-#[case::view_of_other_life(&[view(1, 3), view(2, 2)], None)]
-#[case::flows_from_nowhere(&[tables(3, 2, 0)], Some("8"))]
+#[case::view_of_other_incarnation(&[view(1, 3), view(2, 2)], None)]
+#[case::more_flows_than_begun(&[tables(3, 2, 0)], Some("8"))]
 #[case::too_many_held(&[tables(0, 0, 1 << 20)], Some("8"))]
-#[case::tables_well(&[tables(2, 2, 1)], None)]
+#[case::tables_within_bounds(&[tables(2, 2, 1)], None)]
 #[case::stuck(&[ran(ADMIT, 1), ESTABLISHED, Observation::Stuck { request: ONE }], Some("1"))]
-fn judged_at_once(#[case] seen: &[Observation], #[case] expected: Option<&str>) {
+fn immediate_verdict(#[case] seen: &[Observation], #[case] expected: Option<&str>) {
     check(seen, 0, expected);
 }
 
 #[rstest]
-#[case::soon(&[TOLD, ran(ADMIT, 1)], DRAIN_MS, None)]
-#[case::late(&[TOLD, ran(ADMIT, 1)], DRAIN_MS + 1, Some("5"))]
-#[case::late_elsewhere(&[TOLD, ran(ADMIT, 2)], DRAIN_MS + 1, None)]
-#[case::late_assigned(&[TOLD, assigned(ADMIT, 1)], DRAIN_MS + 1, Some("5"))]
-#[case::late_by_recorded_claim(&[TOLD, assigned(REFUSE, 1)], DRAIN_MS + 1, None)]
-#[case::drain_taken_back(&[TOLD, TAKEN_BACK, ran(ADMIT, 1)], DRAIN_MS + 1, None)]
-fn judged_draining(
+#[case::within_limit(&[DRAIN_LEARNED, ran(ADMIT, 1)], DRAIN_MS, None)]
+#[case::after_limit(&[DRAIN_LEARNED, ran(ADMIT, 1)], DRAIN_MS + 1, Some("5"))]
+#[case::after_limit_elsewhere(&[DRAIN_LEARNED, ran(ADMIT, 2)], DRAIN_MS + 1, None)]
+#[case::after_limit_assigned(&[DRAIN_LEARNED, assigned(ADMIT, 1)], DRAIN_MS + 1, Some("5"))]
+#[case::after_limit_by_recorded_claim(&[DRAIN_LEARNED, assigned(REFUSE, 1)], DRAIN_MS + 1, None)]
+#[case::drain_cancelled(&[DRAIN_LEARNED, DRAIN_CANCELLED, ran(ADMIT, 1)], DRAIN_MS + 1, None)]
+fn verdict_on_draining_upstream(
     #[case] seen: &[Observation],
     #[case] late_ms: u64,
     #[case] expected: Option<&str>,
