--- a/crates/fuzzing/src/direct/caller.rs
+++ b/crates/fuzzing/src/direct/caller.rs
@@ -1,61 +1,62 @@
-//! A caller: opens a flow, sends requests one after the other, repeats what is not answered.
+//! Simulated caller: opens a flow, sends one request after another and retransmits what is not
+//! answered.
 
 use steering::flow::{FlowKey, Segment, SegmentKind};
 
 use super::upstream;
 use super::world::Packet;
 
-/// Copies of an opening after these times.
+/// Delays after which an unanswered opening is retransmitted.
 const OPENING_COPY_DELAYS_MS: [u64; 2] = [200, 600];
-/// An opening without an answer is given up after this time.
+/// Time after which an unanswered opening is abandoned.
 const OPENING_TIMEOUT_MS: u64 = 1_400;
-/// First pause before data is repeated; it doubles.
+/// Delay before the first retransmission of data; doubles with each further one.
 const RETRANSMIT_MIN_MS: u64 = 200;
-/// Longest pause.
+/// Maximum delay between retransmissions.
 const RETRANSMIT_MAX_MS: u64 = 1_600;
-/// A request is given up after this time.
+/// Time after which an unanswered request is abandoned.
 const REQUEST_TIMEOUT_MS: u64 = 4_000;
-/// An answer of which no further part comes is given up after this time: the platform's bound on packets
-/// that do not reach their flow's upstream.
+/// Time after which an answer is abandoned if no further part arrives. It is the platform's bound
+/// on how long packets may fail to reach their flow's upstream.
 const PART_TIMEOUT_MS: u64 = 2_000;
-/// Bytes of a request.
+/// Size of a request.
 const REQUEST_BYTES: u16 = 100;
 
-/// Where a caller stands.
+/// State of a caller's flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// It has sent `copies` openings since `since_ms`.
+    /// Has sent the opening `copies` times since `since_ms`.
     Opening { since_ms: u64, copies: u32 },
-    /// It waits for an answer.
+    /// Waits for the answer to a request.
     Requesting { since_ms: u64, pause_ms: u64 },
-    /// It has a part of its answer, and acknowledges each further one.
+    /// Has received a part of its answer; acknowledges each further one.
     Receiving { since_ms: u64 },
-    /// It has an answer, and pauses.
+    /// Has received the whole answer; pauses before the next request.
     Idle,
-    /// It ends the flow, and waits for the upstream's word.
+    /// Has closed the flow; waits for the upstream's confirmation.
     Ending { since_ms: u64, pause_ms: u64 },
-    /// It has ended this flow.
+    /// The flow is closed or abandoned.
     Ended,
 }
 
-/// One caller with its present flow.
+/// A caller and its current flow.
 #[derive(Clone, Debug)]
 pub(super) struct Caller {
     pub(super) flow: FlowKey,
     pub(super) state: State,
-    /// The upstream's address index and life that the caller has acknowledged.
+    /// Index and incarnation of the upstream that the caller has acknowledged.
     pub(super) holder: Option<(usize, u64)>,
-    /// When the caller has to act next.
+    /// When the caller acts next.
     pub(super) due_ms: u64,
     /// When the flow was opened.
     pub(super) opened_ms: u64,
     sequence: u32,
-    /// Bytes of answers in parts that it has taken on this flow.
+    /// Bytes received on this flow in answers that come in parts.
     received_bytes: u32,
 }
 
 impl Caller {
-    /// A caller that opens a flow now.
+    /// Creates a caller that opens a flow now.
     pub(super) fn open(flow: FlowKey, now_ms: u64) -> Self {
         Self {
             flow,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// What the caller sends now that its time has come.
+    /// Handles the caller's timer; returns the packet that it sends, if any.
     pub(super) fn on_timer(&mut self, now_ms: u64) -> Option<Packet> {
         match self.state {
             State::Opening { since_ms, copies } => self.send_opening(now_ms, since_ms, copies),
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Takes an answer to its opening; the first one counts.
+    /// Handles an answer to the opening. Only the first one counts.
     pub(super) fn on_accept(
         &mut self,
         now_ms: u64,
@@ -110,7 +111,8 @@
         Some(self.send_request(now_ms))
     }
 
-    /// Takes an answer to its data, and rests for a while.
+    /// Handles an answer to a request, after which the caller is idle for a while. Returns false if
+    /// it was not waiting for one.
     pub(super) fn on_answer(&mut self, now_ms: u64, idle_ms: u64) -> bool {
         if !matches!(self.state, State::Requesting { .. } | State::Receiving { .. }) {
             return false;
@@ -120,7 +122,8 @@
         true
     }
 
-    /// Takes a part of an answer that ends with this byte, and acknowledges all that it has.
+    /// Handles the part of an answer that ends at this byte, and acknowledges all bytes received so
+    /// far.
     pub(super) fn on_part(&mut self, now_ms: u64, end_bytes: u32) -> Option<Packet> {
         if !matches!(self.state, State::Requesting { .. } | State::Receiving { .. } | State::Idle) {
             return None;
@@ -133,7 +136,7 @@
         Some(self.packet(SegmentKind::Later, self.sequence + u32::from(REQUEST_BYTES), 0))
     }
 
-    /// Ends a flow that rests.
+    /// Closes an idle flow.
     pub(super) fn end(&mut self, now_ms: u64) -> Packet {
         self.state = State::Ending { since_ms: now_ms, pause_ms: RETRANSMIT_MIN_MS };
         self.due_ms = now_ms + RETRANSMIT_MIN_MS;
@@ -166,7 +169,7 @@
         self.packet(SegmentKind::Later, self.sequence, REQUEST_BYTES)
     }
 
-    /// The next pause before the same packet goes out again; `None` where the caller gives up.
+    /// Returns the delay before the same packet is sent again, or `None` if the caller gives up.
     fn back_off(&mut self, now_ms: u64, since_ms: u64, pause_ms: u64) -> Option<u64> {
         if now_ms - since_ms >= REQUEST_TIMEOUT_MS {
             self.state = State::Ended;
--- a/crates/fuzzing/src/direct/mod.rs
+++ b/crates/fuzzing/src/direct/mod.rs
@@ -1,7 +1,7 @@
-//! Fuzzing of the direct-return path: balancers and agents of [`steering`] between callers and
-//! upstreams of a model, under planned change and faults, against the promises.
+//! Fuzzing of the direct-return path: balancers and agents of [`steering`] run between simulated
+//! callers and upstreams, under planned changes and faults, and the promises are checked.
 //!
-//! The model shares no code with what it checks. One seed gives one episode, always the same.
+//! The simulation shares no code with what it checks. The same seed always gives the same episode.
 
 mod caller;
 mod plan;
@@ -12,68 +12,68 @@
 
 pub use plan::Change;
 
-/// A promise that was broken.
+/// A violated promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// A balancer reset a flow that its upstream holds.
+    /// A balancer reset a flow that its upstream still holds.
     LivingFlowReset,
-    /// An upstream got an opening of another service.
+    /// An upstream received an opening for another service.
     WrongService,
-    /// An upstream got an opening long after it had begun to leave.
+    /// An upstream received an opening long after it had started draining.
     OpeningOnLeaving,
-    /// A living flow was not found for seconds, though nothing was disturbed.
+    /// A live flow was not found for seconds, although nothing disturbed the world.
     FlowNotFound,
-    /// An upstream got an opening long after its availability zone was closed.
+    /// An upstream received an opening long after its availability zone was closed.
     OpeningInClosedZone,
-    /// An upstream that takes new flows was passed over by very many.
+    /// An upstream that accepts new flows was passed over by too many of them.
     UpstreamPassedOver,
-    /// A cold upstream got more openings in a second than it bears.
+    /// A cold upstream received more openings in a second than its limit allows.
     ColdLimitExceeded,
-    /// An upstream got an opening of a route that does not allow its region.
+    /// An upstream received an opening for a route that does not allow its region.
     RegionNotAllowed,
-    /// An upstream got an opening long after its route had left its service.
+    /// An upstream received an opening long after the route had left its service.
     OpeningAtFormerService,
 }
 
-/// A safeguard taken out, to see that the promises catch it.
+/// A safeguard that is removed, to verify that the promises detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
-    /// Resets are sent where a proof is missing.
+    /// Balancers reset a flow without proof that no upstream holds it.
     ResetWithoutProof,
-    /// Agents deliver packets of other services.
+    /// Agents deliver packets that are meant for other services.
     ServiceNotChecked,
-    /// Balancers take draining upstreams for ready.
+    /// Balancers treat draining upstreams as ready.
     DrainIgnored,
-    /// Balancers forget an upstream as soon as its entry goes.
+    /// Balancers forget an upstream as soon as its entry disappears.
     MissingForgotten,
-    /// Balancers look for no flow that they do not know.
+    /// Balancers never ask agents for the holder of an unknown flow.
     NeverAsked,
     /// Balancers place new flows in closed availability zones.
     ClosedZoneIgnored,
     /// Balancers never learn that an availability zone is open again.
     ZoneNeverOpened,
-    /// Balancers name no limit of cold upstreams.
+    /// Balancers announce no limit for cold upstreams.
     ColdLimitIgnored,
     /// Balancers place new flows in any region.
     RegionIgnored,
-    /// Balancers forget which services routes have left.
+    /// Balancers forget which services a route has left.
     FormerServicesForgotten,
-    /// Balancers that start anew do not ask others which services routes have left.
+    /// Balancers do not ask others on start which services routes have left.
     HistoryNotLearnt,
-    /// Balancers never learn of changes of routes.
+    /// Balancers never learn of changed routes.
     OldRoutesKept,
 }
 
-/// How an episode ended.
+/// Result of an episode.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// Promises broken, with the time and the change before.
+    /// Violated promises, each with the simulated time.
     pub violations: Vec<(u64, Violation)>,
-    /// Requests answered.
+    /// Number of requests answered.
     pub answered: u64,
-    /// Flows that balancers reset.
+    /// Number of flows that balancers reset.
     pub resets: u64,
-    /// Changes played, with their times.
+    /// Changes applied, each with its time.
     pub played: Vec<(u64, Change)>,
 }
 
@@ -88,7 +88,7 @@
     play_at(Size::SMALL, seed, length_ms, mutant)
 }
 
-/// The same in a world of another size.
+/// Like [`play`], in a world of another size.
 ///
 /// ```
 /// use fuzzing::direct::{Size, play_at};
--- a/crates/fuzzing/src/direct/plan.rs
+++ b/crates/fuzzing/src/direct/plan.rs
@@ -1,4 +1,4 @@
-//! What happens to the world besides traffic.
+//! Changes and faults that are injected into the world.
 
 use rand::{Rng, RngExt as _};
 
@@ -7,49 +7,50 @@
 /// A planned change or a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The fabric spreads flows anew over the balancers.
+    /// The network fabric distributes flows over the balancers by a new hash.
     Reshuffle,
-    /// A balancer ends and starts without memory.
+    /// A balancer restarts without its state.
     RestartBalancer(usize),
-    /// A balancer hears nothing of membership for some time.
+    /// A balancer receives no membership updates for some time.
     CutBalancer(usize),
-    /// A balancer stands still and wakes up with all packets waiting.
+    /// A balancer is paused, and handles the packets that queued up when it resumes.
     PauseBalancer(usize),
-    /// An agent ends, and starts some time later without memory.
+    /// An agent terminates, and starts some time later without its state.
     RestartAgent(usize),
-    /// An upstream loses everything, and starts anew some time later.
+    /// An upstream crashes, and starts some time later without its flows.
     CrashUpstream(usize),
-    /// An upstream leaves as planned; its address goes to the other service.
+    /// An upstream is drained as planned; its address is reused by the other service.
     DrainUpstream(usize),
-    /// A third of a service's upstreams leave at once, as planned.
+    /// A third of a service's upstreams are drained at once, as planned.
     ScaleIn(usize),
-    /// An availability zone takes no new flows for some time.
+    /// An availability zone accepts no new flows for some time.
     CloseZone(usize),
-    /// A route gets other services, or other shares of them.
+    /// A route changes to other services, or to other shares of them.
     MoveRoute(usize),
-    /// The published list loses entries of upstreams that live, for two seconds.
+    /// Entries of running upstreams are missing from the published list for up to two seconds.
     Lapse,
-    /// All balancers and agents end and start without memory.
+    /// All balancers and agents restart without their state.
     LoseAllMemory,
-    /// An upstream dies with its instance; its entry stays listed until it lapses, and it starts
-    /// anew after that.
+    /// An upstream fails together with its instance. Its entry stays listed until it expires, and
+    /// the upstream starts again after that.
     KillInstance(usize),
-    /// An agent is cut off from everybody for some time; its upstream lives on.
+    /// An agent is unreachable for some time, while its upstream keeps running.
     CutAgent(usize),
-    /// An upstream takes long for each answer for some time.
+    /// An upstream answers slowly for some time.
     SlowUpstream(usize),
-    /// All processes and upstreams end. Most are back soon; the others' entries stay listed until
-    /// they lapse.
+    /// All processes and upstreams terminate. Most are back soon; entries of the others stay listed
+    /// until they expire.
     LosePower,
 }
 
-/// In a world whose routes change their services, the next change is such a one now and then.
+/// Draws whether the next change moves a route, and which one. For worlds whose routes change their
+/// services.
 pub(super) fn draw_move(rng: &mut impl Rng) -> Option<Change> {
     let moves = rng.random_bool(0.25);
     moves.then(|| Change::MoveRoute(rng.random_range(0..SERVICES_COUNT)))
 }
 
-/// Draws the next change of a world in which all is planned.
+/// Draws the next change of a world with planned changes only.
 pub(super) fn draw_planned(rng: &mut impl Rng, upstreams: usize) -> Change {
     match rng.random_range(0..10) {
         0..=5 => Change::Reshuffle,
@@ -59,7 +60,7 @@
     }
 }
 
-/// Draws the next change of a severe_faults world.
+/// Draws the next change of a world with severe faults.
 pub(super) fn draw_severe(rng: &mut impl Rng, balancers: usize, upstreams: usize) -> Change {
     let upstream = rng.random_range(0..upstreams);
     match rng.random_range(0..24) {
@@ -71,7 +72,7 @@
     }
 }
 
-/// Draws the next change.
+/// Draws the next change of any other world.
 pub(super) fn draw(rng: &mut impl Rng, balancers: usize, upstreams: usize) -> Change {
     let balancer = rng.random_range(0..balancers);
     let upstream = rng.random_range(0..upstreams);
--- a/crates/fuzzing/src/direct/world/changes.rs
+++ b/crates/fuzzing/src/direct/world/changes.rs
@@ -1,4 +1,4 @@
-//! What changes in the world, and how its parts learn of it.
+//! Changes of the world, and how balancers and agents learn of them.
 
 use rand::RngExt as _;
 use std::sync::Arc;
@@ -16,12 +16,13 @@
 use crate::direct::upstream::Upstream;
 use crate::direct::{Change, Mutant, plan};
 
-/// Time until the address of an upstream that has left is used again.
+/// Time after which the address of an upstream that has left is reused.
 const ADDRESS_REUSE_MS: u64 = 2_000;
-/// The same where nothing waits for the instance: longer than its entry lingers.
+/// The same in worlds with long answers, where nothing waits for the instance: longer than the
+/// upstream's entry lingers.
 const LATE_ADDRESS_REUSE_MS: u64 = 7_000;
 
-/// Of so many upstreams of a service that is scaled in, one leaves.
+/// When a service is scaled in, one of this many upstreams leaves.
 const SCALE_IN_DIVISOR: usize = 3;
 
 impl World {
@@ -81,7 +82,7 @@
 
     pub(super) fn change(&mut self) {
         let delay_ms = self.rng.random_range(1..2 * CHANGE_INTERVAL_MS);
-        // Now and then the world is left alone, so that what must calm down can be judged.
+        // Occasionally leaves the world undisturbed for long enough to check what must recover.
         let pause_ms = if self.rng.random_bool(0.05) { 2 * SETTLE_MS } else { 0 };
         self.schedule(delay_ms + pause_ms, Event::Change);
         let Size { balancers, upstreams, severe_faults, moving_routes, long_answers, .. } =
@@ -120,7 +121,7 @@
             Change::PauseBalancer(balancer) => {
                 let for_ms = self.rng.random_range(100..4_000);
                 let until_ms = &mut self.balancers[balancer].paused_until_ms;
-                // What has come meanwhile waits until the end of the longest pause.
+                // Packets that arrive meanwhile wait until the end of the longest pause.
                 *until_ms = (*until_ms).max(self.now_ms + for_ms);
                 self.disturbed_until_ms = self.disturbed_until_ms.max(self.now_ms + for_ms);
             }
@@ -156,7 +157,7 @@
         }
     }
 
-    /// A new configuration, which is in force at each balancer with its next list.
+    /// Publishes a new configuration, which takes effect at each balancer with its next list.
     fn move_route(&mut self, endpoint_index: usize) {
         let shares = SPLITS[self.rng.random_range(0..SPLITS.len())];
         for (until_ms, weight) in self.routed_until_ms[endpoint_index].iter_mut().zip(shares) {
@@ -174,7 +175,7 @@
         self.publish();
     }
 
-    /// At least one zone stays open.
+    /// Closes a zone for some time, unless it is the last open one.
     fn close_zone(&mut self, zone: usize) {
         let closed = self.closed_since_ms.iter().flatten().count();
         if self.closed_since_ms[zone].is_some() || closed + 1 >= ZONES {
@@ -192,7 +193,7 @@
         self.publish();
     }
 
-    /// The upstream's entry lapses after some seconds; then it starts anew, with its agent.
+    /// Stops an upstream and its agent. After some seconds its entry expires, and both start again.
     fn kill_instance(&mut self, upstream: usize) {
         if self.upstreams[upstream].draining_since_ms.is_some()
             || self.upstreams[upstream].incarnation == 0
@@ -230,7 +231,7 @@
         }
     }
 
-    /// What waits for a process is lost with it.
+    /// Restarts a balancer. Packets that wait for the process are lost with it.
     fn restart_balancer(&mut self, balancer: usize) {
         self.balancers[balancer].up = false;
         self.events.retain(|_, event| !event.is_for(balancer));
@@ -267,7 +268,8 @@
         leaving.into_iter().for_each(|upstream| self.drain(upstream));
     }
 
-    /// At least two upstreams of a service stay, as operators keep it.
+    /// Starts draining an upstream. At least two upstreams of each service stay, as operators
+    /// ensure.
     fn drain(&mut self, upstream: usize) {
         let service = self.upstreams[upstream].service;
         let staying = |other: &&Upstream| {
@@ -286,7 +288,8 @@
         self.schedule(delay_ms, Event::StopUpstream(upstream));
     }
 
-    /// The address goes to the other service after some seconds, with an agent of its own.
+    /// Stops a drained upstream. The other service reuses the address after some seconds, with a
+    /// new agent.
     pub(super) fn stop_upstream(&mut self, upstream: usize) {
         if !self.upstreams[upstream].has_no_open_flows() && self.rng.random_bool(0.5) {
             self.schedule(500, Event::StopUpstream(upstream));
@@ -305,8 +308,8 @@
         self.schedule(reuse_ms + 1, Event::StartUpstream(upstream));
     }
 
-    /// Entries of upstreams that live go, and come back within two seconds. Balancers notice the
-    /// outage that is behind it: they cannot reach the configuration service.
+    /// Removes entries of running upstreams, which come back within two seconds. Balancers notice
+    /// the outage behind it, because they can't reach the configuration service.
     fn lapse(&mut self) {
         for upstream in 0..self.size.upstreams {
             if self.upstreams[upstream].incarnation > 0 && self.rng.random_bool(0.5) {
@@ -329,7 +332,7 @@
         self.publish();
     }
 
-    /// What an upstream says of itself.
+    /// The entry that an upstream publishes.
     fn entry(&self, upstream: usize) -> UpstreamRecord {
         let Upstream { incarnation, service, draining_since_ms, cold_until_ms, .. } =
             self.upstreams[upstream];
@@ -345,8 +348,8 @@
         }
     }
 
-    /// The entries of upstreams, and for each address one that another writer has put there: it names a
-    /// service that there is not, and must hide nobody.
+    /// The published entries of upstreams, and for each address an entry by another writer. That
+    /// one names a service that does not exist, and must not hide any upstream.
     pub(super) fn published(&self) -> Vec<UpstreamRecord> {
         let foreign = (0..self.size.upstreams).map(|upstream| UpstreamRecord {
             id: format!("x-{upstream}").into(),
@@ -362,14 +365,15 @@
         listed.chain(foreign).collect()
     }
 
-    /// Upstreams write their entries again and again while they are cold.
+    /// Remaining warm-up time of an entry: upstreams keep rewriting their entries while they are
+    /// cold.
     fn cold_for_ms(&self, record: &UpstreamRecord) -> u64 {
         let Upstream { incarnation, cold_until_ms, .. } =
             self.upstreams[upstream_of(record.address)];
         if incarnation == record.born_ms { cold_until_ms.saturating_sub(self.now_ms) } else { 0 }
     }
 
-    /// The list reaches each balancer at another moment.
+    /// Publishes the list, which reaches each balancer after a delay of its own.
     pub(super) fn publish(&mut self) {
         for balancer in 0..self.size.balancers {
             let delay_ms = self.rng.random_range(1..30);
@@ -391,7 +395,8 @@
         self.balancers[balancer].membership = membership;
     }
 
-    /// Versions that came while the balancer was cut off are known to others only.
+    /// Updates a balancer's routes. Versions that were published while it was cut off are known to
+    /// other balancers only.
     fn update_routes(&mut self, balancer: usize) {
         if self.mutant == Some(Mutant::OldRoutesKept) {
             return;
@@ -412,7 +417,7 @@
         learner.history = history;
     }
 
-    /// What balancers in touch tell of services that routes have left.
+    /// Merges what balancers in touch know of services that routes have left.
     pub(super) fn learn_history(&self, history: &mut History, current_until_ms: u64) {
         if self.mutant == Some(Mutant::HistoryNotLearnt) {
             *history = History::default();
@@ -436,7 +441,8 @@
         membership.replace(self.now_ms, &self.published(), closed);
     }
 
-    /// What a balancer makes of its list, without the safeguard that is taken out.
+    /// The view that a balancer derives from its list, without the safeguard that the mutant
+    /// removes.
     pub(super) fn view_of(
         &self,
         membership: &Membership,
@@ -472,7 +478,7 @@
     RouteTable::new(table.version, routes, table.services().iter().copied())
 }
 
-/// An upstream as a balancer without the safeguard would see it.
+/// An upstream as a balancer without the removed safeguard sees it.
 fn apply_mutant(upstream: Listed, mutant: Option<Mutant>) -> Option<Listed> {
     match (mutant, upstream.standing) {
         (Some(Mutant::MissingForgotten), Standing::Missing { .. }) => None,
--- a/crates/fuzzing/src/direct/world/layout.rs
+++ b/crates/fuzzing/src/direct/world/layout.rs
@@ -1,29 +1,30 @@
-//! What a world is made of: sizes, names and addresses, services and their routes.
+//! Layout of a world: sizes, names, addresses, services and their routes.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use steering::flow::FlowKey;
 use steering::view::{RegionStamp, Route, ServiceStamp, Share, ZoneStamp};
 
-/// How much there is in a world, and how severe_faults it is.
+/// Size of a world, and the kinds of changes in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
     pub(super) balancers: usize,
     pub(super) upstreams: usize,
-    /// The first upstream of the second service.
+    /// Index of the first upstream of the second service.
     pub(super) second_service_from: usize,
     pub(super) callers: usize,
-    /// Whether instances die and are cut off, upstreams are slow, and callers end their flows.
+    /// Whether instances fail and are cut off, upstreams are slow, and callers close their flows.
     pub(super) severe_faults: bool,
     /// Whether routes change their services.
     pub(super) moving_routes: bool,
-    /// Whether all change is planned, and answers come in parts that callers acknowledge: an upstream that
-    /// has left is replaced long after, so that many of those that are asked have just gone.
+    /// Whether all changes are planned and answers come in parts that callers acknowledge. The
+    /// address of an upstream that has left is reused only long after, so that many of the
+    /// upstreams that are asked for a flow have just left.
     pub(super) long_answers: bool,
 }
 
 impl Size {
-    /// A few of each, with all planned changes and the loss of memory.
+    /// A few of each, with all planned changes and the loss of state.
     pub const SMALL: Self = Self {
         balancers: 3,
         upstreams: 7,
@@ -33,13 +34,13 @@
         moving_routes: false,
         long_answers: false,
     };
-    /// As small, with routes that change their services.
+    /// Like `SMALL`, with routes that change their services.
     pub const MOVING: Self = Self { moving_routes: true, ..Self::SMALL };
-    /// As small, but severe_faults, and with many flows at each upstream.
+    /// Like `SMALL`, with severe faults and many flows at each upstream.
     pub const CROWDED: Self = Self { callers: 120, severe_faults: true, ..Self::SMALL };
-    /// The same with routes that change their services.
+    /// Like `CROWDED`, with routes that change their services.
     pub const CROWDED_MOVING: Self = Self { moving_routes: true, ..Self::CROWDED };
-    /// Over a hundred upstreams, and instances that die with them.
+    /// Over a hundred upstreams, with severe faults.
     pub const LARGE: Self = Self {
         balancers: 6,
         upstreams: 120,
@@ -49,7 +50,7 @@
         moving_routes: false,
         long_answers: false,
     };
-    /// A whole service in planned change, with answers in parts.
+    /// A large service under planned changes only, with answers in parts.
     pub const LONG_ANSWERS: Self = Self {
         balancers: 6,
         upstreams: 48,
@@ -61,16 +62,16 @@
     };
 }
 
-/// Number of services; each has a route of its own at first.
+/// Number of services. Initially each has a route of its own.
 pub(in crate::direct) const SERVICES_COUNT: usize = 2;
 pub(super) const SERVICES: [ServiceStamp; SERVICES_COUNT] = [ServiceStamp(1), ServiceStamp(2)];
-/// Shares of the services among which a route changes.
+/// The splits of a route's traffic between the services that route changes choose from.
 pub(super) const SPLITS: [[u32; SERVICES_COUNT]; 4] = [[1, 0], [0, 1], [9, 1], [1, 3]];
-/// A service that no configuration names.
+/// A service that is not configured.
 pub(super) const UNCONFIGURED_SERVICE: ServiceStamp = ServiceStamp(3);
-/// Availability zones; upstreams are spread over them in turn.
+/// Number of availability zones. Upstreams are assigned to them round-robin.
 pub(in crate::direct) const ZONES: usize = 3;
-/// Zones of the first region; the others are in the second.
+/// Number of zones in the first region; the others are in the second.
 const FIRST_REGION_ZONES: usize = 2;
 const REGIONS: [RegionStamp; 2] = [RegionStamp(1), RegionStamp(2)];
 
@@ -110,7 +111,8 @@
     usize::from(flow.endpoint == endpoint(1))
 }
 
-/// The route of an endpoint with these shares. That of the second one stays in the first region.
+/// Route of an endpoint with these shares. The first endpoint's route allows all regions, the
+/// second one's only the first region.
 pub(super) fn route(endpoint_index: usize, shares: [u32; SERVICES_COUNT]) -> Route {
     let shares = SERVICES.into_iter().zip(shares);
     let shares = shares.map(|(service, weight)| Share { service, weight });
--- a/crates/fuzzing/src/direct/world/mod.rs
+++ b/crates/fuzzing/src/direct/world/mod.rs
@@ -1,4 +1,5 @@
-//! The world: an order of events, the processes of the core, and the oracle.
+//! Simulated world of the direct-return path: an event queue, the core's balancers and agents, and
+//! the checks of the promises.
 
 mod changes;
 mod layout;
@@ -28,41 +29,43 @@
 use super::upstream::{LongAnswer, Upstream};
 use super::{Mutant, Outcome, Violation};
 
-/// Time after which an agent that was away is heard by everybody again: what a balancer knows of
-/// its silence may be half a second old.
+/// Time after which an agent that was unreachable counts as reachable by all balancers again: a
+/// balancer's knowledge that it is unresponsive may be half a second old.
 const REACHABLE_AFTER_MS: u64 = 600;
-/// Age at which a flow may be discarded.
+/// Age from which on a flow may be discarded.
 const FLOW_TTL_MS: u64 = 20_000;
 const TICK_MS: u64 = 20;
-/// Time for which a starting balancer waits for what others know.
+/// Time for which a starting balancer waits for the other balancers' answers.
 const PEER_QUERY_MS: u64 = 100;
-/// Mean pause between two changes.
+/// Mean interval between two changes.
 const CHANGE_INTERVAL_MS: u64 = 400;
-/// Time after a disturbance in which a flow may stay unfound.
+/// Time for the world to recover from a disturbance. Until then a flow may not be found.
 const SETTLE_MS: u64 = 5_000;
-/// A balancer in touch has a change of the list in force after this time: an upstream that leaves, or
-/// whose availability zone is closed, gets no openings any more.
+/// Time after which a change of the list is in effect at every balancer in touch: an upstream that
+/// is draining, or whose availability zone is closed, receives no more openings.
 const PROPAGATION_MS: u64 = 3_000;
-/// The service whose cold upstreams are limited.
+/// Index of the service whose cold upstreams have a limit.
 const LIMITED_SERVICE: usize = 0;
-/// Openings that a cold upstream of it bears in a second.
+/// Limit of a cold upstream of this service, in openings per second.
 const COLD_OPENINGS_PER_S: u32 = 5;
-/// Openings in a second that break the promise: the platform's rules grant half as many more, and five.
+/// Maximum number of openings in any second that keeps the promise. The platform's rules allow half
+/// as many again as the limit, plus five.
 const COLD_OPENINGS_MAX: usize = 12;
 /// Time for which an upstream is cold after its start.
 const COLD_MS: u64 = 2_000;
-/// New flows by which an upstream may be passed over, for each upstream that may take them.
+/// Maximum number of consecutive new flows that may pass over an upstream, per running upstream of
+/// its service.
 const PASSED_OVER_MAX: usize = 20;
 
 /// A caller's packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Packet {
     pub(super) segment: Segment,
-    /// The life of the upstream whose number the caller acknowledges; zero before that.
+    /// Incarnation of the upstream whose sequence number the caller acknowledges; zero before that.
     pub(super) acknowledged_incarnation: u64,
 }
 
-/// A packet that is about no flow, for an agent's word that it lives.
+/// A packet of no flow, for an agent's report that it is alive.
 const EMPTY_PACKET: Packet = Packet {
     segment: Segment {
         flow: FlowKey {
@@ -123,13 +126,13 @@
     paused_until_ms: u64,
     complete_from_ms: u64,
     confirmed_ms: u64,
-    /// Since when it runs, if no other balancer could tell it then what went before.
+    /// When it started, if no other balancer could then tell it what happened before.
     started_alone_ms: Option<u64>,
 }
 
-/// Everything there is.
+/// State of the simulation.
 pub struct World {
-    /// What has come of it so far.
+    /// Result so far.
     pub outcome: Outcome,
     size: Size,
     rng: Pcg64Mcg,
@@ -139,21 +142,22 @@
     next_event: u64,
     balancers: Vec<Balancer>,
     agents: Vec<Option<AgentCore>>,
-    /// Until when each agent was or will be out of reach last.
+    /// Until when each agent is unreachable, or was most recently.
     unreachable_until_ms: Vec<u64>,
     upstreams: Vec<Upstream>,
     listed: Vec<Option<UpstreamRecord>>,
     callers: Vec<Caller>,
     packets: Vec<Packet>,
     routes: Arc<RouteTable>,
-    /// Until when each endpoint's route led to each service: zero if it never did, the end of time if
-    /// it does.
+    /// Until when each endpoint's route led to each service: zero if it never did, `u64::MAX` if it
+    /// still does.
     routed_until_ms: [[u64; SERVICES_COUNT]; SERVICES_COUNT],
     regions: Arc<Regions>,
-    /// Since when each availability zone is closed, if it is, and otherwise open.
+    /// Since when each availability zone is closed, if it is, and since when it is open otherwise.
     closed_since_ms: [Option<u64>; ZONES],
     opened_since_ms: [u64; ZONES],
-    /// By how many new flows each upstream was passed over that could have taken them.
+    /// Number of consecutive new flows that passed over each upstream although it could have
+    /// accepted them.
     passed_over: Vec<usize>,
     salt: u64,
     incarnations: u64,
@@ -162,7 +166,7 @@
 }
 
 impl World {
-    /// A calm world in which all callers open their flows.
+    /// Creates an undisturbed world in which all callers open their flows.
     pub fn new(size: Size, seed: u64, mutant: Option<Mutant>) -> Self {
         let route = |service: usize| route(service, SPLITS[service]);
         let limited = Service {
@@ -203,7 +207,7 @@
         world
     }
 
-    /// Plays for so many milliseconds.
+    /// Runs the simulation until `length_ms`.
     pub fn run(&mut self, length_ms: u64) {
         while let Some(((at_ms, _), event)) = self.events.pop_first() {
             if at_ms > length_ms {
@@ -258,7 +262,7 @@
         }
     }
 
-    /// Whether no balancer in touch has run for longer than the time in which entries come back.
+    /// Whether no balancer in touch has run for longer than missing entries take to come back.
     fn no_peer_has_history(&self) -> bool {
         !self.balancers.iter().any(|balancer| {
             let in_touch = balancer.up && balancer.cut_until_ms <= self.now_ms;
@@ -268,7 +272,8 @@
         })
     }
 
-    /// What a starting balancer hears from the others within its first moments.
+    /// Returns from when on a starting balancer's list counts as complete, as the other balancers
+    /// report within its first moments.
     fn peers_complete_from_ms(&self) -> u64 {
         let in_touch = |balancer: &&Balancer| balancer.up && balancer.cut_until_ms <= self.now_ms;
         let others =
@@ -356,7 +361,8 @@
         }
     }
 
-    /// The acknowledgement goes out before the caller rests, so that the upstream hears of the last part.
+    /// The acknowledgement is sent before the caller becomes idle, so that the upstream receives
+    /// the one for the last part too.
     fn on_part(&mut self, caller: usize, flow: FlowKey, part: LongAnswer) {
         if self.callers[caller].flow != flow {
             return;
@@ -387,7 +393,8 @@
         self.send(caller, packet);
     }
 
-    /// A request that nobody answered: its flow must not live where nothing is disturbed.
+    /// Checks a request that was never answered: unless the world was disturbed, its upstream must
+    /// not hold the flow.
     fn check_unanswered(&mut self, caller: usize, before: State) {
         if !matches!(
             before,
@@ -401,8 +408,9 @@
         }
     }
 
-    /// Whether the flow is one that balancers owe to look for. A service that no route leads to may be
-    /// another client account's: it is asked only where somebody knows that the flow's route has left it.
+    /// Whether balancers must look for the flow. A service that no route leads to may belong to
+    /// another client account, so its upstreams are asked only if a balancer knows that the flow's
+    /// route has left the service.
     fn is_lookup_expected(&self, caller: usize) -> bool {
         let Caller { holder, flow, .. } = self.callers[caller];
         let Some((upstream, _)) = holder else { return false };
@@ -425,10 +433,12 @@
         caller.holder.is_some_and(holds) && !may_be_discarded
     }
 
-    /// Whether the agent beside this upstream is there and everybody could have heard it.
+    /// Whether the agent beside this upstream runs and has been reachable long enough for all
+    /// balancers to know.
     fn is_reachable(&self, upstream: usize) -> bool {
-        let was_away = self.unreachable_until_ms[upstream] + REACHABLE_AFTER_MS > self.now_ms;
-        self.agents[upstream].is_some() && !was_away
+        let was_unreachable =
+            self.unreachable_until_ms[upstream] + REACHABLE_AFTER_MS > self.now_ms;
+        self.agents[upstream].is_some() && !was_unreachable
     }
 
     fn is_cut_off(&self, upstream: usize) -> bool {
@@ -439,7 +449,7 @@
         self.reopen_after(caller, 0);
     }
 
-    /// A caller that was rejected waits a while before it tries again.
+    /// A caller whose opening was reset waits a while before it opens another flow.
     fn reopen_after_reset(&mut self, caller: usize) {
         let rejected = matches!(self.callers[caller].state, State::Opening { .. });
         let pause_ms = if rejected { self.rng.random_range(50..250) } else { 0 };
--- a/crates/fuzzing/src/direct/world/packets.rs
+++ b/crates/fuzzing/src/direct/world/packets.rs
@@ -1,4 +1,4 @@
-//! The way of a packet: balancer, agent, upstream and back.
+//! Path of a packet: from a balancer through an agent to an upstream, and back.
 
 use std::net::SocketAddrV4;
 
@@ -27,7 +27,8 @@
         self.apply(balancer, packet, actions);
     }
 
-    /// Packets for a balancer that is down are lost; those for one that is paused wait.
+    /// Reschedules an event for a paused balancer, and returns true if the balancer can't handle it
+    /// now. Packets for a balancer that is down are lost.
     fn defer(&mut self, balancer: usize, event: Event) -> bool {
         let Balancer { up, paused_until_ms, .. } = self.balancers[balancer];
         if up && paused_until_ms > self.now_ms {
@@ -86,9 +87,9 @@
             return;
         };
         let Balancer { cut_until_ms, started_alone_ms, .. } = self.balancers[balancer];
-        // Where all memory was lost at once, within seconds of an outage of the configuration service,
-        // nobody can know which entries are missing. The platform's rules count a process as in touch
-        // four seconds after its start.
+        // If all balancers lost their state at once, within seconds of an outage of the
+        // configuration service, none can know which entries are missing. The platform's rules
+        // count a process as in touch four seconds after its start.
         let informed = started_alone_ms.is_none_or(|since| self.now_ms - since >= SETTLE_MS);
         let reachable = self.callers[caller].holder.is_some_and(|(at, _)| self.is_reachable(at));
         if cut_until_ms <= self.now_ms && informed && reachable && self.is_held(caller) {
@@ -144,12 +145,12 @@
             Delivery::RateLimited { for_ms } => {
                 self.send_reply(balancer, upstream, Verdict::RateLimited { for_ms }, packet);
             }
-            // Without known slots nothing waits.
+            // Nothing is queued as long as the number of slots is unknown.
             Delivery::Queued => {}
         }
     }
 
-    /// An agent that is there says so.
+    /// A running agent replies that it is alive.
     pub(super) fn at_ping(&mut self, balancer: usize, upstream: usize) {
         if let Some(agent) = &mut self.agents[upstream] {
             agent.note_reply_sent(balancer_address(balancer));
@@ -204,7 +205,7 @@
         }
     }
 
-    /// A slow upstream takes its time, and says nothing meanwhile.
+    /// Answers a request. A slow upstream does so later, and sends nothing meanwhile.
     fn answer_when_done(&mut self, upstream: usize, packet: Packet) {
         let Upstream { incarnation, slow_until_ms, .. } = self.upstreams[upstream];
         if slow_until_ms <= self.now_ms {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// The upstream takes an acknowledgement, and sends what may follow.
+    /// Passes an acknowledgement to the upstream, and sends the part that may follow.
     fn acknowledge(&mut self, upstream: usize, packet: Packet) {
         let Packet { segment, acknowledged_incarnation } = packet;
         let target = &mut self.upstreams[upstream];
@@ -255,7 +256,7 @@
         }
     }
 
-    /// A part goes to the caller through the agent, and again if it is not acknowledged.
+    /// Sends a part through the agent to the caller, and schedules its retransmission.
     fn send_part(&mut self, upstream: usize, flow: FlowKey, part: LongAnswer) {
         let incarnation = self.upstreams[upstream].incarnation;
         self.schedule(part.pause_ms(), Event::Resend { upstream, incarnation, flow, part });
@@ -322,7 +323,7 @@
         route.is_some_and(|route| route.regions.is_empty() || route.regions.contains(&region))
     }
 
-    /// Any second counts, wherever it begins.
+    /// Checks the limit of a cold upstream over every window of a second.
     fn check_cold_limit(&mut self, upstream: usize) {
         let target = &mut self.upstreams[upstream];
         let count = target.count_opening(self.now_ms);
@@ -332,9 +333,10 @@
         }
     }
 
-    /// An upstream that may take new flows gets its share of them sooner or later.
+    /// Checks that an upstream which may accept new flows eventually gets its share of them.
     ///
-    /// How many flows a service gets is not known where routes change.
+    /// Does not apply where routes change, because the number of flows of each service is then
+    /// unknown.
     fn check_spread(&mut self, opened: usize) {
         if self.size.moving_routes {
             return;
@@ -360,7 +362,7 @@
         }
     }
 
-    /// Whether all balancers know that this upstream takes new flows.
+    /// Whether all balancers know that this upstream accepts new flows.
     fn accepts_flows(&self, upstream: usize) -> bool {
         let target = &self.upstreams[upstream];
         let zone = zone_of(upstream);
@@ -374,7 +376,7 @@
         let is_known =
             self.balancers.iter().all(|b| b.cut_until_ms + PROPAGATION_MS <= self.now_ms);
         let is_ready = is_up && is_warm && is_fast && is_known;
-        // An agent that has just started takes a warm upstream for cold.
+        // An agent that has just started treats a warm upstream as cold.
         let is_settled = self.unreachable_until_ms[upstream] + PROPAGATION_MS <= self.now_ms;
         let is_allowed = self.is_allowed(upstream, endpoint(target.service));
         is_open && is_ready && is_settled && self.is_reachable(upstream) && is_allowed
