--- a/crates/fuzzing/tests/campaign.rs
+++ b/crates/fuzzing/tests/campaign.rs
@@ -1,4 +1,4 @@
-//! Long runs in small: fixed seeds, the same verdict every time.
+//! Short campaigns with fixed seeds, so that every run has the same result.
 
 use fuzzing::campaign::{self, Limits};
 use fuzzing::world::Defects;
--- a/crates/fuzzing/tests/decoder.rs
+++ b/crates/fuzzing/tests/decoder.rs
@@ -1,4 +1,4 @@
-//! Any bytes given to a decoder are a value or an error, and a value is what the bytes say.
+//! Decoding any bytes gives a value or an error, and encoding the value gives the same bytes.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
--- a/crates/fuzzing/tests/direct.rs
+++ b/crates/fuzzing/tests/direct.rs
@@ -1,13 +1,15 @@
-//! Episodes of the direct-return path: the promises hold, and each safeguard is needed for them.
+//! Episodes of the direct-return path: the promises hold, and every safeguard is necessary for
+//! them.
 
 use fuzzing::direct::{Mutant, Outcome, Size, Violation, play, play_at};
 use rstest::rstest;
 
-/// A minute of each world: about 150 changes, planned and unplanned, two or three at a time.
+/// One simulated minute: about 150 changes, planned and unplanned, two or three at a time.
 const LENGTH_MS: u64 = 60_000;
 const EPISODES: u64 = 40;
 
-/// Plays an episode that breaks no promise; where it does, the changes before the first are named.
+/// Plays an episode and asserts that it violates no promise. If it does, the message names the last
+/// changes before the first violation.
 fn play_without_violation(size: Size, seed: u64) -> Outcome {
     let outcome = play_at(size, seed, LENGTH_MS, None);
     let first = outcome.violations.first().map_or(0, |(at_ms, _)| *at_ms);
@@ -34,7 +36,7 @@
     assert_eq!(play(7, 20_000, None), play(7, 20_000, None));
 }
 
-/// Without the safeguard, some episode of this world breaks the promise that it is there for.
+/// Without the safeguard, some episode of this world violates the promise that depends on it.
 #[rstest]
 #[case::reset_without_proof(Size::SMALL, Mutant::ResetWithoutProof, Violation::LivingFlowReset)]
 #[case::service_not_checked(Size::CROWDED, Mutant::ServiceNotChecked, Violation::WrongService)]
@@ -56,7 +58,7 @@
     assert!((1..=EPISODES).any(is_detected));
 }
 
-/// The same with routes that change their services.
+/// The promises also hold with routes that change their services.
 #[rstest]
 #[case::small(Size::MOVING)]
 #[case::crowded(Size::CROWDED_MOVING)]
@@ -67,9 +69,9 @@
     }
 }
 
-/// The same with instances that die and stay listed, agents that are cut off, upstreams that take
-/// seconds for an answer, and losses of power after which some do not come back: many flows at each
-/// of a few upstreams, and over a hundred upstreams.
+/// The promises also hold with instances that fail and stay listed, agents that are cut off,
+/// upstreams that take seconds for an answer, and power losses after which some processes stay
+/// down. One world has a few upstreams with many flows each, the other over a hundred upstreams.
 #[rstest]
 #[case::crowded(Size::CROWDED, 40)]
 #[case::large(Size::LARGE, 4)]
@@ -83,7 +85,8 @@
     assert!(resets > episodes, "lost flows are told: {resets}");
 }
 
-/// The same with answers in parts that callers acknowledge, while thirds of a service leave.
+/// The promises also hold with answers in parts that callers acknowledge, while thirds of a service
+/// are drained.
 #[test]
 fn promises_hold_with_long_answers() {
     for seed in 1..=EPISODES {
@@ -92,7 +95,8 @@
     }
 }
 
-/// Most balancers are cut off with an old view, and an upstream has started after its agent.
+/// Guards against too many openings at a cold upstream while most balancers are cut off with an
+/// outdated view, and the upstream has started after its agent.
 #[rstest]
 #[case::two_of_three_cut_off(Size::CROWDED, 81806)]
 #[case::second(Size::CROWDED, 81561)]
@@ -104,7 +108,8 @@
     play_without_violation(size, seed);
 }
 
-/// A third of a service leaves, and callers in the middle of a long answer send bare acknowledgements only.
+/// Guards against acknowledgements that do not reach their upstream: a third of a service is
+/// drained, and callers in the middle of a long answer send nothing but bare acknowledgements.
 #[rstest]
 #[case::first(16)]
 #[case::second(43)]
@@ -115,7 +120,8 @@
     play_without_violation(Size::LONG_ANSWERS, seed);
 }
 
-/// A balancer stood still with an opening, and refused its copy when it woke: the flow was open by then.
+/// Guards against the reset of an open flow by a balancer that was paused with an opening: when it
+/// resumed, it refused the opening's copy although the flow was open by then.
 #[rstest]
 #[case::limited_on_waking(81454)]
 #[case::all_cold_on_waking(80423)]
@@ -123,7 +129,8 @@
     play_without_violation(Size::CROWDED, seed);
 }
 
-/// A flow is half open at the upstream that answered one balancer, and open at another's.
+/// Guards against an open flow that is not found: one upstream, which answered one balancer, has it
+/// half open, and the upstream of another balancer has it open.
 #[rstest]
 #[case::unresponsive_upstream_while_closing(90950)]
 fn open_flow_is_found_despite_half_open_copy(#[case] seed: u64) {
--- a/crates/fuzzing/tests/known_red.rs
+++ b/crates/fuzzing/tests/known_red.rs
@@ -1,5 +1,6 @@
-//! Episodes that break a promise for a real fault which is not mended yet, a function for each family. Listed
-//! in `KNOWN-RED.txt`; the gate passes over them and prints them. They are mended first.
+//! Episodes that violate a promise because of a fault that is not fixed yet, one function for each
+//! kind of fault. `KNOWN-RED.txt` lists them; the gate skips them and prints them. They are to be
+//! fixed first.
 
 use fuzzing::campaign;
 use fuzzing::direct::{self, Size};
@@ -11,9 +12,10 @@
     assert_eq!(outcome.violation, None);
 }
 
-/// A caller's open flow gets no answer for a minute. Its holder's agent died right after it had taken the
-/// flow, and another agent of the service was restarted within the last minute: each says that it may
-/// hold the flow without knowing, and a packet delivered at the wrong one would reset it.
+/// A caller's open flow receives no answer for a minute. Its holder's agent crashed right after it
+/// had accepted the flow, and another agent of the service restarted within the last minute. Each
+/// reports that it may hold the flow without knowing it, and a packet delivered at the wrong one
+/// would reset the flow.
 #[rstest]
 #[case::both_died(201101)]
 #[case::three_redeployed_in_turn(301022)]
@@ -21,7 +23,8 @@
     check(seed);
 }
 
-/// An opening of a service that refuses when in doubt is never answered.
+/// An opening of a service that refuses openings while agents' state is incomplete is never
+/// answered.
 #[rstest]
 #[case::in_planned_change(200545)]
 #[case::in_planned_change_later(201210)]
@@ -30,9 +33,10 @@
     check(seed);
 }
 
-/// An upstream that has drained for over three seconds gets an opening. Its restarted agent was told that it
-/// holds the opening's flow and delivers the copy; or it won the claim before the drain, its upstream still
-/// had an older connection on the ports, and the caller sends the same opening again.
+/// An upstream that has been draining for over three seconds receives an opening. Either its
+/// restarted agent was told that it holds the opening's flow, and delivers the copy. Or it won the
+/// claim before the drain, its upstream still had an older connection on the same ports, and the
+/// caller sends the same opening again.
 #[rstest]
 #[case::relearned_in_doubt(90417031)]
 #[case::relearned_in_doubt_again(1444)]
@@ -43,7 +47,8 @@
     check(seed);
 }
 
-/// An agent counts a flow whose opening was assigned to it a second after its process had ended.
+/// An agent counts a flow whose opening was assigned to it a second after its process had
+/// terminated.
 #[rstest]
 #[case::assigned_to_an_ended_agent(201054)]
 #[case::not_traced(61200137)]
@@ -51,7 +56,8 @@
     check(seed);
 }
 
-/// All agents of a service are away at once, each redeployed as planned, and an open flow is not found afterwards.
+/// All agents of a service are down at the same time, each redeployed as planned, and an open flow
+/// is not found afterwards.
 #[rstest]
 #[case::two_of_them_likely(61300178)]
 #[case::of_five(61500116)]
@@ -60,14 +66,16 @@
     check(seed);
 }
 
-/// A confirmation runs twice. All hosts of its service die together and look like a service that begins.
+/// A request of the service `confirm` runs twice: all hosts of the service crash together, and the
+/// service then looks like one that has just been created.
 #[rstest]
 #[case::all_hosts_die(61200230)]
 fn red_request_ran_twice(#[case] seed: u64) {
     check(seed);
 }
 
-/// Most balancers are cut off with an old view, and send a cold upstream more openings than it bears.
+/// Most balancers are cut off with an outdated view, and send a cold upstream more openings than
+/// its limit allows.
 #[rstest]
 #[case::crashed_beside_a_cut_agent(Size::CROWDED, 81266)]
 #[case::not_traced(Size::CROWDED, 80291)]
@@ -80,7 +88,7 @@
     assert_eq!(outcome.violations, []);
 }
 
-/// An upstream that may take new flows is passed over by very many.
+/// An upstream that may accept new flows is passed over by too many of them.
 #[rstest]
 #[case::not_traced(82213)]
 #[case::not_traced_either(198)]
@@ -89,7 +97,8 @@
     assert_eq!(outcome.violations, []);
 }
 
-/// All memory is lost, and a route leaves a service right after it: a flow there is not found.
+/// All balancers and agents lose their state, and a route leaves a service right after that: a flow
+/// of that service is not found.
 #[rstest]
 #[case::not_traced(7_000_341)]
 #[case::not_traced_either(7_001_533)]
--- a/crates/fuzzing/tests/mended.rs
+++ b/crates/fuzzing/tests/mended.rs
@@ -1,4 +1,4 @@
-//! Episodes that once broke a promise, each for a fault that a table test of the core covers too.
+//! Episodes that violated a promise before a fix. A table test of the core covers each fault too.
 
 use fuzzing::campaign;
 use fuzzing::world::Defects;
@@ -9,19 +9,28 @@
     assert_eq!(outcome.violation, None);
 }
 
-/// Flows of a dead upstream filled its restarted agent; a holder's agent came back after both
-/// agents that knew its flow had restarted; packets of a new flow were sent to the agent where an older
-/// one on the same ports was closing, while the holder was silent; an agent that had been told to end
-/// stayed beside an upstream that was wanted again; an opening that was refused was told to its
-/// restarted holder as its own; an agent that restarted counted a membership whose members were gone, and
-/// of which its peers knew that nobody needs it any more: no opening that it proposed was answered; a
-/// late reset of an older connection on the same ports made an agent forget the present one; peers that
-/// had not heard of a flow's end named it to its restarted holder, which counted it, and was full of such;
-/// an agent took in what was meant for a gone one at its address; a restarted agent counted answered
-/// datagrams as open and was full; an agent that came back from a pause took the next connection on a
-/// reset one's ports for the old one; an agent that was unsure of its own flows kept back what it had been
-/// told of another's; an agent that asked about a stray packet handed the next opening on before it
-/// was answered; agents that restarted counted flows that had ended unseen, and were full of them.
+/// Guards against these faults:
+///
+/// - Flows of a stopped upstream filled its restarted agent.
+/// - A holder's agent came back after both agents that knew its flow had restarted.
+/// - Packets of a new flow were sent to the agent where an older flow on the same ports was
+///   closing, while the holder was unresponsive.
+/// - An agent that had been told to terminate stayed beside an upstream that was wanted again.
+/// - A refused opening was reported to its restarted holder as the holder's own.
+/// - A restarted agent counted a membership whose members were gone, and which its peers knew to be
+///   no longer needed: no opening that the agent proposed was answered.
+/// - A late reset of an older connection on the same ports made an agent forget the current one.
+/// - Peers that had not learned of a flow's end reported the flow to its restarted holder, which
+///   counted it and was filled by such flows.
+/// - An agent accepted messages for a previous agent at its address.
+/// - A restarted agent counted answered datagrams as open flows and was full.
+/// - An agent that resumed after a pause took the next connection on the ports of a reset one for
+///   the old one.
+/// - An agent with incomplete knowledge of its own flows withheld what it had been told of another
+///   agent's flow.
+/// - An agent that had asked its peers about a stray packet forwarded the next opening before the
+///   query was answered.
+/// - Restarted agents counted flows that had ended unseen, and were full of them.
 #[rstest]
 #[case::dead_flows_fill_the_upstream(181)]
 #[case::witnesses_restart(645)]
@@ -52,8 +61,9 @@
     check(seed);
 }
 
-/// A caller's open flow is reset. It uses the ports of an older connection whose end an agent has not heard;
-/// asked about the flow, that agent says that it holds it, as its connection has the same ports.
+/// Guards against the reset of an open flow that uses the ports of an older connection, whose end
+/// an agent has not received. Asked about the flow, that agent reported that it holds it, because
+/// its connection has the same ports.
 #[rstest]
 #[case::reset_lost_in_a_partition(200161)]
 #[case::agents_restart(200557)]
@@ -63,9 +73,10 @@
     check(seed);
 }
 
-/// A caller's open flow gets no answer for a minute. Its holder's agent died right after it had taken the
-/// flow, and another agent of the service was restarted within the last minute: each says that it may
-/// hold the flow without knowing, and a packet delivered at the wrong one would reset it.
+/// Guards against an open flow that receives no answer for a minute. Its holder's agent crashed
+/// right after it had accepted the flow, and another agent of the service restarted within the last
+/// minute. Each reports that it may hold the flow without knowing it, and a packet delivered at the
+/// wrong one would reset the flow.
 #[rstest]
 #[case::died_before_it_announced(704)]
 #[case::died_and_another_redeployed(1303)]
--- a/crates/fuzzing/tests/mutants.rs
+++ b/crates/fuzzing/tests/mutants.rs
@@ -1,5 +1,5 @@
-//! Every safeguard that is taken out is missed: the fuzzing breaks its promise within bounded steps.
-//! Runs with `--features mutants` only, in a step of its own.
+//! Mutation tests: fuzzing without a safeguard violates the safeguard's promise within a bounded
+//! number of steps. Built with `--features mutants` only, which runs as a separate step.
 #![cfg(feature = "mutants")]
 
 use decision::agent::Mutant;
@@ -26,7 +26,8 @@
     println!("{mutant:?} caught after {} steps: {}", detection.steps, detection.promise);
 }
 
-/// A caller's packets go by settings that list an upstream whose host now runs another service.
+/// A balancer with outdated settings, which list an upstream whose host now runs another service,
+/// forwards a caller's packets.
 fn host_reused_by_other_service() -> Vec<Step> {
     let publish = |service, change| Step::Publish { service, change, pick: 0, lag_ms: 0 };
     let mut steps = vec![
@@ -44,7 +45,7 @@
     steps
 }
 
-/// All agents but one stand still, and the balancer sends everything to that one.
+/// All agents but one are paused, and the balancer sends everything to that one.
 fn one_agent_running() -> Vec<Step> {
     let mut steps = vec![Step::Open { pick: 0 }; 10];
     steps.push(Step::Advance { ms: 2_000 });
@@ -56,7 +57,7 @@
     steps
 }
 
-/// What chance does not reach within bounded steps is written down as a trace.
+/// Fixed traces for mutants that random episodes do not detect within the bounded number of steps.
 #[rstest]
 #[case::service_not_checked(Mutant::ServiceNotChecked, vec![3, 3], host_reused_by_other_service(), "2")]
 #[case::reset_in_doubt(Mutant::ResetInDoubt, vec![7], one_agent_running(), "1: an open flow")]
--- a/crates/fuzzing/tests/oracle.rs
+++ b/crates/fuzzing/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle itself: what it lets pass and what it calls a broken promise.
+//! Tests of the oracle: which events it accepts, and which it reports as a violated promise.
 
 use fuzzing::oracle::{DRAIN_MS, Observation, Oracle, Promise, Request};
 use rstest::rstest;
@@ -24,7 +24,7 @@
 const DRAIN_LEARNED: Observation = Observation::Told { agent: 11, leaving: true };
 const DRAIN_CANCELLED: Observation = Observation::Told { agent: 11, leaving: false };
 
-/// All but the last are seen at time zero, the last one at `late_ms`.
+/// Observes all events but the last at time zero, and the last one at `late_ms`.
 fn check(seen: &[Observation], late_ms: u64, expected: Option<&str>) {
     let mut oracle = Oracle::default();
     let (last, before) = seen.split_last().expect("something is seen");
--- a/crates/fuzzing/tests/state_machine.rs
+++ b/crates/fuzzing/tests/state_machine.rs
@@ -1,6 +1,6 @@
-//! The core driven by `proptest-state-machine`: every transition is a step of the fuzzing, every
-//! invariant a promise that the oracle states. Seeds are fixed, so that the verdict is the same
-//! every time; longer runs are those of `cargo xtask fuzz`.
+//! Drives the core with `proptest-state-machine`: each transition is a step of the fuzzer, each
+//! invariant a promise of the oracle. Seeds are fixed, so that every run has the same result;
+//! `cargo xtask fuzz` does longer runs.
 
 use fuzzing::campaign;
 use fuzzing::step::{self, Profile, Step};
@@ -9,7 +9,7 @@
 use proptest::test_runner::{Config, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-/// What does not change over a run; the promises are judged by the oracle.
+/// The part of the state that stays constant over a run. The oracle checks the promises.
 #[derive(Clone, Debug)]
 struct Reference {
     setup: Setup,
