--- a/xtask/src/lab/actions.rs
+++ b/xtask/src/lab/actions.rs
@@ -123,7 +123,7 @@
         });
         if !in_time || !status.is_some_and(|status| status.success()) {
             let how = status.map_or("not in time".to_owned(), |status| status.to_string());
-            self.note(|journal, _| journal.unclean_exits.push(format!("{name}: {how}")));
+            self.record(|journal, _| journal.unclean_exits.push(format!("{name}: {how}")));
         }
         Ok(())
     }
@@ -139,7 +139,7 @@
             }
             daemon.name.clone()
         });
-        self.note(|journal, now_ms| journal.disturbed.push((name, now_ms)));
+        self.record(|journal, now_ms| journal.disturbed.push((name, now_ms)));
     }
 
     /// Calls `apply` with one daemon of the fleet.
@@ -177,16 +177,16 @@
         let path = format!("/admin/accounts/{name}");
         self.http.put_text(self.net.platform(), &path, &documents::account(fleet, account))?;
         let version = fleet.versions[account];
-        self.note(|journal, at_ms| {
+        self.record(|journal, at_ms| {
             journal.publications.push(Publication { account: name, version, at_ms });
         });
         Ok(())
     }
 
     /// Notes that an upstream leaves from now on.
-    pub(super) fn note_drain(&self, index: usize) {
+    pub(super) fn record_drain(&self, index: usize) {
         let upstream = lock(&self.fleet).upstreams[index].upstream.name.clone();
-        self.note(|journal, from_ms| {
+        self.record(|journal, from_ms| {
             journal.drains.push(Drain { upstream, from_ms, until_ms: None });
         });
     }
@@ -303,7 +303,7 @@
         let log = self.out.join(format!("{name}.log"));
         let mutant = self.options.mutant.as_deref();
         let variable = mutant.map(|mutant| ("GOOSEBERRYSILL_MUTANT", mutant));
-        Process::start(name, &self.programs.join(program), arguments, variable, &log)
+        Process::start(name, &self.bin_dir.join(program), arguments, variable, &log)
     }
 
     pub(super) fn await_answer(
--- a/xtask/src/lab/driver.rs
+++ b/xtask/src/lab/driver.rs
@@ -20,9 +20,9 @@
 /// After the last phase everything must have recovered within this time.
 const RECOVERY_MS: u64 = 3_000;
 /// Time after that, in which an opening that fails is counted apart.
-const RECOVERED_MS: u64 = 2_000;
+const POST_RECOVERY_MS: u64 = 2_000;
 /// Longest time in which callers end what is in flight.
-const FINISH_TIMEOUT_MS: u64 = 12_000;
+const CALLERS_IDLE_TIMEOUT_MS: u64 = 12_000;
 /// Time between two lines of a feed.
 const FEED_INTERVAL_MS: u32 = 200;
 /// Time between two confirmations over a feed's connection.
@@ -46,13 +46,16 @@
 
 /// Runs the scenario and judges it.
 pub(super) fn drive(lab: &Lab) -> anyhow::Result<Figures> {
-    lab.say(&format!("scenario `{}`: {}", lab.options.scenario.name, lab.options.scenario.about));
-    start(lab)?;
+    lab.log_progress(&format!(
+        "scenario `{}`: {}",
+        lab.options.scenario.name, lab.options.scenario.about
+    ));
+    start_all(lab)?;
     let reports = std::thread::scope(|scope| {
         if lab.options.scenario.with_product {
             observer::spawn(lab, scope);
         }
-        let reports = run_phases(lab).and_then(|()| finish(lab));
+        let reports = run_phases(lab).and_then(|()| stop_callers(lab));
         lab.ended.store(true, std::sync::atomic::Ordering::Relaxed);
         reports
     })?;
@@ -64,11 +67,11 @@
         mutant: lab.options.mutant.clone(),
     };
     let figures = verdict::judge(run, &evidence::gather(lab, reports)?);
-    end(lab)?;
+    stop_processes(lab)?;
     Ok(figures)
 }
 
-fn start(lab: &Lab) -> anyhow::Result<()> {
+fn start_all(lab: &Lab) -> anyhow::Result<()> {
     lab.start_platform_and_fabric()?;
     lab.publish_all()?;
     let (balancers, upstreams) = {
@@ -84,7 +87,9 @@
     }
     lab.push_plan()?;
     lab.start_callers()?;
-    lab.say(&format!("{balancers} balancers and {upstreams} upstreams with agents are up"));
+    lab.log_progress(&format!(
+        "{balancers} balancers and {upstreams} upstreams with agents are up"
+    ));
     for account in 0..ACCOUNTS.len() {
         let control = lab.net.caller(account).control;
         lab.http.put(control, "/admin/workloads", &workloads(lab, account)?)?;
@@ -112,19 +117,19 @@
 }
 
 fn run_phases(lab: &Lab) -> anyhow::Result<()> {
-    lab.note(|journal, now_ms| journal.phases.push((now_ms, PhaseKind::Planned)));
-    lab.pause(WARM_UP_MS)?;
+    lab.record(|journal, now_ms| journal.phases.push((now_ms, PhaseKind::Planned)));
+    lab.sleep(WARM_UP_MS)?;
     lab.options.scenario.phases.iter().try_for_each(|phase| run_phase(lab, phase))?;
-    lab.say("recovering");
-    lab.pause(RECOVERY_MS)?;
-    lab.say("nothing may fail any more");
-    lab.note(|journal, now_ms| journal.phases.push((now_ms, PhaseKind::Recovered)));
-    lab.pause(RECOVERED_MS)
+    lab.log_progress("recovering");
+    lab.sleep(RECOVERY_MS)?;
+    lab.log_progress("nothing may fail any more");
+    lab.record(|journal, now_ms| journal.phases.push((now_ms, PhaseKind::Recovered)));
+    lab.sleep(POST_RECOVERY_MS)
 }
 
 fn run_phase(lab: &Lab, phase: &Phase) -> anyhow::Result<()> {
-    lab.say(&format!("phase: {}", phase.name));
-    lab.note(|journal, now_ms| journal.phases.push((now_ms, phase.kind)));
+    lab.log_progress(&format!("phase: {}", phase.name));
+    lab.record(|journal, now_ms| journal.phases.push((now_ms, phase.kind)));
     std::thread::scope(|scope| {
         let run_track = |track: &'static [_]| {
             scope.spawn(move || track.iter().try_for_each(|step| lab.perform(*step)))
@@ -140,8 +145,8 @@
 }
 
 /// Ends all feeds, waits for what is in flight, and takes the callers' reports.
-fn finish(lab: &Lab) -> anyhow::Result<Vec<Report>> {
-    lab.say("ending all feeds");
+fn stop_callers(lab: &Lab) -> anyhow::Result<Vec<Report>> {
+    lab.log_progress("ending all feeds");
     observer::check_newest(lab);
     let controls: Vec<_> =
         (0..ACCOUNTS.len()).map(|account| lab.net.caller(account).control).collect();
@@ -150,13 +155,13 @@
     }
     let report = |control| lab.http.get::<Report>(control, "/admin/report");
     let is_idle = |control: &_| report(*control).is_ok_and(|report| report.is_idle);
-    lab.wait_until(FINISH_TIMEOUT_MS, || controls.iter().all(is_idle))?;
+    lab.wait_until(CALLERS_IDLE_TIMEOUT_MS, || controls.iter().all(is_idle))?;
     controls.into_iter().map(report).collect()
 }
 
 /// Ends every process as an operator would; what doesn't end is killed when the lab is dropped.
-fn end(lab: &Lab) -> anyhow::Result<()> {
-    lab.say("ending all processes");
+fn stop_processes(lab: &Lab) -> anyhow::Result<()> {
+    lab.log_progress("ending all processes");
     let processes: Vec<_> = std::mem::take(&mut *lock(&lab.standins));
     for process in &processes {
         process.signal(nix::sys::signal::Signal::SIGTERM);
@@ -164,10 +169,10 @@
     let begun = clock::now();
     for mut process in processes {
         while process.exited().is_none() && clock::now().since(begun) < 1_000 {
-            lab.pause(super::STEP_MS)?;
+            lab.sleep(super::POLL_INTERVAL_MS)?;
         }
         if process.exited().is_none() {
-            lab.say(&format!("{} is killed", process.name()));
+            lab.log_progress(&format!("{} is killed", process.name()));
         }
     }
     Ok(())
--- a/xtask/src/lab/http.rs
+++ b/xtask/src/lab/http.rs
@@ -9,17 +9,17 @@
 use ureq::Agent;
 
 /// Stand-ins answer in a millisecond; the machine may be busy.
-const TIMEOUT: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// An HTTP client for the whole lab.
 #[derive(Clone)]
-pub(super) struct Http {
+pub(super) struct HttpClient {
     agent: Agent,
 }
 
-impl Http {
+impl HttpClient {
     pub(super) fn new() -> Self {
-        Self::with_timeout(TIMEOUT)
+        Self::with_timeout(REQUEST_TIMEOUT)
     }
 
     pub(super) fn with_timeout(timeout: Duration) -> Self {
--- a/xtask/src/lab/mod.rs
+++ b/xtask/src/lab/mod.rs
@@ -32,23 +32,23 @@
 use crate::process::Process;
 use documents::Secrets;
 use fleet::Fleet;
-use http::Http;
+use http::HttpClient;
 use journal::Journal;
 pub(crate) use options::HELP;
 use options::Options;
 use topology::Net;
 
 /// How often something that is waited for is looked at.
-const STEP_MS: u64 = 20;
+const POLL_INTERVAL_MS: u64 = 20;
 
 /// One run. Dropping it ends every process that it started.
 struct Lab {
     options: Options,
     net: Net,
     /// Folder of the binaries.
-    programs: PathBuf,
+    bin_dir: PathBuf,
     out: PathBuf,
-    http: Http,
+    http: HttpClient,
     secrets: Secrets,
     fleet: Mutex<Fleet>,
     journal: Mutex<Journal>,
@@ -73,8 +73,8 @@
     for signal in [SIGINT, SIGTERM] {
         signal_hook::flag::register(signal, Arc::clone(&interrupted))?;
     }
-    let programs = driver::build(&options)?;
-    let lab = Lab::new(options, programs, interrupted)?;
+    let bin_dir = driver::build(&options)?;
+    let lab = Lab::new(options, bin_dir, interrupted)?;
     let outcome = driver::drive(&lab);
     let keep = lab.options.out.is_some() || !matches!(&outcome, Ok(figures) if figures.pass);
     let out = lab.out.clone();
@@ -92,7 +92,7 @@
 impl Lab {
     fn new(
         options: Options,
-        programs: PathBuf,
+        bin_dir: PathBuf,
         interrupted: Arc<AtomicBool>,
     ) -> anyhow::Result<Self> {
         let net = Net::find(std::process::id())?;
@@ -108,25 +108,25 @@
             fleet: Mutex::new(Fleet::new(net)),
             journal: Mutex::new(Journal::default()),
             standins: Mutex::new(Vec::new()),
-            http: Http::new(),
+            http: HttpClient::new(),
             ended: AtomicBool::new(false),
             started_ms: clock::now().0,
             options,
             net,
-            programs,
+            bin_dir,
             out,
             interrupted,
         })
     }
 
     /// Says on the screen what happens.
-    fn say(&self, text: &str) {
+    fn log_progress(&self, text: &str) {
         let elapsed_ms = clock::now().0 - self.started_ms;
         eprintln!("lab {:>6.2} s  {text}", elapsed_ms as f64 / 1_000.0);
     }
 
     /// Sleeps, unless the run is interrupted.
-    fn pause(&self, ms: u64) -> anyhow::Result<()> {
+    fn sleep(&self, ms: u64) -> anyhow::Result<()> {
         let until = clock::now().after(ms);
         loop {
             if self.interrupted.load(Ordering::Relaxed) {
@@ -136,7 +136,7 @@
             if left_ms == 0 {
                 return Ok(());
             }
-            std::thread::sleep(Duration::from_millis(left_ms.min(STEP_MS)));
+            std::thread::sleep(Duration::from_millis(left_ms.min(POLL_INTERVAL_MS)));
         }
     }
 
@@ -147,12 +147,12 @@
             if clock::now() >= until {
                 return Ok(false);
             }
-            self.pause(STEP_MS)?;
+            self.sleep(POLL_INTERVAL_MS)?;
         }
         Ok(true)
     }
 
-    fn note(&self, note: impl FnOnce(&mut Journal, u64)) {
-        note(&mut lock(&self.journal), clock::now().0);
+    fn record(&self, entry: impl FnOnce(&mut Journal, u64)) {
+        entry(&mut lock(&self.journal), clock::now().0);
     }
 }
--- a/xtask/src/lab/observer.rs
+++ b/xtask/src/lab/observer.rs
@@ -13,7 +13,7 @@
 
 use super::Lab;
 use super::fleet::Published;
-use super::http::Http;
+use super::http::HttpClient;
 use super::journal::{InForce, Load};
 use super::topology::ACCOUNTS;
 
@@ -66,20 +66,20 @@
 
 /// Waits until every daemon has the newest settings, and notes the ones that don't get them.
 pub(super) fn check_newest(lab: &Lab) {
-    let http = Http::with_timeout(POLL_TIMEOUT);
+    let http = HttpClient::with_timeout(POLL_TIMEOUT);
     let until = clock::now().after(NEWEST_TIMEOUT_MS);
     loop {
         let lagging: Vec<_> =
             subjects(lab).iter().filter_map(|subject| lag(lab, &http, subject)).collect();
         if lagging.is_empty() || clock::now() >= until {
-            lab.note(|journal, _| journal.lagging = lagging);
+            lab.record(|journal, _| journal.lagging = lagging);
             return;
         }
         std::thread::sleep(POLL_PAUSE);
     }
 }
 
-fn lag(lab: &Lab, http: &Http, subject: &Subject) -> Option<String> {
+fn lag(lab: &Lab, http: &HttpClient, subject: &Subject) -> Option<String> {
     let Ok(status) = http.get::<DaemonStatus>(subject.control, "/status") else {
         return Some(format!("{}: no status", subject.instance));
     };
@@ -93,21 +93,21 @@
 }
 
 fn poll_settings(lab: &Lab, poller: usize) {
-    let http = Http::with_timeout(POLL_TIMEOUT);
+    let http = HttpClient::with_timeout(POLL_TIMEOUT);
     let mut highest: BTreeMap<(String, String), u64> = BTreeMap::new();
     while !lab.ended.load(Ordering::Relaxed) {
         for subject in subjects(lab).iter().filter(|subject| subject.poller() == poller) {
             // A daemon that doesn't answer right now shows in the verdict by what it lacks later.
             let status = http.get::<DaemonStatus>(subject.control, "/status");
             if let Some(status) = status.ok().filter(|status| status.ready) {
-                note_versions(lab, subject, status, &mut highest);
+                record_versions(lab, subject, status, &mut highest);
             }
         }
         std::thread::sleep(POLL_PAUSE);
     }
 }
 
-fn note_versions(
+fn record_versions(
     lab: &Lab,
     subject: &Subject,
     status: DaemonStatus,
@@ -120,7 +120,7 @@
             continue;
         }
         let instance = subject.instance.clone();
-        lab.note(|journal, at_ms| {
+        lab.record(|journal, at_ms| {
             if version < before {
                 let text = format!("{instance}: {account} from {before} to {version}");
                 journal.reverted.push(text);
@@ -140,20 +140,25 @@
 }
 
 fn sample_loads(lab: &Lab) {
-    let http = Http::with_timeout(POLL_TIMEOUT);
+    let http = HttpClient::with_timeout(POLL_TIMEOUT);
     while !lab.ended.load(Ordering::Relaxed) {
         for (account, plan) in ACCOUNTS.iter().enumerate() {
             for (service, service_plan) in plan.services.iter().enumerate() {
                 let open = open_connections(lab, &http, account, service);
                 let service = service_plan.name;
-                lab.note(|journal, _| journal.loads.push(Load { service, open }));
+                lab.record(|journal, _| journal.loads.push(Load { service, open }));
             }
         }
         std::thread::sleep(LOAD_PAUSE);
     }
 }
 
-fn open_connections(lab: &Lab, http: &Http, account: usize, service: usize) -> Vec<(String, u64)> {
+fn open_connections(
+    lab: &Lab,
+    http: &HttpClient,
+    account: usize,
+    service: usize,
+) -> Vec<(String, u64)> {
     let rows: Vec<_> = {
         let fleet = lock(&lab.fleet);
         let is_active = |row: &&super::fleet::Upstream| {
--- a/xtask/src/lab/steps.rs
+++ b/xtask/src/lab/steps.rs
@@ -29,10 +29,10 @@
     /// Carries out one step and returns once it is over.
     pub(super) fn perform(&self, step: Step) -> anyhow::Result<()> {
         if !matches!(step, Step::Wait(_)) {
-            self.say(&format!("  {}", describe(step, |target| self.name(target))));
+            self.log_progress(&format!("  {}", describe(step, |target| self.name(target))));
         }
         match step {
-            Step::Wait(ms) => self.pause(ms),
+            Step::Wait(ms) => self.sleep(ms),
             Step::Publish(account) => self.publish_weight(account),
             Step::RollBalancers(slot) => self.roll_balancers(slot),
             Step::RestartAgent(target) => self.restart_agent(target),
@@ -78,7 +78,7 @@
             self.with_daemon(*pick, |daemon| daemon.listed = Listed::Leaving);
         }
         self.push_instances()?;
-        self.pause(LEAVING_NOTICE_MS)?;
+        self.sleep(LEAVING_NOTICE_MS)?;
         picks.iter().for_each(|pick| self.signal(*pick, Signal::SIGTERM));
         self.push_plan()?;
         picks.iter().try_for_each(|pick| self.await_end(*pick))?;
@@ -127,8 +127,8 @@
         self.start_agent(new)?;
         self.await_ready(Pick::Agent(new))?;
         self.publish(account, |fleet, _| fleet.upstreams[old].published = Published::Draining)?;
-        self.note_drain(old);
-        self.pause(LEAVING_GRACE_MS + WATCH_LEAVING_MS)?;
+        self.record_drain(old);
+        self.sleep(LEAVING_GRACE_MS + WATCH_LEAVING_MS)?;
         self.end_feeds(account, old)?;
         self.with_daemon(Pick::Agent(old), |daemon| daemon.listed = Listed::Leaving);
         self.push_instances()?;
@@ -158,17 +158,17 @@
         let is_empty =
             self.wait_until(FEEDS_END_TIMEOUT_MS, || open().is_ok_and(|open| open == 0))?;
         if !is_empty {
-            self.say(&format!("  {name} still has connections: {:?}", open().ok()));
+            self.log_progress(&format!("  {name} still has connections: {:?}", open().ok()));
         }
         Ok(())
     }
 
     fn drain_by_signal(&self, target: Target, ms: u64) -> anyhow::Result<()> {
         let index = self.index(target);
-        self.note_drain(index);
+        self.record_drain(index);
         self.switch(target, Switches { draining: true, ..Switches::default() }, ms)?;
         let name = self.name(target);
-        self.note(|journal, now_ms| journal.end_drain(&name, now_ms));
+        self.record(|journal, now_ms| journal.end_drain(&name, now_ms));
         Ok(())
     }
 
@@ -176,7 +176,7 @@
         let upstream = Pick::Upstream(self.index(target));
         let control = self.with_daemon(upstream, |daemon| daemon.place.control);
         self.http.put(control, "/admin/switches", &switches)?;
-        self.pause(ms)?;
+        self.sleep(ms)?;
         self.http.put(control, "/admin/switches", &Switches::default())
     }
 
@@ -188,14 +188,14 @@
             self.set_sprayed(*pick, false);
         }
         self.push_plan()?;
-        self.pause(ms)?;
+        self.sleep(ms)?;
         self.bring_up_balancers(&picks)
     }
 
     fn kill_agent(&self, target: Target, ms: u64) -> anyhow::Result<()> {
         let index = self.index(target);
         self.kill(Pick::Agent(index));
-        self.pause(ms)?;
+        self.sleep(ms)?;
         self.start_agent(index)?;
         self.await_ready(Pick::Agent(index))
     }
@@ -203,9 +203,9 @@
     fn kill_upstream(&self, target: Target, ms: u64) -> anyhow::Result<()> {
         let index = self.index(target);
         let name = self.name(target);
-        self.note(|journal, now_ms| journal.killed.push((name, now_ms)));
+        self.record(|journal, now_ms| journal.killed.push((name, now_ms)));
         self.kill(Pick::Upstream(index));
-        self.pause(ms)?;
+        self.sleep(ms)?;
         self.start_upstream(index)
     }
 
@@ -217,21 +217,21 @@
     /// Stops processes without ending them, and lets them wake up with an old view of the world.
     fn freeze(&self, picks: &[Pick], ms: u64) -> anyhow::Result<()> {
         picks.iter().for_each(|pick| self.signal(*pick, Signal::SIGSTOP));
-        let paused = self.pause(ms);
+        let slept = self.sleep(ms);
         picks.iter().for_each(|pick| self.signal(*pick, Signal::SIGCONT));
-        paused
+        slept
     }
 
     fn platform(&self, mode: Mode, ms: u64) -> anyhow::Result<()> {
         self.http.put(self.net.platform(), "/admin/mode", &mode)?;
-        self.pause(ms)?;
+        self.sleep(ms)?;
         self.http.put(self.net.platform(), "/admin/mode", &Mode::default())
     }
 
     fn rough_fabric(&self, ms: u64) -> anyhow::Result<()> {
         lock(&self.fleet).faults = ROUGH;
         self.push_plan()?;
-        self.pause(ms)?;
+        self.sleep(ms)?;
         lock(&self.fleet).faults = Faults::default();
         self.push_plan()
     }
