--- a/xtask/src/lab/driver.rs
+++ b/xtask/src/lab/driver.rs
@@ -11,7 +11,7 @@
 use super::options::Options;
 use super::scenario::{Phase, PhaseKind};
 use super::topology::ACCOUNTS;
-use super::verdict::{self, Run};
+use super::verdict::{self, RunInfo};
 use super::{Lab, evidence, observer};
 use crate::process;
 
@@ -60,7 +60,7 @@
         reports
     })?;
     evidence::write_timelines(lab);
-    let run = Run {
+    let run = RunInfo {
         scenario: lab.options.scenario.name,
         seed: lab.options.seed,
         duration_ms: clock::now().0 - lab.started_ms,
--- a/xtask/src/lab/evidence.rs
+++ b/xtask/src/lab/evidence.rs
@@ -10,7 +10,7 @@
 
 use super::Lab;
 use super::topology::ACCOUNTS;
-use super::verdict::{Entry, Evidence};
+use super::verdict::{Evidence, LedgerEntry};
 
 /// Reads the ledgers and takes the journal over.
 pub(super) fn gather(lab: &Lab, reports: Vec<Report>) -> anyhow::Result<Evidence> {
@@ -21,18 +21,18 @@
         reports,
         reads_per_s_max: stats.reads_per_s_max,
     };
-    write(lab, &evidence)?;
+    write_files(lab, &evidence)?;
     Ok(evidence)
 }
 
 /// Keeps the time line of every daemon that runs. Ones that ended took theirs along.
 pub(super) fn write_timelines(lab: &Lab) {
-    let subjects: Vec<_> = {
+    let daemons: Vec<_> = {
         let fleet = lock(&lab.fleet);
         let running = fleet.daemons().filter(|daemon| daemon.process.is_some());
         running.map(|daemon| (daemon.name.clone(), daemon.place.control)).collect()
     };
-    for (name, control) in subjects {
+    for (name, control) in daemons {
         // The time lines help people only; the verdict doesn't read them.
         if let Ok(text) = lab.http.get_text(control, "/timeline?after=0") {
             let _ = fs::write(lab.out.join(format!("{name}.timeline.json")), text);
@@ -40,7 +40,7 @@
     }
 }
 
-fn read_ledgers(lab: &Lab) -> anyhow::Result<Vec<Entry>> {
+fn read_ledgers(lab: &Lab) -> anyhow::Result<Vec<LedgerEntry>> {
     let mut entries = Vec::new();
     for row in &lock(&lab.fleet).upstreams {
         let upstream = &row.upstream.name;
@@ -49,23 +49,23 @@
         for line in text.lines() {
             // A killed upstream may have left half a line, which it had not answered for either.
             let Ok(row) = serde_json::from_str(line) else { continue };
-            entries.push(Entry { upstream: upstream.clone(), row });
+            entries.push(LedgerEntry { upstream: upstream.clone(), row });
         }
     }
     Ok(entries)
 }
 
-fn write(lab: &Lab, evidence: &Evidence) -> anyhow::Result<()> {
+fn write_files(lab: &Lab, evidence: &Evidence) -> anyhow::Result<()> {
     for (report, account) in evidence.reports.iter().zip(&ACCOUNTS) {
         let path = lab.out.join(format!("caller-{}.json", account.name));
         fs::write(&path, serde_json::to_string_pretty(report)?)?;
     }
     let path = lab.out.join("journal.json");
-    fs::write(&path, serde_json::to_string_pretty(&journal(evidence))?)?;
+    fs::write(&path, serde_json::to_string_pretty(&journal_json(evidence))?)?;
     Ok(())
 }
 
-fn journal(evidence: &Evidence) -> Value {
+fn journal_json(evidence: &Evidence) -> Value {
     let journal = &evidence.journal;
     let phases = journal.phases.iter().map(|(at_ms, kind)| json!([at_ms, format!("{kind:?}")]));
     let publications =
--- a/xtask/src/lab/verdict/imbalance.rs
+++ b/xtask/src/lab/verdict/imbalance.rs
@@ -5,16 +5,16 @@
 use super::super::journal::Journal;
 use super::super::topology::ACCOUNTS;
 
-/// By service: connections of the fullest upstream over the mean, median of all looks.
+/// By service: connections of the fullest upstream over the mean, median of all samples.
 pub(super) fn by_service(journal: &Journal) -> BTreeMap<&'static str, f64> {
     let services = ACCOUNTS.iter().flat_map(|account| account.services);
-    services.map(|service| (service.name, of_service(journal, service.name))).collect()
+    services.map(|service| (service.name, median_imbalance(journal, service.name))).collect()
 }
 
-fn of_service(journal: &Journal, service: &str) -> f64 {
-    let looks = journal.loads.iter().filter(|load| load.service == service);
+fn median_imbalance(journal: &Journal, service: &str) -> f64 {
+    let samples = journal.loads.iter().filter(|load| load.service == service);
     let mut ratios: Vec<f64> =
-        looks.filter_map(|load| max_over_mean(journal, &load.open)).collect();
+        samples.filter_map(|load| max_over_mean(journal, &load.open)).collect();
     ratios.sort_by(f64::total_cmp);
     ratios.get(ratios.len() / 2).copied().unwrap_or(0.0)
 }
--- a/xtask/src/lab/verdict/incidents.rs
+++ b/xtask/src/lab/verdict/incidents.rs
@@ -9,7 +9,7 @@
 
 use super::super::figures::Figures;
 use super::super::scenario::PhaseKind;
-use super::{Entry, Evidence};
+use super::{Evidence, LedgerEntry};
 
 pub(super) fn count(figures: &mut Figures, evidence: &Evidence) {
     for incident in evidence.reports.iter().flat_map(|report| &report.incidents) {
@@ -18,8 +18,8 @@
 }
 
 fn count_one(figures: &mut Figures, evidence: &Evidence, incident: &Incident) {
-    let waited = matches!(incident.outcome, Outcome::Stalled | Outcome::Unanswered);
-    let broke_at_ms = if waited { incident.since_ms } else { incident.at_ms };
+    let made_no_progress = matches!(incident.outcome, Outcome::Stalled | Outcome::Unanswered);
+    let broke_at_ms = if made_no_progress { incident.since_ms } else { incident.at_ms };
     let kind = evidence.journal.kind_at(broke_at_ms);
     if incident.outcome == Outcome::WrongService {
         figures.packets_misdelivered += 1;
@@ -29,10 +29,10 @@
         return;
     }
     if !incident.established {
-        *opening_figure(figures, kind, incident) += 1;
+        *failed_opening_figure(figures, kind, incident) += 1;
         return;
     }
-    if is_killed(evidence, incident) {
+    if was_held_by_killed_upstream(evidence, incident) {
         figures.flows_lost_with_killed_upstreams += 1;
         return;
     }
@@ -44,7 +44,7 @@
 }
 
 /// Where a failed opening or datagram is counted.
-fn opening_figure<'a>(
+fn failed_opening_figure<'a>(
     figures: &'a mut Figures,
     kind: PhaseKind,
     incident: &Incident,
@@ -68,7 +68,7 @@
 }
 
 /// True if the connection was open at an upstream when the lab killed it.
-fn is_killed(evidence: &Evidence, incident: &Incident) -> bool {
+fn was_held_by_killed_upstream(evidence: &Evidence, incident: &Incident) -> bool {
     let Some(opened) = opening_of(evidence, incident) else { return false };
     evidence.journal.killed.iter().any(|(name, at_ms)| {
         *name == opened.upstream && (opened.row.at_ms..=incident.at_ms).contains(at_ms)
@@ -76,8 +76,8 @@
 }
 
 /// The last opening by the incident's client before it.
-fn opening_of<'a>(evidence: &'a Evidence, incident: &Incident) -> Option<&'a Entry> {
-    let is_opening = |entry: &&Entry| {
+fn opening_of<'a>(evidence: &'a Evidence, incident: &Incident) -> Option<&'a LedgerEntry> {
+    let is_opening = |entry: &&LedgerEntry| {
         entry.row.at_ms <= incident.at_ms
             && matches!(entry.row.event, Event::Open { client } if client == incident.client)
     };
--- a/xtask/src/lab/verdict/mod.rs
+++ b/xtask/src/lab/verdict/mod.rs
@@ -28,19 +28,19 @@
 pub(super) struct Evidence {
     pub(super) journal: Journal,
     /// Rows of all upstreams' ledgers, in order for each upstream.
-    pub(super) ledger: Vec<Entry>,
+    pub(super) ledger: Vec<LedgerEntry>,
     pub(super) reports: Vec<Report>,
     pub(super) reads_per_s_max: u64,
 }
 
 /// A row of one upstream's ledger.
-pub(super) struct Entry {
+pub(super) struct LedgerEntry {
     pub(super) upstream: String,
     pub(super) row: Row,
 }
 
 /// Which run is judged.
-pub(super) struct Run {
+pub(super) struct RunInfo {
     pub(super) scenario: &'static str,
     pub(super) seed: u64,
     pub(super) duration_ms: u64,
@@ -48,7 +48,7 @@
 }
 
 /// Judges a run.
-pub(super) fn judge(run: Run, evidence: &Evidence) -> Figures {
+pub(super) fn judge(run: RunInfo, evidence: &Evidence) -> Figures {
     let journal = &evidence.journal;
     let mut figures = Figures {
         scenario: run.scenario,
@@ -63,10 +63,10 @@
         imbalance_max_over_mean: imbalance::by_service(journal),
         ..Figures::default()
     };
-    count_callers(&mut figures, &evidence.reports);
-    measure_times(&mut figures, evidence);
+    sum_caller_counters(&mut figures, &evidence.reports);
+    compute_latencies(&mut figures, evidence);
     incidents::count(&mut figures, evidence);
-    count_runs(&mut figures, evidence);
+    count_ledger_events(&mut figures, evidence);
     figures.openings_to_leaving_after_3s = openings_to_leaving(evidence);
     let latencies = in_force::latencies(journal);
     figures.settings_in_force_ms_p50 = percentile(&latencies, 50);
@@ -76,7 +76,7 @@
     figures
 }
 
-fn count_callers(figures: &mut Figures, reports: &[Report]) {
+fn sum_caller_counters(figures: &mut Figures, reports: &[Report]) {
     for report in reports {
         figures.flows_opened += report.flows_opened;
         figures.answers_complete += report.answers_complete;
@@ -84,7 +84,7 @@
     }
 }
 
-fn measure_times(figures: &mut Figures, evidence: &Evidence) {
+fn compute_latencies(figures: &mut Figures, evidence: &Evidence) {
     let times = |spans: fn(&Report) -> &Vec<Span>, kind| {
         let spans = evidence.reports.iter().flat_map(spans);
         let begun = spans.filter(|span| evidence.journal.kind_at(span.from_ms) == kind);
@@ -104,7 +104,7 @@
     figures.answer_ms_p99_in_faults = percentile(&faults, 99);
 }
 
-fn count_runs(figures: &mut Figures, evidence: &Evidence) {
+fn count_ledger_events(figures: &mut Figures, evidence: &Evidence) {
     let mut runs: BTreeMap<RequestId, u64> = BTreeMap::new();
     for entry in &evidence.ledger {
         match entry.row.event {
@@ -120,7 +120,7 @@
 }
 
 fn openings_to_leaving(evidence: &Evidence) -> u64 {
-    let is_late = |drain: &Drain, entry: &Entry| {
+    let is_late = |drain: &Drain, entry: &LedgerEntry| {
         drain.upstream == entry.upstream
             && entry.row.at_ms > drain.from_ms + LEAVING_GRACE_MS
             && drain.until_ms.is_none_or(|until_ms| entry.row.at_ms < until_ms)
@@ -154,7 +154,7 @@
     let broken = checks.iter().filter(|(_, value, allowed)| value > allowed);
     let line = |(name, value, allowed): &(_, _, _)| format!("{name} is {value}, allowed {allowed}");
     let mut failures: Vec<String> = broken.map(line).collect();
-    failures.extend(idleness(figures, &evidence.reports));
+    failures.extend(insufficient_load(figures, &evidence.reports));
     let journal = &evidence.journal;
     let notes = [&journal.unclean_exits, &journal.reverted, &journal.lagging];
     failures.extend(notes.into_iter().flatten().cloned());
@@ -162,7 +162,7 @@
 }
 
 /// A run in which little happened shows nothing.
-fn idleness(figures: &Figures, reports: &[Report]) -> Vec<String> {
+fn insufficient_load(figures: &Figures, reports: &[Report]) -> Vec<String> {
     let mut failures = Vec::new();
     let services = ACCOUNTS.iter().flat_map(|account| account.services);
     let feeds: u64 = services.map(|service| u64::from(service.work.feeds)).sum();
@@ -178,6 +178,6 @@
 
 /// The value below which so many percent of the sorted values lie; zero of none.
 fn percentile<T: Copy + Default>(sorted: &[T], percent: usize) -> T {
-    let place = (sorted.len() * percent / 100).min(sorted.len().saturating_sub(1));
-    sorted.get(place).copied().unwrap_or_default()
+    let index = (sorted.len() * percent / 100).min(sorted.len().saturating_sub(1));
+    sorted.get(index).copied().unwrap_or_default()
 }
--- a/xtask/src/lab/verdict/tests.rs
+++ b/xtask/src/lab/verdict/tests.rs
@@ -8,7 +8,7 @@
 use super::super::figures::Figures;
 use super::super::journal::{Drain, InForce, Journal, Load, Publication};
 use super::super::scenario::PhaseKind;
-use super::{Entry, Evidence, Run, judge};
+use super::{Evidence, LedgerEntry, RunInfo, judge};
 
 const CLIENT: &str = "198.18.1.1:10000";
 const REQUEST: RequestId = RequestId(7);
@@ -31,11 +31,11 @@
 }
 
 fn verdict(evidence: &Evidence) -> Figures {
-    judge(Run { scenario: "quick", seed: 1, duration_ms: 1, mutant: None }, evidence)
+    judge(RunInfo { scenario: "quick", seed: 1, duration_ms: 1, mutant: None }, evidence)
 }
 
-fn entry(upstream: &str, at_ms: u64, event: Event) -> Entry {
-    Entry { upstream: upstream.to_owned(), row: Row { at_ms, event } }
+fn entry(upstream: &str, at_ms: u64, event: Event) -> LedgerEntry {
+    LedgerEntry { upstream: upstream.to_owned(), row: Row { at_ms, event } }
 }
 
 fn run() -> Event {
@@ -117,16 +117,16 @@
     vec![entry("shelf-1", 1, Event::Misdelivered { destination: CLIENT.parse().unwrap() })],
     [0, 1],
 )]
-fn ledger_counts(#[case] ledger: Vec<Entry>, #[case] expected: [u64; 2]) {
+fn ledger_counts(#[case] ledger: Vec<LedgerEntry>, #[case] expected: [u64; 2]) {
     let figures = verdict(&Evidence { ledger, ..evidence() });
     assert_eq!([figures.requests_run_twice, figures.packets_misdelivered], expected);
     assert_eq!(figures.pass, expected == [0, 0]);
 }
 
 #[rstest]
-#[case::truly_not_run(vec![], 0)]
-#[case::run_all_the_same(vec![entry("shelf-1", 1, run())], 1)]
-fn refused_request(#[case] ledger: Vec<Entry>, #[case] expected: u64) {
+#[case::not_run(vec![], 0)]
+#[case::run_despite_refusal(vec![entry("shelf-1", 1, run())], 1)]
+fn refused_request(#[case] ledger: Vec<LedgerEntry>, #[case] expected: u64) {
     let mut evidence = Evidence { ledger, ..evidence() };
     evidence.reports[0].requests_refused = vec![REQUEST];
     let figures = verdict(&evidence);
@@ -223,16 +223,16 @@
 #[case::reverted(|journal: &mut Journal| journal.reverted.push("bal-1".to_owned()))]
 #[case::lagging(|journal: &mut Journal| journal.lagging.push("bal-1".to_owned()))]
 #[case::unclean_exit(|journal: &mut Journal| journal.unclean_exits.push("bal-1".to_owned()))]
-fn noted_fault_fails(#[case] note: fn(&mut Journal)) {
+fn recorded_fault_fails(#[case] record_fault: fn(&mut Journal)) {
     let mut evidence = evidence();
-    note(&mut evidence.journal);
+    record_fault(&mut evidence.journal);
     assert!(verdict(&evidence).failures.contains(&"bal-1".to_owned()));
 }
 
 #[rstest]
 #[case::nothing_opened(Report { is_idle: true, ..Report::default() })]
 #[case::in_flight(Report { flows_opened: 1_000, ..Report::default() })]
-fn run_that_shows_nothing_fails(#[case] report: Report) {
+fn run_with_too_little_load_fails(#[case] report: Report) {
     assert!(!verdict(&Evidence { reports: vec![report], ..evidence() }).pass);
 }
 
