--- a/xtask/src/lab/actions.rs
+++ b/xtask/src/lab/actions.rs
@@ -9,7 +9,7 @@
 
 use super::fleet::{Daemon, Fleet, Listed, Upstream};
 use super::journal::{Drain, Publication};
-use super::topology::{self, ACCOUNTS, CLIENT_DELAY_US, Place};
+use super::topology::{self, ACCOUNTS, CLIENT_DELAY_US, Endpoints};
 use super::{Lab, documents};
 use crate::process::Process;
 
@@ -20,7 +20,7 @@
 /// A fresh process answers within this time, on a busy machine too.
 const START_TIMEOUT_MS: u64 = 15_000;
 /// A process told to end does so within its grace of 3 s and some time for a busy machine.
-const END_TIMEOUT_MS: u64 = 8_000;
+const EXIT_TIMEOUT_MS: u64 = 8_000;
 
 impl Lab {
     /// Starts platform and fabric and waits for them.
@@ -35,19 +35,19 @@
             "fabric",
             &["--ingress", &ingress, "--gateway", &gateway, "--control", &control, "--seed", &seed],
         )?;
-        self.await_answer("platform", self.net.platform(), "/admin/stats")?;
-        self.await_answer("fabric", self.net.fabric_control(), "/admin/stats")
+        self.await_http_ok("platform", self.net.platform(), "/admin/stats")?;
+        self.await_http_ok("fabric", self.net.fabric_control(), "/admin/stats")
     }
 
     /// Starts the callers of each account; they have no work yet.
     pub(super) fn start_callers(&self) -> anyhow::Result<()> {
         for (account, plan) in ACCOUNTS.iter().enumerate() {
-            let place = self.net.caller(account);
+            let endpoints = self.net.caller(account);
             let mut arguments = vec![
                 "--listen".to_owned(),
-                place.data.to_string(),
+                endpoints.data.to_string(),
                 "--control".to_owned(),
-                place.control.to_string(),
+                endpoints.control.to_string(),
                 "--fabric".to_owned(),
                 self.net.ingress().to_string(),
                 "--number".to_owned(),
@@ -63,7 +63,7 @@
             lock(&self.standins).push(process);
         }
         for account in 0..ACCOUNTS.len() {
-            self.await_answer("caller", self.net.caller(account).control, "/admin/report")?;
+            self.await_http_ok("caller", self.net.caller(account).control, "/admin/report")?;
         }
         Ok(())
     }
@@ -72,9 +72,9 @@
     pub(super) fn start_upstream(&self, index: usize) -> anyhow::Result<()> {
         let mut fleet = lock(&self.fleet);
         let row = &mut fleet.upstreams[index];
-        row.upstream.life += 1;
+        row.upstream.start_count += 1;
         let arguments = self.upstream_arguments(row);
-        let log = format!("{}.{}", row.upstream.name, row.upstream.life);
+        let log = format!("{}.{}", row.upstream.name, row.upstream.start_count);
         row.upstream.process = Some(self.start("standin-upstream", &log, &arguments)?);
         Ok(())
     }
@@ -97,10 +97,11 @@
     }
 
     /// Waits until a daemon is ready and lists it.
-    pub(super) fn await_ready(&self, daemon: Pick) -> anyhow::Result<()> {
-        let (name, place) = self.with_daemon(daemon, |daemon| (daemon.name.clone(), daemon.place));
-        self.await_answer(&name, place.control, "/readyz")?;
-        self.with_daemon(daemon, |daemon| {
+    pub(super) fn await_ready(&self, id: DaemonId) -> anyhow::Result<()> {
+        let (name, endpoints) =
+            self.with_daemon(id, |daemon| (daemon.name.clone(), daemon.endpoints));
+        self.await_http_ok(&name, endpoints.control, "/readyz")?;
+        self.with_daemon(id, |daemon| {
             daemon.is_ready = true;
             daemon.listed = Listed::Live;
         });
@@ -108,16 +109,16 @@
     }
 
     /// Waits until a daemon that was told to end is gone, and notes how it went.
-    pub(super) fn await_end(&self, daemon: Pick) -> anyhow::Result<()> {
+    pub(super) fn await_exit(&self, id: DaemonId) -> anyhow::Result<()> {
         let exited = || {
-            self.with_daemon(daemon, |daemon| match &mut daemon.process {
+            self.with_daemon(id, |daemon| match &mut daemon.process {
                 Some(process) => process.exited(),
                 None => None,
             })
         };
-        let in_time = self.wait_until(END_TIMEOUT_MS, || exited().is_some())?;
+        let in_time = self.wait_until(EXIT_TIMEOUT_MS, || exited().is_some())?;
         let status = exited();
-        let name = self.with_daemon(daemon, |daemon| {
+        let name = self.with_daemon(id, |daemon| {
             daemon.process = None;
             daemon.name.clone()
         });
@@ -129,8 +130,8 @@
     }
 
     /// Sends a signal to a daemon and notes that the lab did.
-    pub(super) fn signal(&self, daemon: Pick, signal: Signal) {
-        let name = self.with_daemon(daemon, |daemon| {
+    pub(super) fn signal(&self, id: DaemonId, signal: Signal) {
+        let name = self.with_daemon(id, |daemon| {
             if matches!(signal, Signal::SIGTERM | Signal::SIGKILL) {
                 daemon.is_ready = false;
             }
@@ -143,12 +144,12 @@
     }
 
     /// Calls `apply` with one daemon of the fleet.
-    pub(super) fn with_daemon<T>(&self, pick: Pick, apply: impl FnOnce(&mut Daemon) -> T) -> T {
+    pub(super) fn with_daemon<T>(&self, id: DaemonId, apply: impl FnOnce(&mut Daemon) -> T) -> T {
         let mut fleet = lock(&self.fleet);
-        apply(match pick {
-            Pick::Balancer(index) => &mut fleet.balancers[index].daemon,
-            Pick::Agent(index) => &mut fleet.upstreams[index].agent,
-            Pick::Upstream(index) => &mut fleet.upstreams[index].upstream,
+        apply(match id {
+            DaemonId::Balancer(index) => &mut fleet.balancers[index].daemon,
+            DaemonId::Agent(index) => &mut fleet.upstreams[index].agent,
+            DaemonId::Upstream(index) => &mut fleet.upstreams[index].upstream,
         })
     }
 
@@ -202,7 +203,7 @@
         for row in &fleet.upstreams {
             let region = row.account_plan().region;
             let listed = instance("agent", &row.agent, row.zone, region);
-            instances.extend(listed.map(|listed| with_names(listed, row)));
+            instances.extend(listed.map(|listed| with_upstream_identity(listed, row)));
         }
         let list = InstanceList { instances, lag_ms: INSTANCE_LAG_MS };
         let body = ListBody { instances: &list.instances, lag_ms: list.lag_ms };
@@ -227,9 +228,9 @@
             let addresses = topology::clients(account);
             plan.zones.push(Zone { name: clients.as_str().into(), addresses });
             let rows = fleet.balancers.iter().filter(|row| row.account == index);
-            let entries: Vec<_> = rows.filter(|row| row.is_sprayed).collect();
+            let entries: Vec<_> = rows.filter(|row| row.in_rotation).collect();
             for row in &entries {
-                let addresses = vec![row.daemon.place.data.ip()];
+                let addresses = vec![row.daemon.endpoints.data.ip()];
                 plan.zones.push(Zone { name: row.zone.into(), addresses });
                 // The hop between zones, from balancer to agent, doesn't pass the fabric, so its
                 // delay is added to the way in.
@@ -239,20 +240,20 @@
             }
             if self.options.scenario.with_product {
                 let balancer = |address| Balancer { address, leaves_at_us: None };
-                let balancers = entries.iter().map(|row| balancer(row.daemon.place.data));
+                let balancers = entries.iter().map(|row| balancer(row.daemon.endpoints.data));
                 let addresses = topology::service_addresses(account);
                 plan.pools.push(Pool { addresses, balancers: balancers.collect() });
             }
         }
         if !self.options.scenario.with_product {
-            plan.pools = direct_pools(fleet);
+            plan.pools = pools_without_product(fleet);
         }
         plan
     }
 
     fn upstream_arguments(&self, row: &Upstream) -> Vec<String> {
         let service = row.service_plan();
-        let Place { data, control } = row.upstream.place;
+        let Endpoints { data, control } = row.upstream.endpoints;
         let ledger = self.out.join(format!("{}.ledger", row.upstream.name));
         let mut arguments = vec![
             "--service".to_owned(),
@@ -268,7 +269,7 @@
             "--ledger".to_owned(),
             ledger.display().to_string(),
             "--seed".to_owned(),
-            (self.options.seed + u64::from(row.upstream.life) * 1_000).to_string(),
+            (self.options.seed + u64::from(row.upstream.start_count) * 1_000).to_string(),
         ];
         for endpoint in std::iter::once(service.address).chain(service.datagram_address) {
             arguments.extend(["--endpoint".to_owned(), endpoint.to_owned()]);
@@ -282,9 +283,9 @@
         daemon: &mut Daemon,
         settings: &str,
     ) -> anyhow::Result<()> {
-        daemon.life += 1;
+        daemon.start_count += 1;
         daemon.is_ready = false;
-        let log = format!("{}.{}", daemon.name, daemon.life);
+        let log = format!("{}.{}", daemon.name, daemon.start_count);
         let file = self.out.join(format!("{log}.yaml"));
         std::fs::write(&file, settings)?;
         let arguments = ["--settings".to_owned(), file.display().to_string()];
@@ -306,7 +307,7 @@
         Process::start(name, &self.bin_dir.join(program), arguments, variable, &log)
     }
 
-    pub(super) fn await_answer(
+    pub(super) fn await_http_ok(
         &self,
         name: &str,
         address: std::net::SocketAddr,
@@ -323,7 +324,7 @@
 
 /// One process slot of the fleet.
 #[derive(Clone, Copy)]
-pub(super) enum Pick {
+pub(super) enum DaemonId {
     Balancer(usize),
     Agent(usize),
     Upstream(usize),
@@ -347,15 +348,15 @@
         account: None,
         service: None,
         upstream: None,
-        data_address: daemon.place.data,
-        control_address: daemon.place.control,
+        data_address: daemon.endpoints.data,
+        control_address: daemon.endpoints.control,
         zone: zone.into(),
         region: region.into(),
         state: state.into(),
     })
 }
 
-fn with_names(instance: Instance, row: &Upstream) -> Instance {
+fn with_upstream_identity(instance: Instance, row: &Upstream) -> Instance {
     Instance {
         account: Some(row.account_plan().name.into()),
         service: Some(row.service_plan().name.into()),
@@ -365,11 +366,11 @@
 }
 
 /// Without the product, each service's first upstream stands where its balancers would.
-fn direct_pools(fleet: &Fleet) -> Vec<Pool> {
+fn pools_without_product(fleet: &Fleet) -> Vec<Pool> {
     let first = fleet.upstreams.iter().filter(|row| row.number == 1);
     let pool = |row: &Upstream| {
         let address = row.service_plan().address.parse::<std::net::SocketAddr>().ok()?;
-        let balancer = Balancer { address: row.upstream.place.data, leaves_at_us: None };
+        let balancer = Balancer { address: row.upstream.endpoints.data, leaves_at_us: None };
         Some(Pool { addresses: vec![address.ip()], balancers: vec![balancer] })
     };
     first.filter_map(pool).collect()
--- a/xtask/src/lab/documents.rs
+++ b/xtask/src/lab/documents.rs
@@ -72,12 +72,12 @@
     let _ = writeln!(yaml, "      - name: {}", row.upstream.name);
     let _ = writeln!(yaml, "        zone: {}\n        weight: {}", row.zone, row.weight);
     let _ = writeln!(yaml, "        max_flows: {MAX_FLOWS}");
-    let _ = writeln!(yaml, "        agent_address: \"{}\"", row.agent.place.data);
-    let _ = writeln!(yaml, "        control_address: \"{}\"", row.agent.place.control);
-    let _ = writeln!(yaml, "        address: \"{}\"", row.upstream.place.data);
-    let _ = writeln!(yaml, "        state: {state}\n        since: {}", row.since);
+    let _ = writeln!(yaml, "        agent_address: \"{}\"", row.agent.endpoints.data);
+    let _ = writeln!(yaml, "        control_address: \"{}\"", row.agent.endpoints.control);
+    let _ = writeln!(yaml, "        address: \"{}\"", row.upstream.endpoints.data);
+    let _ = writeln!(yaml, "        state: {state}\n        since: {}", row.since_version);
     if row.published == Published::Retired {
-        let _ = writeln!(yaml, "        retired: {}", row.retired);
+        let _ = writeln!(yaml, "        retired: {}", row.retired_version);
     }
 }
 
@@ -85,9 +85,9 @@
 pub(super) fn balancer(net: Net, fleet: &Fleet, row: &Balancer, secrets: &Secrets) -> String {
     let region = ACCOUNTS[row.account].region;
     let mut yaml = format!("instance: {}\nzone: {}\nregion: {region}\n", row.daemon.name, row.zone);
-    let _ = writeln!(yaml, "data_address: \"{}\"", row.daemon.place.data);
-    let _ = writeln!(yaml, "control_address: \"{}\"", row.daemon.place.control);
-    shared(&mut yaml, net, fleet, row.daemon.place.control, secrets);
+    let _ = writeln!(yaml, "data_address: \"{}\"", row.daemon.endpoints.data);
+    let _ = writeln!(yaml, "control_address: \"{}\"", row.daemon.endpoints.control);
+    shared(&mut yaml, net, fleet, row.daemon.endpoints.control, secrets);
     key(&mut yaml, &secrets.master);
     yaml
 }
@@ -99,12 +99,12 @@
     let _ = writeln!(yaml, "region: {}\naccount: {}", plan.region, plan.name);
     let _ = writeln!(yaml, "service: {}", row.service_plan().name);
     let _ = writeln!(yaml, "upstream: {}", row.upstream.name);
-    let _ = writeln!(yaml, "data_address: \"{}\"", row.agent.place.data);
-    let _ = writeln!(yaml, "control_address: \"{}\"", row.agent.place.control);
-    let _ = writeln!(yaml, "upstream_address: \"{}\"", row.upstream.place.data);
-    let _ = writeln!(yaml, "upstream_status_address: \"{}\"", row.upstream.place.control);
+    let _ = writeln!(yaml, "data_address: \"{}\"", row.agent.endpoints.data);
+    let _ = writeln!(yaml, "control_address: \"{}\"", row.agent.endpoints.control);
+    let _ = writeln!(yaml, "upstream_address: \"{}\"", row.upstream.endpoints.data);
+    let _ = writeln!(yaml, "upstream_status_address: \"{}\"", row.upstream.endpoints.control);
     let _ = writeln!(yaml, "gateway_address: \"{}\"", net.gateway());
-    shared(&mut yaml, net, fleet, row.agent.place.control, secrets);
+    shared(&mut yaml, net, fleet, row.agent.endpoints.control, secrets);
     let account = AccountId::of(plan.name);
     key(&mut yaml, &derive_account_key(&secrets.master, KeyId(KEY_ID), account));
     yaml
--- a/xtask/src/lab/driver.rs
+++ b/xtask/src/lab/driver.rs
@@ -6,7 +6,7 @@
 use standins::clock;
 use standins::shell::lock;
 
-use super::actions::Pick;
+use super::actions::DaemonId;
 use super::figures::Figures;
 use super::options::Options;
 use super::scenario::{Phase, PhaseKind};
@@ -48,7 +48,7 @@
 pub(super) fn drive(lab: &Lab) -> anyhow::Result<Figures> {
     lab.log_progress(&format!(
         "scenario `{}`: {}",
-        lab.options.scenario.name, lab.options.scenario.about
+        lab.options.scenario.name, lab.options.scenario.description
     ));
     start_all(lab)?;
     let reports = std::thread::scope(|scope| {
@@ -82,8 +82,8 @@
     if lab.options.scenario.with_product {
         (0..balancers).try_for_each(|index| lab.start_balancer(index))?;
         (0..upstreams).try_for_each(|index| lab.start_agent(index))?;
-        (0..balancers).try_for_each(|index| lab.await_ready(Pick::Balancer(index)))?;
-        (0..upstreams).try_for_each(|index| lab.await_ready(Pick::Agent(index)))?;
+        (0..balancers).try_for_each(|index| lab.await_ready(DaemonId::Balancer(index)))?;
+        (0..upstreams).try_for_each(|index| lab.await_ready(DaemonId::Agent(index)))?;
     }
     lab.push_plan()?;
     lab.start_callers()?;
@@ -103,14 +103,14 @@
         Ok(Workload {
             service: service.name.into(),
             address: service.address.parse()?,
-            feeds: service.work.feeds * lab.options.scale,
+            feeds: service.workload.feeds * lab.options.scale,
             feed_interval_ms: FEED_INTERVAL_MS,
             feed_confirm_interval_ms: FEED_CONFIRM_INTERVAL_MS,
-            confirms_per_s: service.work.confirms_per_s,
-            fetches_per_s: service.work.fetches_per_s,
-            fetch_bytes: service.work.fetch_bytes,
+            confirms_per_s: service.workload.confirms_per_s,
+            fetches_per_s: service.workload.fetches_per_s,
+            fetch_bytes: service.workload.fetch_bytes,
             datagram_address: service.datagram_address.map(str::parse).transpose()?,
-            datagrams_per_s: service.work.datagrams_per_s,
+            datagrams_per_s: service.workload.datagrams_per_s,
         })
     };
     services.map(workload).collect()
@@ -147,7 +147,7 @@
 /// Ends all feeds, waits for what is in flight, and takes the callers' reports.
 fn stop_callers(lab: &Lab) -> anyhow::Result<Vec<Report>> {
     lab.log_progress("ending all feeds");
-    observer::check_newest(lab);
+    observer::check_settings_converged(lab);
     let controls: Vec<_> =
         (0..ACCOUNTS.len()).map(|account| lab.net.caller(account).control).collect();
     for control in &controls {
--- a/xtask/src/lab/evidence.rs
+++ b/xtask/src/lab/evidence.rs
@@ -30,7 +30,7 @@
     let daemons: Vec<_> = {
         let fleet = lock(&lab.fleet);
         let running = fleet.daemons().filter(|daemon| daemon.process.is_some());
-        running.map(|daemon| (daemon.name.clone(), daemon.place.control)).collect()
+        running.map(|daemon| (daemon.name.clone(), daemon.endpoints.control)).collect()
     };
     for (name, control) in daemons {
         // The time lines help people only; the verdict doesn't read them.
--- a/xtask/src/lab/fleet.rs
+++ b/xtask/src/lab/fleet.rs
@@ -5,7 +5,7 @@
 use standins::fabric::Faults;
 
 use super::scenario::Target;
-use super::topology::{ACCOUNTS, AccountPlan, BALANCERS, Net, Place, ServicePlan};
+use super::topology::{ACCOUNTS, AccountPlan, BALANCERS_PER_ACCOUNT, Endpoints, Net, ServicePlan};
 use crate::process::Process;
 
 /// Every machine of the run.
@@ -30,9 +30,9 @@
 /// One process slot; several processes may live in it one after the other.
 pub(super) struct Daemon {
     pub(super) name: String,
-    pub(super) place: Place,
+    pub(super) endpoints: Endpoints,
     /// Counts the processes that lived here.
-    pub(super) life: u32,
+    pub(super) start_count: u32,
     pub(super) process: Option<Process>,
     pub(super) listed: Listed,
     /// Answered `/readyz`; false again from the moment that it is to end.
@@ -45,7 +45,7 @@
     pub(super) zone: &'static str,
     pub(super) daemon: Daemon,
     /// The fabric hands it packets.
-    pub(super) is_sprayed: bool,
+    pub(super) in_rotation: bool,
 }
 
 /// State of an upstream in the published settings.
@@ -64,8 +64,8 @@
     pub(super) zone: &'static str,
     pub(super) weight: u32,
     pub(super) published: Published,
-    pub(super) since: u64,
-    pub(super) retired: u64,
+    pub(super) since_version: u64,
+    pub(super) retired_version: u64,
     pub(super) agent: Daemon,
     pub(super) upstream: Daemon,
 }
@@ -84,7 +84,9 @@
             faults: Faults::default(),
         };
         for (account, plan) in ACCOUNTS.iter().enumerate() {
-            fleet.balancers.extend((1..=BALANCERS).map(|number| balancer(net, account, number)));
+            fleet
+                .balancers
+                .extend((1..=BALANCERS_PER_ACCOUNT).map(|number| balancer(net, account, number)));
             for (service, service_plan) in plan.services.iter().enumerate() {
                 for number in 1..=service_plan.upstreams {
                     fleet.add_upstream(net, account, service, Published::Active);
@@ -115,8 +117,8 @@
             zone,
             weight: WEIGHT,
             published,
-            since: self.versions[account],
-            retired: 0,
+            since_version: self.versions[account],
+            retired_version: 0,
             agent: daemon(format!("agent-{name}"), net.agent(account, service, number)),
             upstream: daemon(name, net.upstream(account, service, number)),
         });
@@ -126,7 +128,8 @@
     /// Index of the upstream that a target means in this run.
     pub(super) fn resolve(&self, target: Target, seed: u64) -> usize {
         let is_service = |row: &Upstream| row.service_plan().name == target.service;
-        let count = self.upstreams.iter().filter(|row| is_service(row) && row.since == 1).count();
+        let count =
+            self.upstreams.iter().filter(|row| is_service(row) && row.since_version == 1).count();
         let number = (u64::from(target.slot) + seed) % count as u64 + 1;
         let is_target = |row: &Upstream| is_service(row) && u64::from(row.number) == number;
         // The scenarios name services of the topology only.
@@ -134,8 +137,8 @@
     }
 
     /// Indexes of the balancers in a slot, one for each account.
-    pub(super) fn balancers_in(&self, slot: u32, seed: u64) -> Vec<usize> {
-        let number = (u64::from(slot) + seed) % u64::from(BALANCERS) + 1;
+    pub(super) fn balancers_in_slot(&self, slot: u32, seed: u64) -> Vec<usize> {
+        let number = (u64::from(slot) + seed) % u64::from(BALANCERS_PER_ACCOUNT) + 1;
         let rows = self.balancers.iter().enumerate();
         rows.filter(|(_, row)| u64::from(row.number) == number).map(|(index, _)| index).collect()
     }
@@ -148,7 +151,7 @@
 
     /// Control addresses of all balancers, for processes to start with.
     pub(super) fn balancer_controls(&self) -> Vec<SocketAddr> {
-        self.balancers.iter().map(|row| row.daemon.place.control).collect()
+        self.balancers.iter().map(|row| row.daemon.endpoints.control).collect()
     }
 }
 
@@ -169,10 +172,17 @@
         number,
         zone: plan.zones[(number as usize - 1) % plan.zones.len()],
         daemon: daemon(format!("bal-{}-{number}", plan.name), net.balancer(account, number)),
-        is_sprayed: true,
+        in_rotation: true,
     }
 }
 
-fn daemon(name: String, place: Place) -> Daemon {
-    Daemon { name, place, life: 0, process: None, listed: Listed::Absent, is_ready: false }
+fn daemon(name: String, endpoints: Endpoints) -> Daemon {
+    Daemon {
+        name,
+        endpoints,
+        start_count: 0,
+        process: None,
+        listed: Listed::Absent,
+        is_ready: false,
+    }
 }
--- a/xtask/src/lab/mod.rs
+++ b/xtask/src/lab/mod.rs
@@ -95,7 +95,7 @@
         bin_dir: PathBuf,
         interrupted: Arc<AtomicBool>,
     ) -> anyhow::Result<Self> {
-        let net = Net::find(std::process::id())?;
+        let net = Net::find_unused(std::process::id())?;
         let folder = || std::env::temp_dir().join(format!("gooseberrysill-{}", std::process::id()));
         let out = options.out.clone().unwrap_or_else(folder);
         std::fs::create_dir_all(&out)?;
--- a/xtask/src/lab/observer.rs
+++ b/xtask/src/lab/observer.rs
@@ -26,7 +26,7 @@
 /// Pause between two looks at the upstreams' load.
 const LOAD_PAUSE: Duration = Duration::from_millis(500);
 /// A settings change may take this long to reach every daemon at the end of a run.
-const NEWEST_TIMEOUT_MS: u64 = 5_000;
+const CONVERGENCE_TIMEOUT_MS: u64 = 5_000;
 
 /// The part of a daemon's `/status` that the lab reads.
 #[derive(Deserialize)]
@@ -42,14 +42,14 @@
 }
 
 /// A daemon to ask.
-struct Subject {
+struct PollTarget {
     instance: String,
     control: SocketAddr,
 }
 
-impl Subject {
+impl PollTarget {
     /// Always the same thread asks a daemon, so that it notices a step back.
-    fn poller(&self) -> usize {
+    fn poller_index(&self) -> usize {
         let IpAddr::V4(address) = self.control.ip() else { return 0 };
         let [.., kind, number] = address.octets();
         usize::from(kind + number) % POLLERS
@@ -65,12 +65,14 @@
 }
 
 /// Waits until every daemon has the newest settings, and notes the ones that don't get them.
-pub(super) fn check_newest(lab: &Lab) {
+pub(super) fn check_settings_converged(lab: &Lab) {
     let http = HttpClient::with_timeout(POLL_TIMEOUT);
-    let until = clock::now().after(NEWEST_TIMEOUT_MS);
+    let until = clock::now().after(CONVERGENCE_TIMEOUT_MS);
     loop {
-        let lagging: Vec<_> =
-            subjects(lab).iter().filter_map(|subject| lag(lab, &http, subject)).collect();
+        let lagging: Vec<_> = ready_daemons(lab)
+            .iter()
+            .filter_map(|target| describe_lag(lab, &http, target))
+            .collect();
         if lagging.is_empty() || clock::now() >= until {
             lab.record(|journal, _| journal.lagging = lagging);
             return;
@@ -79,28 +81,28 @@
     }
 }
 
-fn lag(lab: &Lab, http: &HttpClient, subject: &Subject) -> Option<String> {
-    let Ok(status) = http.get::<DaemonStatus>(subject.control, "/status") else {
-        return Some(format!("{}: no status", subject.instance));
+fn describe_lag(lab: &Lab, http: &HttpClient, target: &PollTarget) -> Option<String> {
+    let Ok(status) = http.get::<DaemonStatus>(target.control, "/status") else {
+        return Some(format!("{}: no status", target.instance));
     };
     let versions = lock(&lab.fleet).versions;
     let newest = |name: &str| {
-        let place = ACCOUNTS.iter().position(|plan| plan.name == name);
-        place.map_or(0, |place| versions[place])
+        let index = ACCOUNTS.iter().position(|plan| plan.name == name);
+        index.map_or(0, |index| versions[index])
     };
     let old = status.settings.iter().find(|entry| entry.version < newest(&entry.account))?;
-    Some(format!("{}: {} at version {}", subject.instance, old.account, old.version))
+    Some(format!("{}: {} at version {}", target.instance, old.account, old.version))
 }
 
 fn poll_settings(lab: &Lab, poller: usize) {
     let http = HttpClient::with_timeout(POLL_TIMEOUT);
     let mut highest: BTreeMap<(String, String), u64> = BTreeMap::new();
     while !lab.ended.load(Ordering::Relaxed) {
-        for subject in subjects(lab).iter().filter(|subject| subject.poller() == poller) {
+        for target in ready_daemons(lab).iter().filter(|target| target.poller_index() == poller) {
             // A daemon that doesn't answer right now shows in the verdict by what it lacks later.
-            let status = http.get::<DaemonStatus>(subject.control, "/status");
+            let status = http.get::<DaemonStatus>(target.control, "/status");
             if let Some(status) = status.ok().filter(|status| status.ready) {
-                record_versions(lab, subject, status, &mut highest);
+                record_versions(lab, target, status, &mut highest);
             }
         }
         std::thread::sleep(POLL_PAUSE);
@@ -109,17 +111,17 @@
 
 fn record_versions(
     lab: &Lab,
-    subject: &Subject,
+    target: &PollTarget,
     status: DaemonStatus,
     highest: &mut BTreeMap<(String, String), u64>,
 ) {
     for AccountVersion { account, version } in status.settings {
-        let key = (subject.instance.clone(), account.clone());
+        let key = (target.instance.clone(), account.clone());
         let before = highest.insert(key, version).unwrap_or(0);
         if version == before {
             continue;
         }
-        let instance = subject.instance.clone();
+        let instance = target.instance.clone();
         lab.record(|journal, at_ms| {
             if version < before {
                 let text = format!("{instance}: {account} from {before} to {version}");
@@ -131,11 +133,14 @@
 }
 
 /// Daemons that are ready at the moment.
-fn subjects(lab: &Lab) -> Vec<Subject> {
+fn ready_daemons(lab: &Lab) -> Vec<PollTarget> {
     let fleet = lock(&lab.fleet);
     let ready = fleet.daemons().filter(|daemon| daemon.is_ready);
     ready
-        .map(|daemon| Subject { instance: daemon.name.clone(), control: daemon.place.control })
+        .map(|daemon| PollTarget {
+            instance: daemon.name.clone(),
+            control: daemon.endpoints.control,
+        })
         .collect()
 }
 
@@ -164,10 +169,10 @@
         let is_active = |row: &&super::fleet::Upstream| {
             (row.account, row.service) == (account, service)
                 && row.published == Published::Active
-                && row.since == 1
+                && row.since_version == 1
         };
         let daemons = fleet.upstreams.iter().filter(is_active).map(|row| &row.upstream);
-        daemons.map(|daemon| (daemon.name.clone(), daemon.place.control)).collect()
+        daemons.map(|daemon| (daemon.name.clone(), daemon.endpoints.control)).collect()
     };
     let open = |(name, control)| {
         let stats = http.get::<Stats>(control, "/admin/stats").ok()?;
--- a/xtask/src/lab/scenario.rs
+++ b/xtask/src/lab/scenario.rs
@@ -3,7 +3,7 @@
 /// A run.
 pub(super) struct Scenario {
     pub(super) name: &'static str,
-    pub(super) about: &'static str,
+    pub(super) description: &'static str,
     /// False for stand-ins on a direct wire, without the product.
     pub(super) with_product: bool,
     pub(super) phases: &'static [Phase],
@@ -137,7 +137,7 @@
 };
 
 /// Everything is replaced while half of the readers are behind, packets are lost and agents sleep.
-const TOGETHER: Phase = Phase {
+const COMBINED: Phase = Phase {
     name: "changes and faults together",
     kind: PhaseKind::Fault,
     tracks: &[
@@ -156,32 +156,32 @@
 pub(super) const SCENARIOS: &[Scenario] = &[
     Scenario {
         name: "quick",
-        about: "every planned change once, then every fault once, then both together",
+        description: "every planned change once, then every fault once, then both together",
         with_product: true,
-        phases: &[PLANNED, FAULTS, TOGETHER],
+        phases: &[PLANNED, FAULTS, COMBINED],
     },
     Scenario {
         name: "full",
-        about: "planned changes, faults, and both together, twice",
+        description: "planned changes, faults, and both together, twice",
         with_product: true,
-        phases: &[PLANNED, FAULTS, TOGETHER, PLANNED, FAULTS, TOGETHER],
+        phases: &[PLANNED, FAULTS, COMBINED, PLANNED, FAULTS, COMBINED],
     },
     Scenario {
         name: "planned",
-        about: "planned changes only",
+        description: "planned changes only",
         with_product: true,
         phases: &[PLANNED],
     },
-    Scenario { name: "faults", about: "faults only", with_product: true, phases: &[FAULTS] },
+    Scenario { name: "faults", description: "faults only", with_product: true, phases: &[FAULTS] },
     Scenario {
         name: "calm",
-        about: "no change at all",
+        description: "no change at all",
         with_product: true,
         phases: &[Phase { name: "calm", kind: PhaseKind::Planned, tracks: &[&[Wait(8_000)]] }],
     },
     Scenario {
         name: "wire",
-        about: "stand-ins only, on a direct wire: checks the lab itself",
+        description: "stand-ins only, on a direct wire: checks the lab itself",
         with_product: false,
         phases: &[Phase { name: "calm", kind: PhaseKind::Planned, tracks: &[&[Wait(4_000)]] }],
     },
--- a/xtask/src/lab/steps.rs
+++ b/xtask/src/lab/steps.rs
@@ -7,7 +7,7 @@
 use standins::upstream::{Lie, Stats, Switches};
 
 use super::Lab;
-use super::actions::Pick;
+use super::actions::DaemonId;
 use super::fleet::{Listed, Published, WEIGHT};
 use super::scenario::{Step, Target};
 use super::topology::ACCOUNTS;
@@ -15,21 +15,24 @@
 /// An upstream that leaves must get no opening after this long.
 pub(super) const LEAVING_GRACE_MS: u64 = 3_000;
 /// Time for openings after that, which would be counted.
-const WATCH_LEAVING_MS: u64 = 1_500;
+const LATE_OPENING_WATCH_MS: u64 = 1_500;
 /// Feeds of a replaced upstream end within this time.
 const FEEDS_END_TIMEOUT_MS: u64 = 10_000;
 /// Time for which a leaving balancer is listed before it is told to end.
 const LEAVING_NOTICE_MS: u64 = 100;
 
 /// What a rough fabric does: rare enough that TCP lives with it, frequent enough to matter.
-const ROUGH: Faults =
+const IMPAIRMENTS: Faults =
     Faults { loss_ppm: 3_000, duplicate_ppm: 20_000, reorder_ppm: 50_000, reorder_us: 20_000 };
 
 impl Lab {
     /// Carries out one step and returns once it is over.
     pub(super) fn perform(&self, step: Step) -> anyhow::Result<()> {
         if !matches!(step, Step::Wait(_)) {
-            self.log_progress(&format!("  {}", describe(step, |target| self.name(target))));
+            self.log_progress(&format!(
+                "  {}",
+                describe(step, |target| self.upstream_name(target))
+            ));
         }
         match step {
             Step::Wait(ms) => self.sleep(ms),
@@ -39,20 +42,32 @@
             Step::ReplaceUpstream(target) => self.replace_upstream(target),
             Step::DrainBySignal(target, ms) => self.drain_by_signal(target, ms),
             Step::Shed(target, ms) => {
-                self.switch(target, Switches { shedding: true, ..Switches::default() }, ms)
-            }
-            Step::FreezeStatus(target, ms) => {
-                self.switch(target, Switches { lie: Lie::Frozen, ..Switches::default() }, ms)
+                self.apply_switches(target, Switches { shedding: true, ..Switches::default() }, ms)
             }
+            Step::FreezeStatus(target, ms) => self.apply_switches(
+                target,
+                Switches { lie: Lie::Frozen, ..Switches::default() },
+                ms,
+            ),
             Step::KillBalancers(slot, ms) => self.kill_balancers(slot, ms),
-            Step::PauseBalancers(slot, ms) => self.freeze(&self.balancers(slot), ms),
+            Step::PauseBalancers(slot, ms) => {
+                self.pause_processes(&self.balancers_in_slot(slot), ms)
+            }
             Step::KillAgent(target, ms) => self.kill_agent(target, ms),
-            Step::PauseAgent(target, ms) => self.freeze(&[Pick::Agent(self.index(target))], ms),
+            Step::PauseAgent(target, ms) => {
+                self.pause_processes(&[DaemonId::Agent(self.upstream_index(target))], ms)
+            }
             Step::KillUpstream(target, ms) => self.kill_upstream(target, ms),
-            Step::PlatformDown(ms) => self.platform(Mode { down: true, ..Mode::default() }, ms),
-            Step::PlatformStale(ms) => self.platform(Mode { frozen: true, ..Mode::default() }, ms),
-            Step::PlatformSkew(ms) => self.platform(Mode { skew_ms: ms, ..Mode::default() }, ms),
-            Step::RoughFabric(ms) => self.rough_fabric(ms),
+            Step::PlatformDown(ms) => {
+                self.set_platform_mode(Mode { down: true, ..Mode::default() }, ms)
+            }
+            Step::PlatformStale(ms) => {
+                self.set_platform_mode(Mode { frozen: true, ..Mode::default() }, ms)
+            }
+            Step::PlatformSkew(ms) => {
+                self.set_platform_mode(Mode { skew_ms: ms, ..Mode::default() }, ms)
+            }
+            Step::RoughFabric(ms) => self.impair_fabric(ms),
         }
     }
 
@@ -72,45 +87,45 @@
     }
 
     fn roll_balancers(&self, slot: u32) -> anyhow::Result<()> {
-        let picks = self.balancers(slot);
-        for pick in &picks {
-            self.set_sprayed(*pick, false);
-            self.with_daemon(*pick, |daemon| daemon.listed = Listed::Leaving);
+        let ids = self.balancers_in_slot(slot);
+        for id in &ids {
+            self.set_in_rotation(*id, false);
+            self.with_daemon(*id, |daemon| daemon.listed = Listed::Leaving);
         }
         self.push_instances()?;
         self.sleep(LEAVING_NOTICE_MS)?;
-        picks.iter().for_each(|pick| self.signal(*pick, Signal::SIGTERM));
+        ids.iter().for_each(|id| self.signal(*id, Signal::SIGTERM));
         self.push_plan()?;
-        picks.iter().try_for_each(|pick| self.await_end(*pick))?;
-        self.bring_up_balancers(&picks)
+        ids.iter().try_for_each(|id| self.await_exit(*id))?;
+        self.bring_up_balancers(&ids)
     }
 
-    fn bring_up_balancers(&self, picks: &[Pick]) -> anyhow::Result<()> {
-        for pick in picks {
-            if let Pick::Balancer(index) = *pick {
+    fn bring_up_balancers(&self, ids: &[DaemonId]) -> anyhow::Result<()> {
+        for id in ids {
+            if let DaemonId::Balancer(index) = *id {
                 self.start_balancer(index)?;
             }
         }
-        for pick in picks {
-            self.await_ready(*pick)?;
-            self.set_sprayed(*pick, true);
+        for id in ids {
+            self.await_ready(*id)?;
+            self.set_in_rotation(*id, true);
         }
         self.push_plan()
     }
 
     fn restart_agent(&self, target: Target) -> anyhow::Result<()> {
-        let index = self.index(target);
-        let agent = Pick::Agent(index);
+        let index = self.upstream_index(target);
+        let agent = DaemonId::Agent(index);
         self.with_daemon(agent, |daemon| daemon.listed = Listed::Leaving);
         self.push_instances()?;
         self.signal(agent, Signal::SIGTERM);
-        self.await_end(agent)?;
+        self.await_exit(agent)?;
         self.start_agent(index)?;
         self.await_ready(agent)
     }
 
     fn replace_upstream(&self, target: Target) -> anyhow::Result<()> {
-        let old = self.index(target);
+        let old = self.upstream_index(target);
         let (account, service) = {
             let fleet = lock(&self.fleet);
             (fleet.upstreams[old].account, fleet.upstreams[old].service)
@@ -122,32 +137,32 @@
         self.start_upstream(new)?;
         self.publish(account, |fleet, version| {
             fleet.upstreams[new].published = Published::Active;
-            fleet.upstreams[new].since = version;
+            fleet.upstreams[new].since_version = version;
         })?;
         self.start_agent(new)?;
-        self.await_ready(Pick::Agent(new))?;
+        self.await_ready(DaemonId::Agent(new))?;
         self.publish(account, |fleet, _| fleet.upstreams[old].published = Published::Draining)?;
         self.record_drain(old);
-        self.sleep(LEAVING_GRACE_MS + WATCH_LEAVING_MS)?;
+        self.sleep(LEAVING_GRACE_MS + LATE_OPENING_WATCH_MS)?;
         self.end_feeds(account, old)?;
-        self.with_daemon(Pick::Agent(old), |daemon| daemon.listed = Listed::Leaving);
+        self.with_daemon(DaemonId::Agent(old), |daemon| daemon.listed = Listed::Leaving);
         self.push_instances()?;
-        self.signal(Pick::Agent(old), Signal::SIGTERM);
-        self.await_end(Pick::Agent(old))?;
-        self.with_daemon(Pick::Agent(old), |daemon| daemon.listed = Listed::Absent);
+        self.signal(DaemonId::Agent(old), Signal::SIGTERM);
+        self.await_exit(DaemonId::Agent(old))?;
+        self.with_daemon(DaemonId::Agent(old), |daemon| daemon.listed = Listed::Absent);
         self.publish(account, |fleet, version| {
             fleet.upstreams[old].published = Published::Retired;
-            fleet.upstreams[old].retired = version;
+            fleet.upstreams[old].retired_version = version;
         })?;
         self.push_instances()?;
-        self.signal(Pick::Upstream(old), Signal::SIGTERM);
-        self.await_end(Pick::Upstream(old))
+        self.signal(DaemonId::Upstream(old), Signal::SIGTERM);
+        self.await_exit(DaemonId::Upstream(old))
     }
 
     /// Lets the clients end their feeds at an upstream and waits until it has no connection.
     fn end_feeds(&self, account: usize, index: usize) -> anyhow::Result<()> {
-        let (name, control) = self.with_daemon(Pick::Upstream(index), |daemon| {
-            (daemon.name.clone(), daemon.place.control)
+        let (name, control) = self.with_daemon(DaemonId::Upstream(index), |daemon| {
+            (daemon.name.clone(), daemon.endpoints.control)
         });
         let path = format!("/admin/end-feeds?upstream={name}");
         self.http.post(self.net.caller(account).control, &path)?;
@@ -164,17 +179,17 @@
     }
 
     fn drain_by_signal(&self, target: Target, ms: u64) -> anyhow::Result<()> {
-        let index = self.index(target);
+        let index = self.upstream_index(target);
         self.record_drain(index);
-        self.switch(target, Switches { draining: true, ..Switches::default() }, ms)?;
-        let name = self.name(target);
+        self.apply_switches(target, Switches { draining: true, ..Switches::default() }, ms)?;
+        let name = self.upstream_name(target);
         self.record(|journal, now_ms| journal.end_drain(&name, now_ms));
         Ok(())
     }
 
-    fn switch(&self, target: Target, switches: Switches, ms: u64) -> anyhow::Result<()> {
-        let upstream = Pick::Upstream(self.index(target));
-        let control = self.with_daemon(upstream, |daemon| daemon.place.control);
+    fn apply_switches(&self, target: Target, switches: Switches, ms: u64) -> anyhow::Result<()> {
+        let upstream = DaemonId::Upstream(self.upstream_index(target));
+        let control = self.with_daemon(upstream, |daemon| daemon.endpoints.control);
         self.http.put(control, "/admin/switches", &switches)?;
         self.sleep(ms)?;
         self.http.put(control, "/admin/switches", &Switches::default())
@@ -182,77 +197,77 @@
 
     /// The fabric notices a dead balancer only after its lag, as for any other.
     fn kill_balancers(&self, slot: u32, ms: u64) -> anyhow::Result<()> {
-        let picks = self.balancers(slot);
-        for pick in &picks {
-            self.kill(*pick);
-            self.set_sprayed(*pick, false);
+        let ids = self.balancers_in_slot(slot);
+        for id in &ids {
+            self.kill(*id);
+            self.set_in_rotation(*id, false);
         }
         self.push_plan()?;
         self.sleep(ms)?;
-        self.bring_up_balancers(&picks)
+        self.bring_up_balancers(&ids)
     }
 
     fn kill_agent(&self, target: Target, ms: u64) -> anyhow::Result<()> {
-        let index = self.index(target);
-        self.kill(Pick::Agent(index));
+        let index = self.upstream_index(target);
+        self.kill(DaemonId::Agent(index));
         self.sleep(ms)?;
         self.start_agent(index)?;
-        self.await_ready(Pick::Agent(index))
+        self.await_ready(DaemonId::Agent(index))
     }
 
     fn kill_upstream(&self, target: Target, ms: u64) -> anyhow::Result<()> {
-        let index = self.index(target);
-        let name = self.name(target);
+        let index = self.upstream_index(target);
+        let name = self.upstream_name(target);
         self.record(|journal, now_ms| journal.killed.push((name, now_ms)));
-        self.kill(Pick::Upstream(index));
+        self.kill(DaemonId::Upstream(index));
         self.sleep(ms)?;
         self.start_upstream(index)
     }
 
-    fn kill(&self, pick: Pick) {
-        self.signal(pick, Signal::SIGKILL);
-        self.with_daemon(pick, |daemon| daemon.process = None);
+    fn kill(&self, id: DaemonId) {
+        self.signal(id, Signal::SIGKILL);
+        self.with_daemon(id, |daemon| daemon.process = None);
     }
 
     /// Stops processes without ending them, and lets them wake up with an old view of the world.
-    fn freeze(&self, picks: &[Pick], ms: u64) -> anyhow::Result<()> {
-        picks.iter().for_each(|pick| self.signal(*pick, Signal::SIGSTOP));
+    fn pause_processes(&self, ids: &[DaemonId], ms: u64) -> anyhow::Result<()> {
+        ids.iter().for_each(|id| self.signal(*id, Signal::SIGSTOP));
         let slept = self.sleep(ms);
-        picks.iter().for_each(|pick| self.signal(*pick, Signal::SIGCONT));
+        ids.iter().for_each(|id| self.signal(*id, Signal::SIGCONT));
         slept
     }
 
-    fn platform(&self, mode: Mode, ms: u64) -> anyhow::Result<()> {
+    fn set_platform_mode(&self, mode: Mode, ms: u64) -> anyhow::Result<()> {
         self.http.put(self.net.platform(), "/admin/mode", &mode)?;
         self.sleep(ms)?;
         self.http.put(self.net.platform(), "/admin/mode", &Mode::default())
     }
 
-    fn rough_fabric(&self, ms: u64) -> anyhow::Result<()> {
-        lock(&self.fleet).faults = ROUGH;
+    fn impair_fabric(&self, ms: u64) -> anyhow::Result<()> {
+        lock(&self.fleet).faults = IMPAIRMENTS;
         self.push_plan()?;
         self.sleep(ms)?;
         lock(&self.fleet).faults = Faults::default();
         self.push_plan()
     }
 
-    fn index(&self, target: Target) -> usize {
+    fn upstream_index(&self, target: Target) -> usize {
         lock(&self.fleet).resolve(target, self.options.seed)
     }
 
-    fn name(&self, target: Target) -> String {
+    fn upstream_name(&self, target: Target) -> String {
         let fleet = lock(&self.fleet);
         fleet.upstreams[fleet.resolve(target, self.options.seed)].upstream.name.clone()
     }
 
-    fn balancers(&self, slot: u32) -> Vec<Pick> {
-        let indexes = lock(&self.fleet).balancers_in(slot, self.options.seed);
-        indexes.into_iter().map(Pick::Balancer).collect()
+    fn balancers_in_slot(&self, slot: u32) -> Vec<DaemonId> {
+        let indexes = lock(&self.fleet).balancers_in_slot(slot, self.options.seed);
+        indexes.into_iter().map(DaemonId::Balancer).collect()
     }
 
-    fn set_sprayed(&self, pick: Pick, is_sprayed: bool) {
-        if let Pick::Balancer(index) = pick {
-            lock(&self.fleet).balancers[index].is_sprayed = is_sprayed;
+    fn set_in_rotation(&self, id: DaemonId, in_rotation: bool) {
+        if let DaemonId::Balancer(index) = id {
+            lock(&self.fleet).balancers[index].in_rotation = in_rotation;
         }
     }
 }
--- a/xtask/src/lab/tests.rs
+++ b/xtask/src/lab/tests.rs
@@ -37,7 +37,7 @@
 
     fleet.versions[account] += 1;
     fleet.upstreams[old].published = Published::Retired;
-    fleet.upstreams[old].retired = fleet.versions[account];
+    fleet.upstreams[old].retired_version = fleet.versions[account];
     let yaml = documents::account(&fleet, account);
     settings::account::parse_next(&yaml, Some(&root), name, &second).unwrap();
 }
--- a/xtask/src/lab/topology.rs
+++ b/xtask/src/lab/topology.rs
@@ -13,7 +13,7 @@
     /// One way between two zones.
     pub(super) zone_delay_us: u64,
     /// Third octet of its clients, 198.18.x.y.
-    pub(super) clients: u8,
+    pub(super) client_octet: u8,
     pub(super) services: &'static [ServicePlan],
 }
 
@@ -26,11 +26,11 @@
     pub(super) when_in_doubt: &'static str,
     pub(super) upstreams: u32,
     /// Work of the callers, at the quick size.
-    pub(super) work: WorkPlan,
+    pub(super) workload: WorkloadPlan,
 }
 
 /// How much callers ask of a service.
-pub(super) struct WorkPlan {
+pub(super) struct WorkloadPlan {
     pub(super) feeds: u32,
     pub(super) confirms_per_s: u32,
     pub(super) fetches_per_s: u32,
@@ -39,9 +39,9 @@
 }
 
 /// Balancers of each account.
-pub(super) const BALANCERS: u32 = 3;
+pub(super) const BALANCERS_PER_ACCOUNT: u32 = 3;
 /// Clients of each account.
-pub(super) const CLIENTS: u8 = 8;
+pub(super) const CLIENTS_PER_ACCOUNT: u8 = 8;
 /// One way between clients and the fabric's edge.
 pub(super) const CLIENT_DELAY_US: u64 = 1_000;
 /// Connections that an upstream can hold.
@@ -55,7 +55,7 @@
         prefix: "203.0.113.0/28",
         zones: &["pnw-a", "pnw-b", "pnw-c", "pnw-d"],
         zone_delay_us: 1_000,
-        clients: 1,
+        client_octet: 1,
         services: &[
             ServicePlan {
                 name: "shelf",
@@ -63,7 +63,7 @@
                 datagram_address: Some("203.0.113.1:9443"),
                 when_in_doubt: "refuse",
                 upstreams: 7,
-                work: WorkPlan {
+                workload: WorkloadPlan {
                     feeds: 84,
                     confirms_per_s: 30,
                     fetches_per_s: 0,
@@ -77,7 +77,7 @@
                 datagram_address: None,
                 when_in_doubt: "admit",
                 upstreams: 4,
-                work: WorkPlan {
+                workload: WorkloadPlan {
                     feeds: 8,
                     confirms_per_s: 0,
                     fetches_per_s: 20,
@@ -93,7 +93,7 @@
         prefix: "203.0.113.16/28",
         zones: &["leon-a", "leon-b", "silao-a"],
         zone_delay_us: 1_500,
-        clients: 2,
+        client_octet: 2,
         services: &[
             ServicePlan {
                 name: "fitting",
@@ -101,7 +101,7 @@
                 datagram_address: Some("203.0.113.17:9443"),
                 when_in_doubt: "refuse",
                 upstreams: 7,
-                work: WorkPlan {
+                workload: WorkloadPlan {
                     feeds: 84,
                     confirms_per_s: 30,
                     fetches_per_s: 0,
@@ -115,7 +115,7 @@
                 datagram_address: None,
                 when_in_doubt: "admit",
                 upstreams: 3,
-                work: WorkPlan {
+                workload: WorkloadPlan {
                     feeds: 6,
                     confirms_per_s: 0,
                     fetches_per_s: 20,
@@ -141,7 +141,7 @@
 
 /// Where one process takes packets and HTTP calls.
 #[derive(Clone, Copy)]
-pub(super) struct Place {
+pub(super) struct Endpoints {
     pub(super) data: SocketAddr,
     pub(super) control: SocketAddr,
 }
@@ -153,7 +153,7 @@
     }
 
     /// Finds an octet that no other run uses, beginning at one that depends on `start`.
-    pub(super) fn find(start: u32) -> anyhow::Result<Self> {
+    pub(super) fn find_unused(start: u32) -> anyhow::Result<Self> {
         (0..200)
             .map(|step| Self::new(((start + step) % 200) as u8 + 20))
             .find(|net| UdpSocket::bind(net.gateway()).is_ok())
@@ -161,51 +161,51 @@
     }
 
     pub(super) fn platform(self) -> SocketAddr {
-        self.at(1, 1, PLATFORM_PORT)
+        self.socket_address(1, 1, PLATFORM_PORT)
     }
 
     pub(super) fn ingress(self) -> SocketAddr {
-        self.at(2, 1, DATA_PORT)
+        self.socket_address(2, 1, DATA_PORT)
     }
 
     pub(super) fn gateway(self) -> SocketAddr {
-        self.at(2, 1, GATEWAY_PORT)
+        self.socket_address(2, 1, GATEWAY_PORT)
     }
 
     pub(super) fn fabric_control(self) -> SocketAddr {
-        self.at(2, 1, CONTROL_PORT)
+        self.socket_address(2, 1, CONTROL_PORT)
     }
 
-    pub(super) fn balancer(self, account: usize, number: u32) -> Place {
-        self.place(10 + account as u8, number as u8, CONTROL_PORT)
+    pub(super) fn balancer(self, account: usize, number: u32) -> Endpoints {
+        self.endpoints(10 + account as u8, number as u8, CONTROL_PORT)
     }
 
-    pub(super) fn agent(self, account: usize, service: usize, number: u32) -> Place {
-        self.place(20 + (account * 10 + service) as u8, number as u8, CONTROL_PORT)
+    pub(super) fn agent(self, account: usize, service: usize, number: u32) -> Endpoints {
+        self.endpoints(20 + (account * 10 + service) as u8, number as u8, CONTROL_PORT)
     }
 
-    pub(super) fn upstream(self, account: usize, service: usize, number: u32) -> Place {
-        self.place(50 + (account * 10 + service) as u8, number as u8, STATUS_PORT)
+    pub(super) fn upstream(self, account: usize, service: usize, number: u32) -> Endpoints {
+        self.endpoints(50 + (account * 10 + service) as u8, number as u8, STATUS_PORT)
     }
 
-    pub(super) fn caller(self, account: usize) -> Place {
-        self.place(90, account as u8 + 1, CONTROL_PORT)
+    pub(super) fn caller(self, account: usize) -> Endpoints {
+        self.endpoints(90, account as u8 + 1, CONTROL_PORT)
     }
 
-    fn place(self, kind: u8, number: u8, control_port: u16) -> Place {
-        let data = self.at(kind, number, DATA_PORT);
-        Place { data, control: self.at(kind, number, control_port) }
+    fn endpoints(self, kind: u8, number: u8, control_port: u16) -> Endpoints {
+        let data = self.socket_address(kind, number, DATA_PORT);
+        Endpoints { data, control: self.socket_address(kind, number, control_port) }
     }
 
-    fn at(self, kind: u8, number: u8, port: u16) -> SocketAddr {
+    fn socket_address(self, kind: u8, number: u8, port: u16) -> SocketAddr {
         SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, self.octet, kind, number)), port)
     }
 }
 
 /// Inner addresses of an account's clients.
 pub(super) fn clients(account: &AccountPlan) -> Vec<IpAddr> {
-    let address = |number| IpAddr::V4(Ipv4Addr::new(198, 18, account.clients, number));
-    (1..=CLIENTS).map(address).collect()
+    let address = |number| IpAddr::V4(Ipv4Addr::new(198, 18, account.client_octet, number));
+    (1..=CLIENTS_PER_ACCOUNT).map(address).collect()
 }
 
 /// Addresses to which callers of an account send.
--- a/xtask/src/lab/verdict/mod.rs
+++ b/xtask/src/lab/verdict/mod.rs
@@ -165,7 +165,7 @@
 fn insufficient_load(figures: &Figures, reports: &[Report]) -> Vec<String> {
     let mut failures = Vec::new();
     let services = ACCOUNTS.iter().flat_map(|account| account.services);
-    let feeds: u64 = services.map(|service| u64::from(service.work.feeds)).sum();
+    let feeds: u64 = services.map(|service| u64::from(service.workload.feeds)).sum();
     if figures.flows_opened < feeds {
         failures.push(format!("only {} connections were opened", figures.flows_opened));
     }
