--- a/xtask/src/lab/actions.rs
+++ b/xtask/src/lab/actions.rs
@@ -1,4 +1,5 @@
-//! What the lab can do to the machines: start them, publish, and tell platform and fabric.
+//! Operations on the processes of a run: starts and signals them, publishes settings, and
+//! configures the platform and the fabric.
 
 use anyhow::ensure;
 use nix::sys::signal::Signal;
@@ -13,17 +14,17 @@
 use super::{Lab, documents};
 use crate::process::Process;
 
-/// The platform's list shows a change after this long.
+/// Delay until the platform's instance list shows a change.
 const INSTANCE_LAG_MS: u64 = 1_000;
-/// The fabric hands packets to a removed balancer for this long.
+/// Time for which the fabric still sends packets to a removed balancer.
 const FABRIC_LAG_MS: u64 = 500;
-/// A fresh process answers within this time, on a busy machine too.
+/// Maximum time for a new process to respond, also on a busy machine.
 const START_TIMEOUT_MS: u64 = 15_000;
-/// A process told to end does so within its grace of 3 s and some time for a busy machine.
+/// Maximum time from SIGTERM to the exit: the grace of 3 s and a margin for a busy machine.
 const EXIT_TIMEOUT_MS: u64 = 8_000;
 
 impl Lab {
-    /// Starts platform and fabric and waits for them.
+    /// Starts the platform and the fabric and waits until they respond.
     pub(super) fn start_platform_and_fabric(&self) -> anyhow::Result<()> {
         let listen = self.net.platform().to_string();
         self.start_standin("standin-platform", "platform", &["--listen", &listen])?;
@@ -39,7 +40,7 @@
         self.await_http_ok("fabric", self.net.fabric_control(), "/admin/stats")
     }
 
-    /// Starts the callers of each account; they have no work yet.
+    /// Starts the callers of each account, which have no workload yet.
     pub(super) fn start_callers(&self) -> anyhow::Result<()> {
         for (account, plan) in ACCOUNTS.iter().enumerate() {
             let endpoints = self.net.caller(account);
@@ -68,7 +69,7 @@
         Ok(())
     }
 
-    /// Starts the upstream in a row; its ledger goes on in the same file.
+    /// Starts the upstream at this index. After a restart it appends to the same ledger.
     pub(super) fn start_upstream(&self, index: usize) -> anyhow::Result<()> {
         let mut fleet = lock(&self.fleet);
         let row = &mut fleet.upstreams[index];
@@ -79,7 +80,7 @@
         Ok(())
     }
 
-    /// Starts the agent in a row; it is listed once it is ready.
+    /// Starts the agent of the upstream at this index. `await_ready` lists it.
     pub(super) fn start_agent(&self, index: usize) -> anyhow::Result<()> {
         let mut fleet = lock(&self.fleet);
         let settings = documents::agent(self.net, &fleet, &fleet.upstreams[index], &self.secrets);
@@ -87,7 +88,7 @@
         self.start_daemon("gooseberrysill-agent", daemon, &settings)
     }
 
-    /// Starts the balancer in a row; it is listed once it is ready.
+    /// Starts the balancer at this index. `await_ready` lists it.
     pub(super) fn start_balancer(&self, index: usize) -> anyhow::Result<()> {
         let mut fleet = lock(&self.fleet);
         let row = &fleet.balancers[index];
@@ -96,7 +97,7 @@
         self.start_daemon("gooseberrysill-balancer", daemon, &settings)
     }
 
-    /// Waits until a daemon is ready and lists it.
+    /// Waits until a daemon is ready and adds it to the platform's instance list.
     pub(super) fn await_ready(&self, id: DaemonId) -> anyhow::Result<()> {
         let (name, endpoints) =
             self.with_daemon(id, |daemon| (daemon.name.clone(), daemon.endpoints));
@@ -108,7 +109,7 @@
         self.push_instances()
     }
 
-    /// Waits until a daemon that was told to end is gone, and notes how it went.
+    /// Waits until a daemon that received SIGTERM has exited, and records an unclean exit.
     pub(super) fn await_exit(&self, id: DaemonId) -> anyhow::Result<()> {
         let exited = || {
             self.with_daemon(id, |daemon| match &mut daemon.process {
@@ -123,13 +124,13 @@
             daemon.name.clone()
         });
         if !in_time || !status.is_some_and(|status| status.success()) {
-            let how = status.map_or("not in time".to_owned(), |status| status.to_string());
+            let how = status.map_or("did not exit in time".to_owned(), |status| status.to_string());
             self.record(|journal, _| journal.unclean_exits.push(format!("{name}: {how}")));
         }
         Ok(())
     }
 
-    /// Sends a signal to a daemon and notes that the lab did.
+    /// Sends a signal to a daemon and records that the lab disturbed it.
     pub(super) fn signal(&self, id: DaemonId, signal: Signal) {
         let name = self.with_daemon(id, |daemon| {
             if matches!(signal, Signal::SIGTERM | Signal::SIGKILL) {
@@ -166,7 +167,7 @@
         self.put_account(&fleet, account)
     }
 
-    /// Publishes root and subtrees as they are at the start.
+    /// Publishes the initial root document and account subtrees.
     pub(super) fn publish_all(&self) -> anyhow::Result<()> {
         let fleet = lock(&self.fleet);
         self.http.put_text(self.net.platform(), "/admin/root", &documents::root(&fleet))?;
@@ -184,7 +185,7 @@
         Ok(())
     }
 
-    /// Notes that an upstream leaves from now on.
+    /// Records that an upstream is draining from now on.
     pub(super) fn record_drain(&self, index: usize) {
         let upstream = lock(&self.fleet).upstreams[index].upstream.name.clone();
         self.record(|journal, from_ms| {
@@ -192,7 +193,7 @@
         });
     }
 
-    /// Gives the platform the list of instances; readers see it after its lag.
+    /// Sends the instance list to the platform; readers see it after `INSTANCE_LAG_MS`.
     pub(super) fn push_instances(&self) -> anyhow::Result<()> {
         let fleet = lock(&self.fleet);
         let mut instances = Vec::new();
@@ -210,7 +211,7 @@
         self.http.put(self.net.platform(), "/admin/instances", &body)
     }
 
-    /// Gives the fabric its plan: balancers, zones, delays and faults.
+    /// Sends the fabric its plan: balancers, zones, delays and faults.
     pub(super) fn push_plan(&self) -> anyhow::Result<()> {
         let plan = self.plan(&lock(&self.fleet));
         self.http.put(self.net.fabric_control(), "/admin/plan", &plan)
@@ -232,8 +233,8 @@
             for row in &entries {
                 let addresses = vec![row.daemon.endpoints.data.ip()];
                 plan.zones.push(Zone { name: row.zone.into(), addresses });
-                // The hop between zones, from balancer to agent, doesn't pass the fabric, so its
-                // delay is added to the way in.
+                // The hop from balancer to agent, which may cross zones, does not pass through the
+                // fabric. Its delay is added to the path from the clients to the balancer.
                 let zones = [clients.as_str().into(), row.zone.into()];
                 let delay_us = CLIENT_DELAY_US + account.zone_delay_us;
                 plan.delays.push(Delay { zones, delay_us });
@@ -317,12 +318,12 @@
         let is_up = || self.http.is_ok(address, path);
         let in_time = self.wait_until(START_TIMEOUT_MS, is_up)?;
         let waited_ms = clock::now().since(begun);
-        ensure!(in_time, "{name}: no good answer from http://{address}{path} in {waited_ms} ms");
+        ensure!(in_time, "{name}: no success from http://{address}{path} in {waited_ms} ms");
         Ok(())
     }
 }
 
-/// One process slot of the fleet.
+/// Identifies a process slot of the fleet by its kind and index.
 #[derive(Clone, Copy)]
 pub(super) enum DaemonId {
     Balancer(usize),
@@ -365,7 +366,7 @@
     }
 }
 
-/// Without the product, each service's first upstream stands where its balancers would.
+/// Without the product, the fabric sends the packets of a service to its first upstream.
 fn pools_without_product(fleet: &Fleet) -> Vec<Pool> {
     let first = fleet.upstreams.iter().filter(|row| row.number == 1);
     let pool = |row: &Upstream| {
--- a/xtask/src/lab/documents.rs
+++ b/xtask/src/lab/documents.rs
@@ -1,4 +1,4 @@
-//! The YAML that the lab writes: published tree and process settings.
+//! Generates the YAML documents of a run: the published settings tree and process settings.
 
 use std::fmt::Write as _;
 
@@ -8,11 +8,11 @@
 use super::fleet::{Balancer, Fleet, Published, Upstream};
 use super::topology::{ACCOUNTS, MAX_FLOWS, Net};
 
-/// Number of the fleet's only key in a run.
+/// Id of the only key in a run.
 const KEY_ID: u8 = 1;
-/// Longest time from SIGTERM to the exit.
+/// Maximum time from SIGTERM to the exit.
 const SHUTDOWN_GRACE_MS: u64 = 3_000;
-/// Load above the zone's mean at which openings spill to other zones.
+/// Load above the zone's mean, in percent, at which openings spill to other zones.
 const ZONE_SPILL_PERCENT: u32 = 25;
 
 /// Secrets of one run.
@@ -22,7 +22,7 @@
 }
 
 impl Secrets {
-    /// Secrets that differ from run to run, and not for one seed.
+    /// Derives the secrets from the seed, so that they differ between runs but not for one seed.
     pub(super) fn new(seed: u64) -> Self {
         let mut master = [0x5a; 32];
         master[..8].copy_from_slice(&seed.to_be_bytes());
--- a/xtask/src/lab/driver.rs
+++ b/xtask/src/lab/driver.rs
@@ -1,4 +1,4 @@
-//! The course of a run: build, start, phases, end, verdict.
+//! The stages of a run: build, start, phases, shutdown, verdict.
 
 use std::path::PathBuf;
 
@@ -15,13 +15,13 @@
 use super::{Lab, evidence, observer};
 use crate::process;
 
-/// Callers run this long before the first phase.
+/// Time for which callers run before the first phase.
 const WARM_UP_MS: u64 = 2_000;
-/// After the last phase everything must have recovered within this time.
+/// Time after the last phase within which everything must recover.
 const RECOVERY_MS: u64 = 3_000;
-/// Time after that, in which an opening that fails is counted apart.
+/// Time after the recovery in which failed openings are counted separately.
 const POST_RECOVERY_MS: u64 = 2_000;
-/// Longest time in which callers end what is in flight.
+/// Maximum time for callers to complete the requests in flight.
 const CALLERS_IDLE_TIMEOUT_MS: u64 = 12_000;
 /// Time between two lines of a feed.
 const FEED_INTERVAL_MS: u32 = 200;
@@ -44,7 +44,7 @@
     Ok(target.join(if options.release { "release" } else { "debug" }))
 }
 
-/// Runs the scenario and judges it.
+/// Runs the scenario and evaluates the result.
 pub(super) fn drive(lab: &Lab) -> anyhow::Result<Figures> {
     lab.log_progress(&format!(
         "scenario `{}`: {}",
@@ -122,7 +122,7 @@
     lab.options.scenario.phases.iter().try_for_each(|phase| run_phase(lab, phase))?;
     lab.log_progress("recovering");
     lab.sleep(RECOVERY_MS)?;
-    lab.log_progress("nothing may fail any more");
+    lab.log_progress("recovery time is over: no opening may fail from now on");
     lab.record(|journal, now_ms| journal.phases.push((now_ms, PhaseKind::Recovered)));
     lab.sleep(POST_RECOVERY_MS)
 }
@@ -136,7 +136,7 @@
         };
         let tracks: Vec<_> = phase.tracks.iter().map(|track| run_track(track)).collect();
         let ended = tracks.into_iter().map(|track| track.join());
-        // A panic in a track is the lab's own fault and ends the run as an error.
+        // A panic in a track is a bug of the lab and ends the run with an error.
         let flatten = |ended: std::thread::Result<_>| {
             ended.unwrap_or_else(|_| Err(anyhow::anyhow!("a track panicked")))
         };
@@ -144,7 +144,7 @@
     })
 }
 
-/// Ends all feeds, waits for what is in flight, and takes the callers' reports.
+/// Ends all feeds, waits for the requests in flight, and collects the callers' reports.
 fn stop_callers(lab: &Lab) -> anyhow::Result<Vec<Report>> {
     lab.log_progress("ending all feeds");
     observer::check_settings_converged(lab);
@@ -159,9 +159,10 @@
     controls.into_iter().map(report).collect()
 }
 
-/// Ends every process as an operator would; what doesn't end is killed when the lab is dropped.
+/// Stops the platform, the fabric and the callers with SIGTERM. A process that does not exit in
+/// time is killed when it is dropped, as are all others when the lab is dropped.
 fn stop_processes(lab: &Lab) -> anyhow::Result<()> {
-    lab.log_progress("ending all processes");
+    lab.log_progress("stopping all processes");
     let processes: Vec<_> = std::mem::take(&mut *lock(&lab.standins));
     for process in &processes {
         process.signal(nix::sys::signal::Signal::SIGTERM);
@@ -172,7 +173,7 @@
             lab.sleep(super::POLL_INTERVAL_MS)?;
         }
         if process.exited().is_none() {
-            lab.log_progress(&format!("{} is killed", process.name()));
+            lab.log_progress(&format!("{} did not exit in time and is killed", process.name()));
         }
     }
     Ok(())
--- a/xtask/src/lab/evidence.rs
+++ b/xtask/src/lab/evidence.rs
@@ -1,4 +1,4 @@
-//! Gathers what the verdict rests on, and keeps it for people.
+//! Collects the input of the verdict, and writes it to the output directory for people to read.
 
 use std::fs;
 
@@ -12,7 +12,7 @@
 use super::topology::ACCOUNTS;
 use super::verdict::{Evidence, LedgerEntry};
 
-/// Reads the ledgers and takes the journal over.
+/// Reads the ledgers, takes the journal out of the lab, and writes reports and journal to files.
 pub(super) fn gather(lab: &Lab, reports: Vec<Report>) -> anyhow::Result<Evidence> {
     let stats: platform::Stats = lab.http.get(lab.net.platform(), "/admin/stats")?;
     let evidence = Evidence {
@@ -25,7 +25,7 @@
     Ok(evidence)
 }
 
-/// Keeps the time line of every daemon that runs. Ones that ended took theirs along.
+/// Saves the timeline of every running daemon. Those of exited daemons are lost.
 pub(super) fn write_timelines(lab: &Lab) {
     let daemons: Vec<_> = {
         let fleet = lock(&lab.fleet);
@@ -33,7 +33,7 @@
         running.map(|daemon| (daemon.name.clone(), daemon.endpoints.control)).collect()
     };
     for (name, control) in daemons {
-        // The time lines help people only; the verdict doesn't read them.
+        // Errors are ignored: timelines are for people only, the verdict does not read them.
         if let Ok(text) = lab.http.get_text(control, "/timeline?after=0") {
             let _ = fs::write(lab.out.join(format!("{name}.timeline.json")), text);
         }
@@ -47,7 +47,8 @@
         let path = lab.out.join(format!("{upstream}.ledger"));
         let text = fs::read_to_string(&path).with_context(|| path.display().to_string())?;
         for line in text.lines() {
-            // A killed upstream may have left half a line, which it had not answered for either.
+            // A killed upstream may have left an incomplete line. It has not answered the request
+            // of that line either.
             let Ok(row) = serde_json::from_str(line) else { continue };
             entries.push(LedgerEntry { upstream: upstream.clone(), row });
         }
--- a/xtask/src/lab/fleet.rs
+++ b/xtask/src/lab/fleet.rs
@@ -1,4 +1,4 @@
-//! Tables of the machines in a run: balancers, upstreams with their agents, settings versions.
+//! State of the processes in a run: balancers, upstreams with their agents, settings versions.
 
 use std::net::SocketAddr;
 
@@ -8,18 +8,18 @@
 use super::topology::{ACCOUNTS, AccountPlan, BALANCERS_PER_ACCOUNT, Endpoints, Net, ServicePlan};
 use crate::process::Process;
 
-/// Every machine of the run.
+/// All balancers, agents and upstreams of a run, and the state of platform and fabric.
 pub(super) struct Fleet {
     pub(super) balancers: Vec<Balancer>,
     pub(super) upstreams: Vec<Upstream>,
     /// Version of each account's subtree.
     pub(super) versions: [u64; ACCOUNTS.len()],
     pub(super) root_version: u64,
-    /// What goes wrong in the fabric at the moment.
+    /// Faults that the fabric currently injects.
     pub(super) faults: Faults,
 }
 
-/// What the platform's list says about an instance.
+/// State of an instance in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Listed {
     Absent,
@@ -27,15 +27,15 @@
     Leaving,
 }
 
-/// One process slot; several processes may live in it one after the other.
+/// A process slot. A restart puts a new process into the same slot.
 pub(super) struct Daemon {
     pub(super) name: String,
     pub(super) endpoints: Endpoints,
-    /// Counts the processes that lived here.
+    /// Number of processes started in this slot so far.
     pub(super) start_count: u32,
     pub(super) process: Option<Process>,
     pub(super) listed: Listed,
-    /// Answered `/readyz`; false again from the moment that it is to end.
+    /// True once `/readyz` succeeded, until the lab sends SIGTERM or SIGKILL.
     pub(super) is_ready: bool,
 }
 
@@ -44,7 +44,7 @@
     pub(super) number: u32,
     pub(super) zone: &'static str,
     pub(super) daemon: Daemon,
-    /// The fabric hands it packets.
+    /// Whether the fabric sends packets to it.
     pub(super) in_rotation: bool,
 }
 
@@ -70,11 +70,11 @@
     pub(super) upstream: Daemon,
 }
 
-/// Weight of an upstream as long as nothing changes it.
+/// Initial weight of an upstream.
 pub(super) const WEIGHT: u32 = 100;
 
 impl Fleet {
-    /// The fleet at its start, with no process running yet.
+    /// The initial fleet, with no process running yet.
     pub(super) fn new(net: Net) -> Self {
         let mut fleet = Self {
             balancers: Vec::new(),
@@ -125,14 +125,14 @@
         self.upstreams.len() - 1
     }
 
-    /// Index of the upstream that a target means in this run.
+    /// Index of the upstream to which a target maps for a seed.
     pub(super) fn resolve(&self, target: Target, seed: u64) -> usize {
         let is_service = |row: &Upstream| row.service_plan().name == target.service;
         let count =
             self.upstreams.iter().filter(|row| is_service(row) && row.since_version == 1).count();
         let number = (u64::from(target.slot) + seed) % count as u64 + 1;
         let is_target = |row: &Upstream| is_service(row) && u64::from(row.number) == number;
-        // The scenarios name services of the topology only.
+        // Scenarios name only services of the topology.
         self.upstreams.iter().position(is_target).expect("a target is part of the topology")
     }
 
@@ -149,7 +149,7 @@
         balancers.chain(self.upstreams.iter().map(|row| &row.agent))
     }
 
-    /// Control addresses of all balancers, for processes to start with.
+    /// Control addresses of all balancers, which new processes get as their initial peers.
     pub(super) fn balancer_controls(&self) -> Vec<SocketAddr> {
         self.balancers.iter().map(|row| row.daemon.endpoints.control).collect()
     }
--- a/xtask/src/lab/http.rs
+++ b/xtask/src/lab/http.rs
@@ -1,4 +1,4 @@
-//! Calls to the processes' HTTP endpoints.
+//! HTTP client for the endpoints of the processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use serde::de::DeserializeOwned;
 use ureq::Agent;
 
-/// Stand-ins answer in a millisecond; the machine may be busy.
+/// Stand-ins answer within a millisecond; the margin is for a busy machine.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An HTTP client for the whole lab.
+/// Client with a timeout for each request.
 #[derive(Clone)]
 pub(super) struct HttpClient {
     agent: Agent,
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    /// True if the endpoint answers `path` well.
+    /// Whether a GET request for `path` succeeds.
     pub(super) fn is_ok(&self, address: SocketAddr, path: &str) -> bool {
         let response = self.agent.get(format!("http://{address}{path}")).call();
         response.is_ok_and(|response| response.status().is_success())
--- a/xtask/src/lab/mod.rs
+++ b/xtask/src/lab/mod.rs
@@ -1,5 +1,5 @@
-//! `cargo xtask lab`: the real binaries on loopback, with everything around them replaced while
-//! callers talk through them.
+//! `cargo xtask lab`: runs the real binaries on loopback, and replaces or kills every part of the
+//! system while callers send traffic through it.
 
 mod actions;
 mod documents;
@@ -38,24 +38,24 @@
 use options::Options;
 use topology::Net;
 
-/// How often something that is waited for is looked at.
+/// Interval between two checks of a condition that is waited for.
 const POLL_INTERVAL_MS: u64 = 20;
 
-/// One run. Dropping it ends every process that it started.
+/// State of one run. Dropping it kills every process that the run started.
 struct Lab {
     options: Options,
     net: Net,
-    /// Folder of the binaries.
+    /// Directory of the built binaries.
     bin_dir: PathBuf,
     out: PathBuf,
     http: HttpClient,
     secrets: Secrets,
     fleet: Mutex<Fleet>,
     journal: Mutex<Journal>,
-    /// Platform, fabric and callers.
+    /// Processes of the platform, fabric and callers.
     standins: Mutex<Vec<Process>>,
     interrupted: Arc<AtomicBool>,
-    /// The run is over: observers end.
+    /// Set at the end of the run; stops the observer threads.
     ended: AtomicBool,
     started_ms: u64,
 }
@@ -85,7 +85,7 @@
     }
     let figures = outcome?;
     report::print(&figures, &out, keep)?;
-    ensure!(figures.pass, "a promise was broken: {}", figures.failures.join("; "));
+    ensure!(figures.pass, "checks failed: {}", figures.failures.join("; "));
     Ok(())
 }
 
@@ -99,8 +99,8 @@
         let folder = || std::env::temp_dir().join(format!("gooseberrysill-{}", std::process::id()));
         let out = options.out.clone().unwrap_or_else(folder);
         std::fs::create_dir_all(&out)?;
-        // Upstreams append to their ledgers: rows of an earlier run would look like requests that
-        // ran twice.
+        // Upstreams append to existing ledgers. Rows of an earlier run would be counted as requests
+        // that ran twice.
         let is_empty = std::fs::read_dir(&out)?.next().is_none();
         ensure!(is_empty, "{} is not empty; choose a new folder for --out", out.display());
         Ok(Self {
@@ -119,13 +119,13 @@
         })
     }
 
-    /// Says on the screen what happens.
+    /// Prints a progress line with the time since the start of the run.
     fn log_progress(&self, text: &str) {
         let elapsed_ms = clock::now().0 - self.started_ms;
         eprintln!("lab {:>6.2} s  {text}", elapsed_ms as f64 / 1_000.0);
     }
 
-    /// Sleeps, unless the run is interrupted.
+    /// Sleeps for `ms` milliseconds. Returns an error if the run is interrupted meanwhile.
     fn sleep(&self, ms: u64) -> anyhow::Result<()> {
         let until = clock::now().after(ms);
         loop {
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Waits until `check` holds; false if it doesn't in time.
+    /// Polls `check` until it holds. Returns false if it does not within `timeout_ms`.
     fn wait_until(&self, timeout_ms: u64, check: impl Fn() -> bool) -> anyhow::Result<bool> {
         let until = clock::now().after(timeout_ms);
         while !check() {
@@ -152,6 +152,7 @@
         Ok(true)
     }
 
+    /// Adds to the journal; `entry` receives the current time in milliseconds.
     fn record(&self, entry: impl FnOnce(&mut Journal, u64)) {
         entry(&mut lock(&self.journal), clock::now().0);
     }
--- a/xtask/src/lab/observer.rs
+++ b/xtask/src/lab/observer.rs
@@ -1,4 +1,4 @@
-//! Threads that look at the processes while a scenario runs.
+//! Threads that poll the processes while a scenario runs.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -17,15 +17,15 @@
 use super::journal::{InForce, Load};
 use super::topology::ACCOUNTS;
 
-/// Threads that ask daemons for their settings in force.
+/// Number of threads that poll daemons for their settings in force.
 const POLLERS: usize = 4;
-/// Pause between two rounds; it bounds the precision of `settings_in_force_ms`.
+/// Pause between two polling rounds; it limits the precision of `settings_in_force_ms`.
 const POLL_PAUSE: Duration = Duration::from_millis(20);
-/// A paused daemon may hold up a round for this long.
+/// Maximum time for which a paused daemon delays a polling round.
 const POLL_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause between two looks at the upstreams' load.
+/// Pause between two samples of the upstreams' load.
 const LOAD_PAUSE: Duration = Duration::from_millis(500);
-/// A settings change may take this long to reach every daemon at the end of a run.
+/// Maximum time for a settings change to reach every daemon at the end of a run.
 const CONVERGENCE_TIMEOUT_MS: u64 = 5_000;
 
 /// The part of a daemon's `/status` that the lab reads.
@@ -41,14 +41,15 @@
     version: u64,
 }
 
-/// A daemon to ask.
+/// A daemon to poll.
 struct PollTarget {
     instance: String,
     control: SocketAddr,
 }
 
 impl PollTarget {
-    /// Always the same thread asks a daemon, so that it notices a step back.
+    /// Index of the thread that polls this daemon. It is always the same one, so that it notices
+    /// when the daemon reverts to an older version.
     fn poller_index(&self) -> usize {
         let IpAddr::V4(address) = self.control.ip() else { return 0 };
         let [.., kind, number] = address.octets();
@@ -56,7 +57,7 @@
     }
 }
 
-/// Starts all observers; they end once the run has ended.
+/// Starts all observer threads, which exit at the end of the run.
 pub(super) fn spawn<'scope>(lab: &'scope Lab, scope: &'scope Scope<'scope, '_>) {
     for poller in 0..POLLERS {
         scope.spawn(move || poll_settings(lab, poller));
@@ -64,7 +65,7 @@
     scope.spawn(move || sample_loads(lab));
 }
 
-/// Waits until every daemon has the newest settings, and notes the ones that don't get them.
+/// Waits until every ready daemon has the newest settings, and records those that do not get them.
 pub(super) fn check_settings_converged(lab: &Lab) {
     let http = HttpClient::with_timeout(POLL_TIMEOUT);
     let until = clock::now().after(CONVERGENCE_TIMEOUT_MS);
@@ -83,7 +84,7 @@
 
 fn describe_lag(lab: &Lab, http: &HttpClient, target: &PollTarget) -> Option<String> {
     let Ok(status) = http.get::<DaemonStatus>(target.control, "/status") else {
-        return Some(format!("{}: no status", target.instance));
+        return Some(format!("{}: no response from /status", target.instance));
     };
     let versions = lock(&lab.fleet).versions;
     let newest = |name: &str| {
@@ -99,7 +100,8 @@
     let mut highest: BTreeMap<(String, String), u64> = BTreeMap::new();
     while !lab.ended.load(Ordering::Relaxed) {
         for target in ready_daemons(lab).iter().filter(|target| target.poller_index() == poller) {
-            // A daemon that doesn't answer right now shows in the verdict by what it lacks later.
+            // A failed poll is ignored. A daemon that lacks settings gets a longer latency or is
+            // recorded as lagging at the end.
             let status = http.get::<DaemonStatus>(target.control, "/status");
             if let Some(status) = status.ok().filter(|status| status.ready) {
                 record_versions(lab, target, status, &mut highest);
@@ -132,7 +134,7 @@
     }
 }
 
-/// Daemons that are ready at the moment.
+/// Daemons that are currently ready.
 fn ready_daemons(lab: &Lab) -> Vec<PollTarget> {
     let fleet = lock(&lab.fleet);
     let ready = fleet.daemons().filter(|daemon| daemon.is_ready);
--- a/xtask/src/lab/options.rs
+++ b/xtask/src/lab/options.rs
@@ -9,43 +9,43 @@
 pub(crate) const HELP: &str = "\
 Usage: cargo xtask lab [OPTIONS]
 
-Starts balancers, agents and stand-ins on loopback, changes and breaks things while callers talk
-through them, and judges by the ledgers of callers and upstreams. Ends everything that it started.
+Starts balancers, agents and stand-ins on loopback, injects changes and faults while callers send
+traffic, and checks the ledgers of callers and upstreams. Stops everything that it started.
 
 Options:
   --direct         the two programs of the direct-return path, over stand-ins of the users'
                    platform, for half a minute; takes --seed and --out only
   --quick          the small size and the scenario `quick`: at most 45 s after the build
-  --seed N         decides targets, spraying, losses and request times (default 1)
+  --seed N         determines targets, spraying, losses and request times (default 1)
   --scenario NAME  quick, full, planned, faults, calm or wire (default full)
-  --out DIR        keep logs, ledgers, time lines and report there; DIR is new or empty
+  --out DIR        keep logs, ledgers, timelines and report there; DIR must be new or empty
   --release        run the release build (default: the dev build, at opt-level 1)
-  --mutant NAME    take one safeguard out of the agents, to see that the lab notices:
+  --mutant NAME    disable one safeguard of the agents, to check that the lab detects it:
                    redirects-forgotten, redirects-not-reannounced, reset-in-doubt,
                    duplicate-delivered, drain-ignored, adopt-always
 
-Exit code 0 only where every promise held. The last line on stdout is one JSON object.
+The exit code is 0 only if all checks passed. The last line on stdout is one JSON object.
 Example: cargo xtask lab --quick --seed 7 --out /tmp/lab
 ";
 
-/// Feeds of a run that isn't quick, as a multiple of the quick size.
+/// Number of feeds without `--quick`, as a multiple of the quick size.
 const FULL_SCALE: u32 = 5;
 
-/// How the lab was called.
+/// Command-line options of the lab.
 pub(super) struct Options {
     pub(super) seed: u64,
     pub(super) scenario: &'static Scenario,
-    /// Multiple of the quick size.
+    /// Number of feeds, as a multiple of the quick size.
     pub(super) scale: u32,
     pub(super) out: Option<PathBuf>,
     pub(super) release: bool,
-    /// Safeguard that is taken out of the agents.
+    /// Safeguard to disable in the agents.
     pub(super) mutant: Option<String>,
     /// Run the direct-return path instead.
     pub(super) direct: bool,
 }
 
-/// Reads the remaining arguments; `None` for `--help`.
+/// Parses the remaining arguments; `None` for `--help`.
 pub(super) fn parse(parser: &mut lexopt::Parser) -> anyhow::Result<Option<Options>> {
     use lexopt::prelude::*;
 
--- a/xtask/src/lab/report.rs
+++ b/xtask/src/lab/report.rs
@@ -1,4 +1,4 @@
-//! What people and programs get to read at the end.
+//! Output at the end of a run, for people and for programs.
 
 use std::path::Path;
 
@@ -7,10 +7,11 @@
 
 use super::figures::Figures;
 
-/// Width of the column of names.
+/// Width of the name column.
 const NAME_CHARS: usize = 40;
 
-/// Prints the table and, as the last line, one JSON object; keeps the latter as a file on request.
+/// Prints the table and, as the last line, one JSON object. With `keep`, also writes the latter to
+/// `report.json`.
 pub(super) fn print(figures: &Figures, out: &Path, keep: bool) -> anyhow::Result<()> {
     let line = serde_json::to_string(figures)?;
     if keep {
@@ -27,7 +28,7 @@
     let value: Value = serde_json::from_str(line)?;
     let Value::Object(fields) = value else { return Ok(String::new()) };
     let mut rows: Vec<_> = fields.iter().collect();
-    // The map is sorted by name; the line has the fields as the struct declares them.
+    // The map is sorted by name. The positions in the line give the order of the struct's fields.
     rows.sort_by_key(|(name, _)| line.find(&format!("\"{name}\":")));
     Ok(rows.into_iter().map(|(name, value)| field(name, value)).collect())
 }
--- a/xtask/src/lab/scenario.rs
+++ b/xtask/src/lab/scenario.rs
@@ -1,19 +1,19 @@
-//! What happens in a run, as plain data: phases, tracks that run side by side, timed steps.
+//! Scenarios as plain data: phases, tracks that run in parallel, and timed steps.
 
-/// A run.
+/// What happens in a run.
 pub(super) struct Scenario {
     pub(super) name: &'static str,
     pub(super) description: &'static str,
-    /// False for stand-ins on a direct wire, without the product.
+    /// False if callers reach the upstreams through the fabric alone, without balancers and agents.
     pub(super) with_product: bool,
     pub(super) phases: &'static [Phase],
 }
 
-/// Part of a run; what breaks in it is counted under its kind.
+/// Part of a scenario. Failures during a phase are counted under its kind.
 pub(super) struct Phase {
     pub(super) name: &'static str,
     pub(super) kind: PhaseKind,
-    /// Steps of one track follow each other; tracks run side by side.
+    /// Steps of one track run one after another; tracks run in parallel.
     pub(super) tracks: &'static [&'static [Step]],
 }
 
@@ -21,56 +21,59 @@
 pub(super) enum PhaseKind {
     Planned,
     Fault,
-    /// All faults are over and the time to recover from them as well.
+    /// After all faults and the time to recover from them.
     Recovered,
 }
 
-/// One upstream of a service and its agent. The seed turns the slots, so that each run takes
-/// others; two slots of one service are never the same upstream.
+/// One upstream of a service and its agent. The seed rotates the mapping from slots to upstreams,
+/// so that runs with different seeds affect different ones. Two slots of one service never map to
+/// the same upstream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Target {
     pub(super) service: &'static str,
     pub(super) slot: u32,
 }
 
-/// One step.
+/// One step of a track. Arguments of type `u64` are durations in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Step {
-    /// Nothing for so many milliseconds.
+    /// Does nothing for the given time.
     Wait(u64),
-    /// Publishes the account with another weight for one upstream.
+    /// Publishes the account's settings with a changed weight for one upstream.
     Publish(&'static str),
-    /// Replaces the balancer in this slot of both accounts gracefully.
+    /// Gracefully replaces the balancer in this slot of both accounts.
     RollBalancers(u32),
-    /// Replaces an agent gracefully; its upstream and its flows stay.
+    /// Gracefully replaces an agent; its upstream and its flows stay.
     RestartAgent(Target),
-    /// Sets up a new upstream, drains an old one, waits for its flows' end, ends it gracefully.
+    /// Adds a new upstream, drains an old one, waits until its flows have ended, and stops it
+    /// gracefully.
     ReplaceUpstream(Target),
-    /// The upstream itself asks to be drained, and takes it back after so many milliseconds.
+    /// The upstream itself requests to be drained, and withdraws the request after the given time.
     DrainBySignal(Target, u64),
-    /// The upstream sheds load for so many milliseconds.
+    /// The upstream sheds load for the given time.
     Shed(Target, u64),
-    /// The upstream's status lies for so many milliseconds: frozen.
+    /// The upstream keeps reporting the same outdated status for the given time.
     FreezeStatus(Target, u64),
-    /// SIGKILL to the balancer in this slot of both accounts; a new one comes after so many
-    /// milliseconds.
+    /// Sends SIGKILL to the balancer in this slot of both accounts and starts a new one after the
+    /// given time.
     KillBalancers(u32, u64),
-    /// SIGSTOP and, after so many milliseconds, SIGCONT.
+    /// Sends SIGSTOP and, after the given time, SIGCONT.
     PauseBalancers(u32, u64),
-    /// SIGKILL to an agent; a new one comes after so many milliseconds.
+    /// Sends SIGKILL to an agent and starts a new one after the given time.
     KillAgent(Target, u64),
-    /// SIGSTOP and, after so many milliseconds, SIGCONT.
+    /// Sends SIGSTOP and, after the given time, SIGCONT.
     PauseAgent(Target, u64),
-    /// SIGKILL to an upstream, not its agent; a new one comes after so many milliseconds. Its
-    /// flows die with it, by the lab's hand.
+    /// Sends SIGKILL to an upstream, but not to its agent, and starts a new one after the given
+    /// time. The upstream's flows are lost because of the lab and counted separately.
     KillUpstream(Target, u64),
-    /// The configuration service is down for so many milliseconds.
+    /// The configuration service is down for the given time.
     PlatformDown(u64),
-    /// Readers see nothing new for so many milliseconds.
+    /// Readers of the configuration service see no changes for the given time.
     PlatformStale(u64),
-    /// Half of the readers see everything so many milliseconds later, for as long.
+    /// For the given time, half of the readers of the configuration service see each change with a
+    /// delay of the same length.
     PlatformSkew(u64),
-    /// Packets are lost, doubled and reordered for so many milliseconds.
+    /// The fabric drops, duplicates and reorders packets for the given time.
     RoughFabric(u64),
 }
 
@@ -136,7 +139,7 @@
     ],
 };
 
-/// Everything is replaced while half of the readers are behind, packets are lost and agents sleep.
+/// Replaces everything while half of the readers lag, packets are lost and agents are paused.
 const COMBINED: Phase = Phase {
     name: "changes and faults together",
     kind: PhaseKind::Fault,
@@ -147,7 +150,7 @@
         SETTINGS,
         AGENTS,
         &[PauseAgent(target("fitting", 1), 1_000), PauseAgent(target("shelf", 5), 2_500)],
-        // An agent loses what it knows while one that could tell it is asleep.
+        // An agent loses its state while a peer that could restore it is paused.
         &[Wait(1_300), KillAgent(target("shelf", 6), 400)],
     ],
 };
@@ -181,7 +184,7 @@
     },
     Scenario {
         name: "wire",
-        description: "stand-ins only, on a direct wire: checks the lab itself",
+        description: "stand-ins only, without balancers and agents: checks the lab itself",
         with_product: false,
         phases: &[Phase { name: "calm", kind: PhaseKind::Planned, tracks: &[&[Wait(4_000)]] }],
     },
--- a/xtask/src/lab/steps.rs
+++ b/xtask/src/lab/steps.rs
@@ -1,4 +1,4 @@
-//! How each step of a scenario is carried out.
+//! Performs the steps of a scenario.
 
 use nix::sys::signal::Signal;
 use standins::fabric::Faults;
@@ -12,21 +12,21 @@
 use super::scenario::{Step, Target};
 use super::topology::ACCOUNTS;
 
-/// An upstream that leaves must get no opening after this long.
+/// A leaving upstream must receive no openings after this time.
 pub(super) const LEAVING_GRACE_MS: u64 = 3_000;
-/// Time for openings after that, which would be counted.
+/// Time after the grace period in which late openings are still watched for.
 const LATE_OPENING_WATCH_MS: u64 = 1_500;
-/// Feeds of a replaced upstream end within this time.
+/// Maximum time for the feeds of a replaced upstream to end.
 const FEEDS_END_TIMEOUT_MS: u64 = 10_000;
-/// Time for which a leaving balancer is listed before it is told to end.
+/// Time for which a balancer is listed as leaving before it receives SIGTERM.
 const LEAVING_NOTICE_MS: u64 = 100;
 
-/// What a rough fabric does: rare enough that TCP lives with it, frequent enough to matter.
+/// Faults of `Step::RoughFabric`: rare enough for TCP to cope with, frequent enough to matter.
 const IMPAIRMENTS: Faults =
     Faults { loss_ppm: 3_000, duplicate_ppm: 20_000, reorder_ppm: 50_000, reorder_us: 20_000 };
 
 impl Lab {
-    /// Carries out one step and returns once it is over.
+    /// Performs one step and returns when it is complete.
     pub(super) fn perform(&self, step: Step) -> anyhow::Result<()> {
         if !matches!(step, Step::Wait(_)) {
             self.log_progress(&format!(
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Changes the weight of one upstream a little: a change that moves some buckets.
+    /// Changes the weight of one upstream slightly, which moves some buckets.
     fn publish_weight(&self, account: &str) -> anyhow::Result<()> {
         let Some(account) = ACCOUNTS.iter().position(|plan| plan.name == account) else {
             return Ok(());
@@ -159,7 +159,7 @@
         self.await_exit(DaemonId::Upstream(old))
     }
 
-    /// Lets the clients end their feeds at an upstream and waits until it has no connection.
+    /// Makes the callers end their feeds at an upstream and waits until it has no open connections.
     fn end_feeds(&self, account: usize, index: usize) -> anyhow::Result<()> {
         let (name, control) = self.with_daemon(DaemonId::Upstream(index), |daemon| {
             (daemon.name.clone(), daemon.endpoints.control)
@@ -173,7 +173,7 @@
         let is_empty =
             self.wait_until(FEEDS_END_TIMEOUT_MS, || open().is_ok_and(|open| open == 0))?;
         if !is_empty {
-            self.log_progress(&format!("  {name} still has connections: {:?}", open().ok()));
+            self.log_progress(&format!("  {name} still has open connections: {:?}", open().ok()));
         }
         Ok(())
     }
@@ -195,7 +195,7 @@
         self.http.put(control, "/admin/switches", &Switches::default())
     }
 
-    /// The fabric notices a dead balancer only after its lag, as for any other.
+    /// The fabric removes a killed balancer only after its lag, as it does any other.
     fn kill_balancers(&self, slot: u32, ms: u64) -> anyhow::Result<()> {
         let ids = self.balancers_in_slot(slot);
         for id in &ids {
@@ -229,7 +229,7 @@
         self.with_daemon(id, |daemon| daemon.process = None);
     }
 
-    /// Stops processes without ending them, and lets them wake up with an old view of the world.
+    /// Suspends processes and resumes them, so that they continue with outdated state.
     fn pause_processes(&self, ids: &[DaemonId], ms: u64) -> anyhow::Result<()> {
         ids.iter().for_each(|id| self.signal(*id, Signal::SIGSTOP));
         let slept = self.sleep(ms);
@@ -279,7 +279,9 @@
         Step::RollBalancers(slot) => format!("roll balancers in slot {slot}"),
         Step::RestartAgent(target) => format!("restart agent of {}", name(target)),
         Step::ReplaceUpstream(target) => format!("replace upstream {}", name(target)),
-        Step::DrainBySignal(target, ms) => format!("{} asks to be drained, {ms} ms", name(target)),
+        Step::DrainBySignal(target, ms) => {
+            format!("{} requests to be drained, {ms} ms", name(target))
+        }
         Step::Shed(target, ms) => format!("{} sheds load, {ms} ms", name(target)),
         Step::FreezeStatus(target, ms) => format!("status of {} frozen, {ms} ms", name(target)),
         Step::KillBalancers(slot, ms) => format!("kill balancers in slot {slot}, back in {ms} ms"),
@@ -290,6 +292,6 @@
         Step::PlatformDown(ms) => format!("configuration service down, {ms} ms"),
         Step::PlatformStale(ms) => format!("configuration service stale, {ms} ms"),
         Step::PlatformSkew(ms) => format!("half of the readers {ms} ms behind"),
-        Step::RoughFabric(ms) => format!("fabric loses, doubles and reorders, {ms} ms"),
+        Step::RoughFabric(ms) => format!("fabric drops, duplicates and reorders packets, {ms} ms"),
     }
 }
--- a/xtask/src/lab/tests.rs
+++ b/xtask/src/lab/tests.rs
@@ -1,4 +1,4 @@
-//! The documents that the lab writes are what the product's own checks take.
+//! Documents that the lab generates pass the product's own checks, and targets of scenarios exist.
 
 use rstest::rstest;
 use settings::{process, root};
--- a/xtask/src/lab/topology.rs
+++ b/xtask/src/lab/topology.rs
@@ -1,4 +1,4 @@
-//! Today's sizes, and which loopback address each process has.
+//! Client accounts and services of a run, their sizes, and the loopback address of each process.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
 
@@ -10,9 +10,9 @@
     pub(super) region: &'static str,
     pub(super) prefix: &'static str,
     pub(super) zones: &'static [&'static str],
-    /// One way between two zones.
+    /// One-way delay between two zones.
     pub(super) zone_delay_us: u64,
-    /// Third octet of its clients, 198.18.x.y.
+    /// Third octet of its clients' addresses, 198.18.x.y.
     pub(super) client_octet: u8,
     pub(super) services: &'static [ServicePlan],
 }
@@ -21,15 +21,15 @@
 pub(super) struct ServicePlan {
     pub(super) name: &'static str,
     pub(super) address: &'static str,
-    /// Address of one-datagram requests.
+    /// Address for requests that consist of one datagram.
     pub(super) datagram_address: Option<&'static str>,
     pub(super) when_in_doubt: &'static str,
     pub(super) upstreams: u32,
-    /// Work of the callers, at the quick size.
+    /// Load from the callers at the quick size.
     pub(super) workload: WorkloadPlan,
 }
 
-/// How much callers ask of a service.
+/// Load that callers put on a service.
 pub(super) struct WorkloadPlan {
     pub(super) feeds: u32,
     pub(super) confirms_per_s: u32,
@@ -38,16 +38,14 @@
     pub(super) datagrams_per_s: u32,
 }
 
-/// Balancers of each account.
 pub(super) const BALANCERS_PER_ACCOUNT: u32 = 3;
-/// Clients of each account.
 pub(super) const CLIENTS_PER_ACCOUNT: u8 = 8;
-/// One way between clients and the fabric's edge.
+/// One-way delay between clients and the fabric's edge.
 pub(super) const CLIENT_DELAY_US: u64 = 1_000;
-/// Connections that an upstream can hold.
+/// Maximum number of open connections of an upstream.
 pub(super) const MAX_FLOWS: u32 = 2_000;
 
-/// The two tenants of the brief.
+/// The two client accounts of a run.
 pub(super) const ACCOUNTS: [AccountPlan; 2] = [
     AccountPlan {
         name: "cascadia",
@@ -139,7 +137,7 @@
     octet: u8,
 }
 
-/// Where one process takes packets and HTTP calls.
+/// Addresses on which one process receives packets and HTTP requests.
 #[derive(Clone, Copy)]
 pub(super) struct Endpoints {
     pub(super) data: SocketAddr,
@@ -147,17 +145,17 @@
 }
 
 impl Net {
-    /// The addresses 127.OCTET.x.y, whether in use or not.
+    /// Uses 127.OCTET.x.y without checking whether another run does.
     pub(super) fn new(octet: u8) -> Self {
         Self { octet }
     }
 
-    /// Finds an octet that no other run uses, beginning at one that depends on `start`.
+    /// Finds an octet that no other run uses. The search begins at one derived from `start`.
     pub(super) fn find_unused(start: u32) -> anyhow::Result<Self> {
         (0..200)
             .map(|step| Self::new(((start + step) % 200) as u8 + 20))
             .find(|net| UdpSocket::bind(net.gateway()).is_ok())
-            .context("every part of 127.0.0.0/8 for a run is in use")
+            .context("no free range in 127.0.0.0/8: other runs use all of them")
     }
 
     pub(super) fn platform(self) -> SocketAddr {
@@ -208,9 +206,9 @@
     (1..=CLIENTS_PER_ACCOUNT).map(address).collect()
 }
 
-/// Addresses to which callers of an account send.
+/// Destination addresses of an account's callers.
 pub(super) fn service_addresses(account: &AccountPlan) -> Vec<IpAddr> {
-    // The constants above are checked by the first use of the lab.
+    // `driver::workloads` returns an error for an address that does not parse.
     let address = |service: &ServicePlan| service.address.parse::<SocketAddr>().ok();
     account.services.iter().filter_map(address).map(|address| address.ip()).collect()
 }
--- a/xtask/src/lab/verdict/imbalance.rs
+++ b/xtask/src/lab/verdict/imbalance.rs
@@ -1,11 +1,11 @@
-//! How evenly the connections of a service lie on its upstreams.
+//! How evenly the connections of a service are distributed over its upstreams.
 
 use std::collections::BTreeMap;
 
 use super::super::journal::Journal;
 use super::super::topology::ACCOUNTS;
 
-/// By service: connections of the fullest upstream over the mean, median of all samples.
+/// By service: connections of the most loaded upstream over the mean, median of all samples.
 pub(super) fn by_service(journal: &Journal) -> BTreeMap<&'static str, f64> {
     let services = ACCOUNTS.iter().flat_map(|account| account.services);
     services.map(|service| (service.name, median_imbalance(journal, service.name))).collect()
@@ -19,7 +19,8 @@
     ratios.get(ratios.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// Upstreams that were drained or killed in the run are left out: they are meant to be emptier.
+/// Ratio in one sample. Excludes upstreams that were drained or killed in the run, which are
+/// expected to hold fewer connections.
 fn max_over_mean(journal: &Journal, open: &[(String, u64)]) -> Option<f64> {
     let is_steady = |name: &str| {
         !journal.drains.iter().any(|drain| drain.upstream == name)
--- a/xtask/src/lab/verdict/in_force.rs
+++ b/xtask/src/lab/verdict/in_force.rs
@@ -1,15 +1,15 @@
-//! How long published settings took to be in force.
+//! Time from the publication of settings until they are in force.
 
 use std::collections::BTreeMap;
 
 use super::super::journal::{Journal, Publication};
 
-/// A disturbance this long before a publication spoils the latency of that instance.
+/// An instance disturbed within this time before a publication is excluded from its latencies.
 const DISTURBED_MS: u64 = 5_000;
 
-/// Sorted times from each publication until each instance had it, or something newer, in force.
-/// Instances that the lab killed, paused or replaced around it are left out: they show its own
-/// work. That nobody stays behind is checked apart, at the end of a run.
+/// Sorted times from each publication until each instance had this or a newer version in force.
+/// Instances that the lab killed, paused or replaced around that time are excluded, since the lab
+/// caused their delay. A separate check at the end of a run finds instances that stay behind.
 pub(super) fn latencies(journal: &Journal) -> Vec<u64> {
     let mut latencies: Vec<u64> =
         journal.publications.iter().flat_map(|entry| latencies_of(journal, entry)).collect();
--- a/xtask/src/lab/verdict/incidents.rs
+++ b/xtask/src/lab/verdict/incidents.rs
@@ -1,8 +1,9 @@
-//! What callers saw go wrong, and whom it is put down to.
+//! Counts the incidents that callers reported, by cause.
 //!
-//! An incident belongs to the phase in which it happened. What made no progress counts for the
-//! phase in which progress ended, not for the one in which the caller's patience did. A connection
-//! held by an upstream that the lab itself killed while it was open is counted apart.
+//! An incident counts for the phase in which it happened. A stalled connection or an unanswered
+//! request counts for the phase in which progress stopped, not for the one in which the caller
+//! timed out. A connection held by an upstream that the lab itself killed while it was open is
+//! counted separately.
 
 use standins::caller::{Incident, Kind, Outcome};
 use standins::upstream::Event;
@@ -25,7 +26,7 @@
         figures.packets_misdelivered += 1;
     }
     if incident.outcome == Outcome::Shed {
-        // An explicit refusal; the ledger is compared with it elsewhere.
+        // An explicit refusal. `count_ledger_events` compares refused requests with the ledger.
         return;
     }
     if !incident.established {
@@ -43,7 +44,8 @@
     }
 }
 
-/// Where a failed opening or datagram is counted.
+/// Figure under which a failed opening or datagram is counted. A datagram unanswered in planned
+/// changes is also counted in `answers_incomplete` here.
 fn failed_opening_figure<'a>(
     figures: &'a mut Figures,
     kind: PhaseKind,
@@ -67,7 +69,7 @@
     }
 }
 
-/// True if the connection was open at an upstream when the lab killed it.
+/// Whether the connection was open at an upstream when the lab killed that upstream.
 fn was_held_by_killed_upstream(evidence: &Evidence, incident: &Incident) -> bool {
     let Some(opened) = opening_of(evidence, incident) else { return false };
     evidence.journal.killed.iter().any(|(name, at_ms)| {
@@ -75,7 +77,7 @@
     })
 }
 
-/// The last opening by the incident's client before it.
+/// The last opening by the incident's client before the incident.
 fn opening_of<'a>(evidence: &'a Evidence, incident: &Incident) -> Option<&'a LedgerEntry> {
     let is_opening = |entry: &&LedgerEntry| {
         entry.row.at_ms <= incident.at_ms
--- a/xtask/src/lab/verdict/mod.rs
+++ b/xtask/src/lab/verdict/mod.rs
@@ -1,4 +1,4 @@
-//! The verdict: from the ledgers of callers and upstreams, not from the product's own counters.
+//! Evaluates a run by the ledgers of callers and upstreams, not by the product's own counters.
 
 mod imbalance;
 mod in_force;
@@ -18,13 +18,13 @@
 use super::steps::LEAVING_GRACE_MS;
 use super::topology::ACCOUNTS;
 
-/// "Within seconds": settings must be in force everywhere within this time.
+/// Settings must be in force everywhere within this time; the requirement is "within seconds".
 const IN_FORCE_MS_MAX: u64 = 5_000;
-/// Openings that may fail in planned changes, of a thousand: a refusal is a safe answer, but a
-/// system that refuses everybody would break nothing and be of no use.
+/// Failed openings allowed in planned changes, per thousand. A refusal is a safe answer, but
+/// without a limit a system that refuses every opening would pass.
 const FAILED_OPENINGS_PER_MILLE_MAX: u64 = 10;
 
-/// Everything that a run left behind.
+/// Input of the verdict: the records of a complete run.
 pub(super) struct Evidence {
     pub(super) journal: Journal,
     /// Rows of all upstreams' ledgers, in order for each upstream.
@@ -39,7 +39,7 @@
     pub(super) row: Row,
 }
 
-/// Which run is judged.
+/// Parameters of the run to evaluate.
 pub(super) struct RunInfo {
     pub(super) scenario: &'static str,
     pub(super) seed: u64,
@@ -47,7 +47,7 @@
     pub(super) mutant: Option<String>,
 }
 
-/// Judges a run.
+/// Evaluates a run.
 pub(super) fn judge(run: RunInfo, evidence: &Evidence) -> Figures {
     let journal = &evidence.journal;
     let mut figures = Figures {
@@ -161,7 +161,8 @@
     failures
 }
 
-/// A run in which little happened shows nothing.
+/// Failures of a run that is not conclusive: it opened too few connections, or callers still had
+/// requests in flight at the end.
 fn insufficient_load(figures: &Figures, reports: &[Report]) -> Vec<String> {
     let mut failures = Vec::new();
     let services = ACCOUNTS.iter().flat_map(|account| account.services);
@@ -176,7 +177,7 @@
     failures
 }
 
-/// The value below which so many percent of the sorted values lie; zero of none.
+/// The given percentile of sorted values; the default value if there are none.
 fn percentile<T: Copy + Default>(sorted: &[T], percent: usize) -> T {
     let index = (sorted.len() * percent / 100).min(sorted.len().saturating_sub(1));
     sorted.get(index).copied().unwrap_or_default()
--- a/xtask/src/lab/verdict/tests.rs
+++ b/xtask/src/lab/verdict/tests.rs
@@ -1,4 +1,4 @@
-//! What a run left behind, and the verdict on it. Every promise must be able to fail.
+//! Verdicts on synthetic records of a run. Every check must be able to fail.
 
 use rstest::rstest;
 use standins::caller::{Incident, Kind, Outcome, Report};
@@ -12,7 +12,7 @@
 
 const CLIENT: &str = "198.18.1.1:10000";
 const REQUEST: RequestId = RequestId(7);
-/// Faults begin here; before it all changes are planned.
+/// Start of the faults; all changes before it are planned.
 const FAULTS_AT_MS: u64 = 10_000;
 /// Nothing may fail from here on.
 const RECOVERED_AT_MS: u64 = 30_000;
@@ -89,7 +89,7 @@
     assert!(!figures.pass);
 }
 
-/// Only flows that were open at the killed upstream at that moment are the lab's own loss.
+/// Only flows that were open at the upstream when the lab killed it count as lost with it.
 #[rstest]
 #[case::open_there("shelf-1", 11_000, 1)]
 #[case::open_elsewhere("shelf-2", 11_000, 0)]
