--- a/xtask/src/lab/actions.rs
+++ b/xtask/src/lab/actions.rs
@@ -1,4 +1,5 @@
-//! What the lab can do to the machines: start them, publish, and tell platform and fabric.
+//! Operations on the processes of a run: starts and signals them, publishes settings, and
+//! configures the platform and the fabric.
 
 use anyhow::ensure;
 use nix::sys::signal::Signal;
@@ -9,21 +10,21 @@
 
 use super::fleet::{Daemon, Fleet, Listed, Upstream};
 use super::journal::{Drain, Publication};
-use super::topology::{self, ACCOUNTS, CLIENT_DELAY_US, Place};
+use super::topology::{self, ACCOUNTS, CLIENT_DELAY_US, Endpoints};
 use super::{Lab, documents};
 use crate::process::Process;
 
-/// The platform's list shows a change after this long.
+/// Delay until the platform's instance list shows a change.
 const INSTANCE_LAG_MS: u64 = 1_000;
-/// The fabric hands packets to a removed balancer for this long.
+/// Time for which the fabric still sends packets to a removed balancer.
 const FABRIC_LAG_MS: u64 = 500;
-/// A fresh process answers within this time, on a busy machine too.
+/// Maximum time for a new process to respond, also on a busy machine.
 const START_TIMEOUT_MS: u64 = 15_000;
-/// A process told to end does so within its grace of 3 s and some time for a busy machine.
-const END_TIMEOUT_MS: u64 = 8_000;
+/// Maximum time from SIGTERM to the exit: the grace of 3 s and a margin for a busy machine.
+const EXIT_TIMEOUT_MS: u64 = 8_000;
 
 impl Lab {
-    /// Starts platform and fabric and waits for them.
+    /// Starts the platform and the fabric and waits until they respond.
     pub(super) fn start_platform_and_fabric(&self) -> anyhow::Result<()> {
         let listen = self.net.platform().to_string();
         self.start_standin("standin-platform", "platform", &["--listen", &listen])?;
@@ -35,19 +36,19 @@
             "fabric",
             &["--ingress", &ingress, "--gateway", &gateway, "--control", &control, "--seed", &seed],
         )?;
-        self.await_answer("platform", self.net.platform(), "/admin/stats")?;
-        self.await_answer("fabric", self.net.fabric_control(), "/admin/stats")
+        self.await_http_ok("platform", self.net.platform(), "/admin/stats")?;
+        self.await_http_ok("fabric", self.net.fabric_control(), "/admin/stats")
     }
 
-    /// Starts the callers of each account; they have no work yet.
+    /// Starts the callers of each account, which have no workload yet.
     pub(super) fn start_callers(&self) -> anyhow::Result<()> {
         for (account, plan) in ACCOUNTS.iter().enumerate() {
-            let place = self.net.caller(account);
+            let endpoints = self.net.caller(account);
             let mut arguments = vec![
                 "--listen".to_owned(),
-                place.data.to_string(),
+                endpoints.data.to_string(),
                 "--control".to_owned(),
-                place.control.to_string(),
+                endpoints.control.to_string(),
                 "--fabric".to_owned(),
                 self.net.ingress().to_string(),
                 "--number".to_owned(),
@@ -63,23 +64,23 @@
             lock(&self.standins).push(process);
         }
         for account in 0..ACCOUNTS.len() {
-            self.await_answer("caller", self.net.caller(account).control, "/admin/report")?;
+            self.await_http_ok("caller", self.net.caller(account).control, "/admin/report")?;
         }
         Ok(())
     }
 
-    /// Starts the upstream in a row; its ledger goes on in the same file.
+    /// Starts the upstream at this index. After a restart it appends to the same ledger.
     pub(super) fn start_upstream(&self, index: usize) -> anyhow::Result<()> {
         let mut fleet = lock(&self.fleet);
         let row = &mut fleet.upstreams[index];
-        row.upstream.life += 1;
+        row.upstream.start_count += 1;
         let arguments = self.upstream_arguments(row);
-        let log = format!("{}.{}", row.upstream.name, row.upstream.life);
+        let log = format!("{}.{}", row.upstream.name, row.upstream.start_count);
         row.upstream.process = Some(self.start("standin-upstream", &log, &arguments)?);
         Ok(())
     }
 
-    /// Starts the agent in a row; it is listed once it is ready.
+    /// Starts the agent of the upstream at this index. `await_ready` lists it.
     pub(super) fn start_agent(&self, index: usize) -> anyhow::Result<()> {
         let mut fleet = lock(&self.fleet);
         let settings = documents::agent(self.net, &fleet, &fleet.upstreams[index], &self.secrets);
@@ -87,7 +88,7 @@
         self.start_daemon("gooseberrysill-agent", daemon, &settings)
     }
 
-    /// Starts the balancer in a row; it is listed once it is ready.
+    /// Starts the balancer at this index. `await_ready` lists it.
     pub(super) fn start_balancer(&self, index: usize) -> anyhow::Result<()> {
         let mut fleet = lock(&self.fleet);
         let row = &fleet.balancers[index];
@@ -96,41 +97,42 @@
         self.start_daemon("gooseberrysill-balancer", daemon, &settings)
     }
 
-    /// Waits until a daemon is ready and lists it.
-    pub(super) fn await_ready(&self, daemon: Pick) -> anyhow::Result<()> {
-        let (name, place) = self.with_daemon(daemon, |daemon| (daemon.name.clone(), daemon.place));
-        self.await_answer(&name, place.control, "/readyz")?;
-        self.with_daemon(daemon, |daemon| {
+    /// Waits until a daemon is ready and adds it to the platform's instance list.
+    pub(super) fn await_ready(&self, id: DaemonId) -> anyhow::Result<()> {
+        let (name, endpoints) =
+            self.with_daemon(id, |daemon| (daemon.name.clone(), daemon.endpoints));
+        self.await_http_ok(&name, endpoints.control, "/readyz")?;
+        self.with_daemon(id, |daemon| {
             daemon.is_ready = true;
             daemon.listed = Listed::Live;
         });
         self.push_instances()
     }
 
-    /// Waits until a daemon that was told to end is gone, and notes how it went.
-    pub(super) fn await_end(&self, daemon: Pick) -> anyhow::Result<()> {
+    /// Waits until a daemon that received SIGTERM has exited, and records an unclean exit.
+    pub(super) fn await_exit(&self, id: DaemonId) -> anyhow::Result<()> {
         let exited = || {
-            self.with_daemon(daemon, |daemon| match &mut daemon.process {
+            self.with_daemon(id, |daemon| match &mut daemon.process {
                 Some(process) => process.exited(),
                 None => None,
             })
         };
-        let in_time = self.wait_until(END_TIMEOUT_MS, || exited().is_some())?;
+        let in_time = self.wait_until(EXIT_TIMEOUT_MS, || exited().is_some())?;
         let status = exited();
-        let name = self.with_daemon(daemon, |daemon| {
+        let name = self.with_daemon(id, |daemon| {
             daemon.process = None;
             daemon.name.clone()
         });
         if !in_time || !status.is_some_and(|status| status.success()) {
-            let how = status.map_or("not in time".to_owned(), |status| status.to_string());
-            self.note(|journal, _| journal.unclean_exits.push(format!("{name}: {how}")));
+            let how = status.map_or("did not exit in time".to_owned(), |status| status.to_string());
+            self.record(|journal, _| journal.unclean_exits.push(format!("{name}: {how}")));
         }
         Ok(())
     }
 
-    /// Sends a signal to a daemon and notes that the lab did.
-    pub(super) fn signal(&self, daemon: Pick, signal: Signal) {
-        let name = self.with_daemon(daemon, |daemon| {
+    /// Sends a signal to a daemon and records that the lab disturbed it.
+    pub(super) fn signal(&self, id: DaemonId, signal: Signal) {
+        let name = self.with_daemon(id, |daemon| {
             if matches!(signal, Signal::SIGTERM | Signal::SIGKILL) {
                 daemon.is_ready = false;
             }
@@ -139,16 +141,16 @@
             }
             daemon.name.clone()
         });
-        self.note(|journal, now_ms| journal.disturbed.push((name, now_ms)));
+        self.record(|journal, now_ms| journal.disturbed.push((name, now_ms)));
     }
 
     /// Calls `apply` with one daemon of the fleet.
-    pub(super) fn with_daemon<T>(&self, pick: Pick, apply: impl FnOnce(&mut Daemon) -> T) -> T {
+    pub(super) fn with_daemon<T>(&self, id: DaemonId, apply: impl FnOnce(&mut Daemon) -> T) -> T {
         let mut fleet = lock(&self.fleet);
-        apply(match pick {
-            Pick::Balancer(index) => &mut fleet.balancers[index].daemon,
-            Pick::Agent(index) => &mut fleet.upstreams[index].agent,
-            Pick::Upstream(index) => &mut fleet.upstreams[index].upstream,
+        apply(match id {
+            DaemonId::Balancer(index) => &mut fleet.balancers[index].daemon,
+            DaemonId::Agent(index) => &mut fleet.upstreams[index].agent,
+            DaemonId::Upstream(index) => &mut fleet.upstreams[index].upstream,
         })
     }
 
@@ -165,7 +167,7 @@
         self.put_account(&fleet, account)
     }
 
-    /// Publishes root and subtrees as they are at the start.
+    /// Publishes the initial root document and account subtrees.
     pub(super) fn publish_all(&self) -> anyhow::Result<()> {
         let fleet = lock(&self.fleet);
         self.http.put_text(self.net.platform(), "/admin/root", &documents::root(&fleet))?;
@@ -177,21 +179,21 @@
         let path = format!("/admin/accounts/{name}");
         self.http.put_text(self.net.platform(), &path, &documents::account(fleet, account))?;
         let version = fleet.versions[account];
-        self.note(|journal, at_ms| {
+        self.record(|journal, at_ms| {
             journal.publications.push(Publication { account: name, version, at_ms });
         });
         Ok(())
     }
 
-    /// Notes that an upstream leaves from now on.
-    pub(super) fn note_drain(&self, index: usize) {
+    /// Records that an upstream is draining from now on.
+    pub(super) fn record_drain(&self, index: usize) {
         let upstream = lock(&self.fleet).upstreams[index].upstream.name.clone();
-        self.note(|journal, from_ms| {
+        self.record(|journal, from_ms| {
             journal.drains.push(Drain { upstream, from_ms, until_ms: None });
         });
     }
 
-    /// Gives the platform the list of instances; readers see it after its lag.
+    /// Sends the instance list to the platform; readers see it after `INSTANCE_LAG_MS`.
     pub(super) fn push_instances(&self) -> anyhow::Result<()> {
         let fleet = lock(&self.fleet);
         let mut instances = Vec::new();
@@ -202,14 +204,14 @@
         for row in &fleet.upstreams {
             let region = row.account_plan().region;
             let listed = instance("agent", &row.agent, row.zone, region);
-            instances.extend(listed.map(|listed| with_names(listed, row)));
+            instances.extend(listed.map(|listed| with_upstream_identity(listed, row)));
         }
         let list = InstanceList { instances, lag_ms: INSTANCE_LAG_MS };
         let body = ListBody { instances: &list.instances, lag_ms: list.lag_ms };
         self.http.put(self.net.platform(), "/admin/instances", &body)
     }
 
-    /// Gives the fabric its plan: balancers, zones, delays and faults.
+    /// Sends the fabric its plan: balancers, zones, delays and faults.
     pub(super) fn push_plan(&self) -> anyhow::Result<()> {
         let plan = self.plan(&lock(&self.fleet));
         self.http.put(self.net.fabric_control(), "/admin/plan", &plan)
@@ -227,32 +229,32 @@
             let addresses = topology::clients(account);
             plan.zones.push(Zone { name: clients.as_str().into(), addresses });
             let rows = fleet.balancers.iter().filter(|row| row.account == index);
-            let entries: Vec<_> = rows.filter(|row| row.is_sprayed).collect();
+            let entries: Vec<_> = rows.filter(|row| row.in_rotation).collect();
             for row in &entries {
-                let addresses = vec![row.daemon.place.data.ip()];
+                let addresses = vec![row.daemon.endpoints.data.ip()];
                 plan.zones.push(Zone { name: row.zone.into(), addresses });
-                // The hop between zones, from balancer to agent, doesn't pass the fabric, so its
-                // delay is added to the way in.
+                // The hop from balancer to agent, which may cross zones, does not pass through the
+                // fabric. Its delay is added to the path from the clients to the balancer.
                 let zones = [clients.as_str().into(), row.zone.into()];
                 let delay_us = CLIENT_DELAY_US + account.zone_delay_us;
                 plan.delays.push(Delay { zones, delay_us });
             }
             if self.options.scenario.with_product {
                 let balancer = |address| Balancer { address, leaves_at_us: None };
-                let balancers = entries.iter().map(|row| balancer(row.daemon.place.data));
+                let balancers = entries.iter().map(|row| balancer(row.daemon.endpoints.data));
                 let addresses = topology::service_addresses(account);
                 plan.pools.push(Pool { addresses, balancers: balancers.collect() });
             }
         }
         if !self.options.scenario.with_product {
-            plan.pools = direct_pools(fleet);
+            plan.pools = pools_without_product(fleet);
         }
         plan
     }
 
     fn upstream_arguments(&self, row: &Upstream) -> Vec<String> {
         let service = row.service_plan();
-        let Place { data, control } = row.upstream.place;
+        let Endpoints { data, control } = row.upstream.endpoints;
         let ledger = self.out.join(format!("{}.ledger", row.upstream.name));
         let mut arguments = vec![
             "--service".to_owned(),
@@ -268,7 +270,7 @@
             "--ledger".to_owned(),
             ledger.display().to_string(),
             "--seed".to_owned(),
-            (self.options.seed + u64::from(row.upstream.life) * 1_000).to_string(),
+            (self.options.seed + u64::from(row.upstream.start_count) * 1_000).to_string(),
         ];
         for endpoint in std::iter::once(service.address).chain(service.datagram_address) {
             arguments.extend(["--endpoint".to_owned(), endpoint.to_owned()]);
@@ -282,9 +284,9 @@
         daemon: &mut Daemon,
         settings: &str,
     ) -> anyhow::Result<()> {
-        daemon.life += 1;
+        daemon.start_count += 1;
         daemon.is_ready = false;
-        let log = format!("{}.{}", daemon.name, daemon.life);
+        let log = format!("{}.{}", daemon.name, daemon.start_count);
         let file = self.out.join(format!("{log}.yaml"));
         std::fs::write(&file, settings)?;
         let arguments = ["--settings".to_owned(), file.display().to_string()];
@@ -303,10 +305,10 @@
         let log = self.out.join(format!("{name}.log"));
         let mutant = self.options.mutant.as_deref();
         let variable = mutant.map(|mutant| ("GOOSEBERRYSILL_MUTANT", mutant));
-        Process::start(name, &self.programs.join(program), arguments, variable, &log)
+        Process::start(name, &self.bin_dir.join(program), arguments, variable, &log)
     }
 
-    pub(super) fn await_answer(
+    pub(super) fn await_http_ok(
         &self,
         name: &str,
         address: std::net::SocketAddr,
@@ -316,14 +318,14 @@
         let is_up = || self.http.is_ok(address, path);
         let in_time = self.wait_until(START_TIMEOUT_MS, is_up)?;
         let waited_ms = clock::now().since(begun);
-        ensure!(in_time, "{name}: no good answer from http://{address}{path} in {waited_ms} ms");
+        ensure!(in_time, "{name}: no success from http://{address}{path} in {waited_ms} ms");
         Ok(())
     }
 }
 
-/// One process slot of the fleet.
+/// Identifies a process slot of the fleet by its kind and index.
 #[derive(Clone, Copy)]
-pub(super) enum Pick {
+pub(super) enum DaemonId {
     Balancer(usize),
     Agent(usize),
     Upstream(usize),
@@ -347,15 +349,15 @@
         account: None,
         service: None,
         upstream: None,
-        data_address: daemon.place.data,
-        control_address: daemon.place.control,
+        data_address: daemon.endpoints.data,
+        control_address: daemon.endpoints.control,
         zone: zone.into(),
         region: region.into(),
         state: state.into(),
     })
 }
 
-fn with_names(instance: Instance, row: &Upstream) -> Instance {
+fn with_upstream_identity(instance: Instance, row: &Upstream) -> Instance {
     Instance {
         account: Some(row.account_plan().name.into()),
         service: Some(row.service_plan().name.into()),
@@ -364,12 +366,12 @@
     }
 }
 
-/// Without the product, each service's first upstream stands where its balancers would.
-fn direct_pools(fleet: &Fleet) -> Vec<Pool> {
+/// Without the product, the fabric sends the packets of a service to its first upstream.
+fn pools_without_product(fleet: &Fleet) -> Vec<Pool> {
     let first = fleet.upstreams.iter().filter(|row| row.number == 1);
     let pool = |row: &Upstream| {
         let address = row.service_plan().address.parse::<std::net::SocketAddr>().ok()?;
-        let balancer = Balancer { address: row.upstream.place.data, leaves_at_us: None };
+        let balancer = Balancer { address: row.upstream.endpoints.data, leaves_at_us: None };
         Some(Pool { addresses: vec![address.ip()], balancers: vec![balancer] })
     };
     first.filter_map(pool).collect()
--- a/xtask/src/lab/driver.rs
+++ b/xtask/src/lab/driver.rs
@@ -1,4 +1,4 @@
-//! The course of a run: build, start, phases, end, verdict.
+//! The stages of a run: build, start, phases, shutdown, verdict.
 
 use std::path::PathBuf;
 
@@ -6,23 +6,23 @@
 use standins::clock;
 use standins::shell::lock;
 
-use super::actions::Pick;
+use super::actions::DaemonId;
 use super::figures::Figures;
 use super::options::Options;
 use super::scenario::{Phase, PhaseKind};
 use super::topology::ACCOUNTS;
-use super::verdict::{self, Run};
+use super::verdict::{self, RunInfo};
 use super::{Lab, evidence, observer};
 use crate::process;
 
-/// Callers run this long before the first phase.
+/// Time for which callers run before the first phase.
 const WARM_UP_MS: u64 = 2_000;
-/// After the last phase everything must have recovered within this time.
+/// Time after the last phase within which everything must recover.
 const RECOVERY_MS: u64 = 3_000;
-/// Time after that, in which an opening that fails is counted apart.
-const RECOVERED_MS: u64 = 2_000;
-/// Longest time in which callers end what is in flight.
-const FINISH_TIMEOUT_MS: u64 = 12_000;
+/// Time after the recovery in which failed openings are counted separately.
+const POST_RECOVERY_MS: u64 = 2_000;
+/// Maximum time for callers to complete the requests in flight.
+const CALLERS_IDLE_TIMEOUT_MS: u64 = 12_000;
 /// Time between two lines of a feed.
 const FEED_INTERVAL_MS: u32 = 200;
 /// Time between two confirmations over a feed's connection.
@@ -44,31 +44,34 @@
     Ok(target.join(if options.release { "release" } else { "debug" }))
 }
 
-/// Runs the scenario and judges it.
+/// Runs the scenario and evaluates the result.
 pub(super) fn drive(lab: &Lab) -> anyhow::Result<Figures> {
-    lab.say(&format!("scenario `{}`: {}", lab.options.scenario.name, lab.options.scenario.about));
-    start(lab)?;
+    lab.log_progress(&format!(
+        "scenario `{}`: {}",
+        lab.options.scenario.name, lab.options.scenario.description
+    ));
+    start_all(lab)?;
     let reports = std::thread::scope(|scope| {
         if lab.options.scenario.with_product {
             observer::spawn(lab, scope);
         }
-        let reports = run_phases(lab).and_then(|()| finish(lab));
+        let reports = run_phases(lab).and_then(|()| stop_callers(lab));
         lab.ended.store(true, std::sync::atomic::Ordering::Relaxed);
         reports
     })?;
     evidence::write_timelines(lab);
-    let run = Run {
+    let run = RunInfo {
         scenario: lab.options.scenario.name,
         seed: lab.options.seed,
         duration_ms: clock::now().0 - lab.started_ms,
         mutant: lab.options.mutant.clone(),
     };
     let figures = verdict::judge(run, &evidence::gather(lab, reports)?);
-    end(lab)?;
+    stop_processes(lab)?;
     Ok(figures)
 }
 
-fn start(lab: &Lab) -> anyhow::Result<()> {
+fn start_all(lab: &Lab) -> anyhow::Result<()> {
     lab.start_platform_and_fabric()?;
     lab.publish_all()?;
     let (balancers, upstreams) = {
@@ -79,12 +82,14 @@
     if lab.options.scenario.with_product {
         (0..balancers).try_for_each(|index| lab.start_balancer(index))?;
         (0..upstreams).try_for_each(|index| lab.start_agent(index))?;
-        (0..balancers).try_for_each(|index| lab.await_ready(Pick::Balancer(index)))?;
-        (0..upstreams).try_for_each(|index| lab.await_ready(Pick::Agent(index)))?;
+        (0..balancers).try_for_each(|index| lab.await_ready(DaemonId::Balancer(index)))?;
+        (0..upstreams).try_for_each(|index| lab.await_ready(DaemonId::Agent(index)))?;
     }
     lab.push_plan()?;
     lab.start_callers()?;
-    lab.say(&format!("{balancers} balancers and {upstreams} upstreams with agents are up"));
+    lab.log_progress(&format!(
+        "{balancers} balancers and {upstreams} upstreams with agents are up"
+    ));
     for account in 0..ACCOUNTS.len() {
         let control = lab.net.caller(account).control;
         lab.http.put(control, "/admin/workloads", &workloads(lab, account)?)?;
@@ -98,40 +103,40 @@
         Ok(Workload {
             service: service.name.into(),
             address: service.address.parse()?,
-            feeds: service.work.feeds * lab.options.scale,
+            feeds: service.workload.feeds * lab.options.scale,
             feed_interval_ms: FEED_INTERVAL_MS,
             feed_confirm_interval_ms: FEED_CONFIRM_INTERVAL_MS,
-            confirms_per_s: service.work.confirms_per_s,
-            fetches_per_s: service.work.fetches_per_s,
-            fetch_bytes: service.work.fetch_bytes,
+            confirms_per_s: service.workload.confirms_per_s,
+            fetches_per_s: service.workload.fetches_per_s,
+            fetch_bytes: service.workload.fetch_bytes,
             datagram_address: service.datagram_address.map(str::parse).transpose()?,
-            datagrams_per_s: service.work.datagrams_per_s,
+            datagrams_per_s: service.workload.datagrams_per_s,
         })
     };
     services.map(workload).collect()
 }
 
 fn run_phases(lab: &Lab) -> anyhow::Result<()> {
-    lab.note(|journal, now_ms| journal.phases.push((now_ms, PhaseKind::Planned)));
-    lab.pause(WARM_UP_MS)?;
+    lab.record(|journal, now_ms| journal.phases.push((now_ms, PhaseKind::Planned)));
+    lab.sleep(WARM_UP_MS)?;
     lab.options.scenario.phases.iter().try_for_each(|phase| run_phase(lab, phase))?;
-    lab.say("recovering");
-    lab.pause(RECOVERY_MS)?;
-    lab.say("nothing may fail any more");
-    lab.note(|journal, now_ms| journal.phases.push((now_ms, PhaseKind::Recovered)));
-    lab.pause(RECOVERED_MS)
+    lab.log_progress("recovering");
+    lab.sleep(RECOVERY_MS)?;
+    lab.log_progress("recovery time is over: no opening may fail from now on");
+    lab.record(|journal, now_ms| journal.phases.push((now_ms, PhaseKind::Recovered)));
+    lab.sleep(POST_RECOVERY_MS)
 }
 
 fn run_phase(lab: &Lab, phase: &Phase) -> anyhow::Result<()> {
-    lab.say(&format!("phase: {}", phase.name));
-    lab.note(|journal, now_ms| journal.phases.push((now_ms, phase.kind)));
+    lab.log_progress(&format!("phase: {}", phase.name));
+    lab.record(|journal, now_ms| journal.phases.push((now_ms, phase.kind)));
     std::thread::scope(|scope| {
         let run_track = |track: &'static [_]| {
             scope.spawn(move || track.iter().try_for_each(|step| lab.perform(*step)))
         };
         let tracks: Vec<_> = phase.tracks.iter().map(|track| run_track(track)).collect();
         let ended = tracks.into_iter().map(|track| track.join());
-        // A panic in a track is the lab's own fault and ends the run as an error.
+        // A panic in a track is a bug of the lab and ends the run with an error.
         let flatten = |ended: std::thread::Result<_>| {
             ended.unwrap_or_else(|_| Err(anyhow::anyhow!("a track panicked")))
         };
@@ -139,10 +144,10 @@
     })
 }
 
-/// Ends all feeds, waits for what is in flight, and takes the callers' reports.
-fn finish(lab: &Lab) -> anyhow::Result<Vec<Report>> {
-    lab.say("ending all feeds");
-    observer::check_newest(lab);
+/// Ends all feeds, waits for the requests in flight, and collects the callers' reports.
+fn stop_callers(lab: &Lab) -> anyhow::Result<Vec<Report>> {
+    lab.log_progress("ending all feeds");
+    observer::check_settings_converged(lab);
     let controls: Vec<_> =
         (0..ACCOUNTS.len()).map(|account| lab.net.caller(account).control).collect();
     for control in &controls {
@@ -150,13 +155,14 @@
     }
     let report = |control| lab.http.get::<Report>(control, "/admin/report");
     let is_idle = |control: &_| report(*control).is_ok_and(|report| report.is_idle);
-    lab.wait_until(FINISH_TIMEOUT_MS, || controls.iter().all(is_idle))?;
+    lab.wait_until(CALLERS_IDLE_TIMEOUT_MS, || controls.iter().all(is_idle))?;
     controls.into_iter().map(report).collect()
 }
 
-/// Ends every process as an operator would; what doesn't end is killed when the lab is dropped.
-fn end(lab: &Lab) -> anyhow::Result<()> {
-    lab.say("ending all processes");
+/// Stops the platform, the fabric and the callers with SIGTERM. A process that does not exit in
+/// time is killed when it is dropped, as are all others when the lab is dropped.
+fn stop_processes(lab: &Lab) -> anyhow::Result<()> {
+    lab.log_progress("stopping all processes");
     let processes: Vec<_> = std::mem::take(&mut *lock(&lab.standins));
     for process in &processes {
         process.signal(nix::sys::signal::Signal::SIGTERM);
@@ -164,10 +170,10 @@
     let begun = clock::now();
     for mut process in processes {
         while process.exited().is_none() && clock::now().since(begun) < 1_000 {
-            lab.pause(super::STEP_MS)?;
+            lab.sleep(super::POLL_INTERVAL_MS)?;
         }
         if process.exited().is_none() {
-            lab.say(&format!("{} is killed", process.name()));
+            lab.log_progress(&format!("{} did not exit in time and is killed", process.name()));
         }
     }
     Ok(())
--- a/xtask/src/lab/evidence.rs
+++ b/xtask/src/lab/evidence.rs
@@ -1,4 +1,4 @@
-//! Gathers what the verdict rests on, and keeps it for people.
+//! Collects the input of the verdict, and writes it to the output directory for people to read.
 
 use std::fs;
 
@@ -10,9 +10,9 @@
 
 use super::Lab;
 use super::topology::ACCOUNTS;
-use super::verdict::{Entry, Evidence};
+use super::verdict::{Evidence, LedgerEntry};
 
-/// Reads the ledgers and takes the journal over.
+/// Reads the ledgers, takes the journal out of the lab, and writes reports and journal to files.
 pub(super) fn gather(lab: &Lab, reports: Vec<Report>) -> anyhow::Result<Evidence> {
     let stats: platform::Stats = lab.http.get(lab.net.platform(), "/admin/stats")?;
     let evidence = Evidence {
@@ -21,51 +21,52 @@
         reports,
         reads_per_s_max: stats.reads_per_s_max,
     };
-    write(lab, &evidence)?;
+    write_files(lab, &evidence)?;
     Ok(evidence)
 }
 
-/// Keeps the time line of every daemon that runs. Ones that ended took theirs along.
+/// Saves the timeline of every running daemon. Those of exited daemons are lost.
 pub(super) fn write_timelines(lab: &Lab) {
-    let subjects: Vec<_> = {
+    let daemons: Vec<_> = {
         let fleet = lock(&lab.fleet);
         let running = fleet.daemons().filter(|daemon| daemon.process.is_some());
-        running.map(|daemon| (daemon.name.clone(), daemon.place.control)).collect()
+        running.map(|daemon| (daemon.name.clone(), daemon.endpoints.control)).collect()
     };
-    for (name, control) in subjects {
-        // The time lines help people only; the verdict doesn't read them.
+    for (name, control) in daemons {
+        // Errors are ignored: timelines are for people only, the verdict does not read them.
         if let Ok(text) = lab.http.get_text(control, "/timeline?after=0") {
             let _ = fs::write(lab.out.join(format!("{name}.timeline.json")), text);
         }
     }
 }
 
-fn read_ledgers(lab: &Lab) -> anyhow::Result<Vec<Entry>> {
+fn read_ledgers(lab: &Lab) -> anyhow::Result<Vec<LedgerEntry>> {
     let mut entries = Vec::new();
     for row in &lock(&lab.fleet).upstreams {
         let upstream = &row.upstream.name;
         let path = lab.out.join(format!("{upstream}.ledger"));
         let text = fs::read_to_string(&path).with_context(|| path.display().to_string())?;
         for line in text.lines() {
-            // A killed upstream may have left half a line, which it had not answered for either.
+            // A killed upstream may have left an incomplete line. It has not answered the request
+            // of that line either.
             let Ok(row) = serde_json::from_str(line) else { continue };
-            entries.push(Entry { upstream: upstream.clone(), row });
+            entries.push(LedgerEntry { upstream: upstream.clone(), row });
         }
     }
     Ok(entries)
 }
 
-fn write(lab: &Lab, evidence: &Evidence) -> anyhow::Result<()> {
+fn write_files(lab: &Lab, evidence: &Evidence) -> anyhow::Result<()> {
     for (report, account) in evidence.reports.iter().zip(&ACCOUNTS) {
         let path = lab.out.join(format!("caller-{}.json", account.name));
         fs::write(&path, serde_json::to_string_pretty(report)?)?;
     }
     let path = lab.out.join("journal.json");
-    fs::write(&path, serde_json::to_string_pretty(&journal(evidence))?)?;
+    fs::write(&path, serde_json::to_string_pretty(&journal_json(evidence))?)?;
     Ok(())
 }
 
-fn journal(evidence: &Evidence) -> Value {
+fn journal_json(evidence: &Evidence) -> Value {
     let journal = &evidence.journal;
     let phases = journal.phases.iter().map(|(at_ms, kind)| json!([at_ms, format!("{kind:?}")]));
     let publications =
--- a/xtask/src/lab/fleet.rs
+++ b/xtask/src/lab/fleet.rs
@@ -1,25 +1,25 @@
-//! Tables of the machines in a run: balancers, upstreams with their agents, settings versions.
+//! State of the processes in a run: balancers, upstreams with their agents, settings versions.
 
 use std::net::SocketAddr;
 
 use standins::fabric::Faults;
 
 use super::scenario::Target;
-use super::topology::{ACCOUNTS, AccountPlan, BALANCERS, Net, Place, ServicePlan};
+use super::topology::{ACCOUNTS, AccountPlan, BALANCERS_PER_ACCOUNT, Endpoints, Net, ServicePlan};
 use crate::process::Process;
 
-/// Every machine of the run.
+/// All balancers, agents and upstreams of a run, and the state of platform and fabric.
 pub(super) struct Fleet {
     pub(super) balancers: Vec<Balancer>,
     pub(super) upstreams: Vec<Upstream>,
     /// Version of each account's subtree.
     pub(super) versions: [u64; ACCOUNTS.len()],
     pub(super) root_version: u64,
-    /// What goes wrong in the fabric at the moment.
+    /// Faults that the fabric currently injects.
     pub(super) faults: Faults,
 }
 
-/// What the platform's list says about an instance.
+/// State of an instance in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Listed {
     Absent,
@@ -27,15 +27,15 @@
     Leaving,
 }
 
-/// One process slot; several processes may live in it one after the other.
+/// A process slot. A restart puts a new process into the same slot.
 pub(super) struct Daemon {
     pub(super) name: String,
-    pub(super) place: Place,
-    /// Counts the processes that lived here.
-    pub(super) life: u32,
+    pub(super) endpoints: Endpoints,
+    /// Number of processes started in this slot so far.
+    pub(super) start_count: u32,
     pub(super) process: Option<Process>,
     pub(super) listed: Listed,
-    /// Answered `/readyz`; false again from the moment that it is to end.
+    /// True once `/readyz` succeeded, until the lab sends SIGTERM or SIGKILL.
     pub(super) is_ready: bool,
 }
 
@@ -44,8 +44,8 @@
     pub(super) number: u32,
     pub(super) zone: &'static str,
     pub(super) daemon: Daemon,
-    /// The fabric hands it packets.
-    pub(super) is_sprayed: bool,
+    /// Whether the fabric sends packets to it.
+    pub(super) in_rotation: bool,
 }
 
 /// State of an upstream in the published settings.
@@ -64,17 +64,17 @@
     pub(super) zone: &'static str,
     pub(super) weight: u32,
     pub(super) published: Published,
-    pub(super) since: u64,
-    pub(super) retired: u64,
+    pub(super) since_version: u64,
+    pub(super) retired_version: u64,
     pub(super) agent: Daemon,
     pub(super) upstream: Daemon,
 }
 
-/// Weight of an upstream as long as nothing changes it.
+/// Initial weight of an upstream.
 pub(super) const WEIGHT: u32 = 100;
 
 impl Fleet {
-    /// The fleet at its start, with no process running yet.
+    /// The initial fleet, with no process running yet.
     pub(super) fn new(net: Net) -> Self {
         let mut fleet = Self {
             balancers: Vec::new(),
@@ -84,7 +84,9 @@
             faults: Faults::default(),
         };
         for (account, plan) in ACCOUNTS.iter().enumerate() {
-            fleet.balancers.extend((1..=BALANCERS).map(|number| balancer(net, account, number)));
+            fleet
+                .balancers
+                .extend((1..=BALANCERS_PER_ACCOUNT).map(|number| balancer(net, account, number)));
             for (service, service_plan) in plan.services.iter().enumerate() {
                 for number in 1..=service_plan.upstreams {
                     fleet.add_upstream(net, account, service, Published::Active);
@@ -115,27 +117,28 @@
             zone,
             weight: WEIGHT,
             published,
-            since: self.versions[account],
-            retired: 0,
+            since_version: self.versions[account],
+            retired_version: 0,
             agent: daemon(format!("agent-{name}"), net.agent(account, service, number)),
             upstream: daemon(name, net.upstream(account, service, number)),
         });
         self.upstreams.len() - 1
     }
 
-    /// Index of the upstream that a target means in this run.
+    /// Index of the upstream to which a target maps for a seed.
     pub(super) fn resolve(&self, target: Target, seed: u64) -> usize {
         let is_service = |row: &Upstream| row.service_plan().name == target.service;
-        let count = self.upstreams.iter().filter(|row| is_service(row) && row.since == 1).count();
+        let count =
+            self.upstreams.iter().filter(|row| is_service(row) && row.since_version == 1).count();
         let number = (u64::from(target.slot) + seed) % count as u64 + 1;
         let is_target = |row: &Upstream| is_service(row) && u64::from(row.number) == number;
-        // The scenarios name services of the topology only.
+        // Scenarios name only services of the topology.
         self.upstreams.iter().position(is_target).expect("a target is part of the topology")
     }
 
     /// Indexes of the balancers in a slot, one for each account.
-    pub(super) fn balancers_in(&self, slot: u32, seed: u64) -> Vec<usize> {
-        let number = (u64::from(slot) + seed) % u64::from(BALANCERS) + 1;
+    pub(super) fn balancers_in_slot(&self, slot: u32, seed: u64) -> Vec<usize> {
+        let number = (u64::from(slot) + seed) % u64::from(BALANCERS_PER_ACCOUNT) + 1;
         let rows = self.balancers.iter().enumerate();
         rows.filter(|(_, row)| u64::from(row.number) == number).map(|(index, _)| index).collect()
     }
@@ -146,9 +149,9 @@
         balancers.chain(self.upstreams.iter().map(|row| &row.agent))
     }
 
-    /// Control addresses of all balancers, for processes to start with.
+    /// Control addresses of all balancers, which new processes get as their initial peers.
     pub(super) fn balancer_controls(&self) -> Vec<SocketAddr> {
-        self.balancers.iter().map(|row| row.daemon.place.control).collect()
+        self.balancers.iter().map(|row| row.daemon.endpoints.control).collect()
     }
 }
 
@@ -169,10 +172,17 @@
         number,
         zone: plan.zones[(number as usize - 1) % plan.zones.len()],
         daemon: daemon(format!("bal-{}-{number}", plan.name), net.balancer(account, number)),
-        is_sprayed: true,
+        in_rotation: true,
     }
 }
 
-fn daemon(name: String, place: Place) -> Daemon {
-    Daemon { name, place, life: 0, process: None, listed: Listed::Absent, is_ready: false }
+fn daemon(name: String, endpoints: Endpoints) -> Daemon {
+    Daemon {
+        name,
+        endpoints,
+        start_count: 0,
+        process: None,
+        listed: Listed::Absent,
+        is_ready: false,
+    }
 }
--- a/xtask/src/lab/observer.rs
+++ b/xtask/src/lab/observer.rs
@@ -1,4 +1,4 @@
-//! Threads that look at the processes while a scenario runs.
+//! Threads that poll the processes while a scenario runs.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -13,20 +13,20 @@
 
 use super::Lab;
 use super::fleet::Published;
-use super::http::Http;
+use super::http::HttpClient;
 use super::journal::{InForce, Load};
 use super::topology::ACCOUNTS;
 
-/// Threads that ask daemons for their settings in force.
+/// Number of threads that poll daemons for their settings in force.
 const POLLERS: usize = 4;
-/// Pause between two rounds; it bounds the precision of `settings_in_force_ms`.
+/// Pause between two polling rounds; it limits the precision of `settings_in_force_ms`.
 const POLL_PAUSE: Duration = Duration::from_millis(20);
-/// A paused daemon may hold up a round for this long.
+/// Maximum time for which a paused daemon delays a polling round.
 const POLL_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause between two looks at the upstreams' load.
+/// Pause between two samples of the upstreams' load.
 const LOAD_PAUSE: Duration = Duration::from_millis(500);
-/// A settings change may take this long to reach every daemon at the end of a run.
-const NEWEST_TIMEOUT_MS: u64 = 5_000;
+/// Maximum time for a settings change to reach every daemon at the end of a run.
+const CONVERGENCE_TIMEOUT_MS: u64 = 5_000;
 
 /// The part of a daemon's `/status` that the lab reads.
 #[derive(Deserialize)]
@@ -41,22 +41,23 @@
     version: u64,
 }
 
-/// A daemon to ask.
-struct Subject {
+/// A daemon to poll.
+struct PollTarget {
     instance: String,
     control: SocketAddr,
 }
 
-impl Subject {
-    /// Always the same thread asks a daemon, so that it notices a step back.
-    fn poller(&self) -> usize {
+impl PollTarget {
+    /// Index of the thread that polls this daemon. It is always the same one, so that it notices
+    /// when the daemon reverts to an older version.
+    fn poller_index(&self) -> usize {
         let IpAddr::V4(address) = self.control.ip() else { return 0 };
         let [.., kind, number] = address.octets();
         usize::from(kind + number) % POLLERS
     }
 }
 
-/// Starts all observers; they end once the run has ended.
+/// Starts all observer threads, which exit at the end of the run.
 pub(super) fn spawn<'scope>(lab: &'scope Lab, scope: &'scope Scope<'scope, '_>) {
     for poller in 0..POLLERS {
         scope.spawn(move || poll_settings(lab, poller));
@@ -64,63 +65,66 @@
     scope.spawn(move || sample_loads(lab));
 }
 
-/// Waits until every daemon has the newest settings, and notes the ones that don't get them.
-pub(super) fn check_newest(lab: &Lab) {
-    let http = Http::with_timeout(POLL_TIMEOUT);
-    let until = clock::now().after(NEWEST_TIMEOUT_MS);
+/// Waits until every ready daemon has the newest settings, and records those that do not get them.
+pub(super) fn check_settings_converged(lab: &Lab) {
+    let http = HttpClient::with_timeout(POLL_TIMEOUT);
+    let until = clock::now().after(CONVERGENCE_TIMEOUT_MS);
     loop {
-        let lagging: Vec<_> =
-            subjects(lab).iter().filter_map(|subject| lag(lab, &http, subject)).collect();
+        let lagging: Vec<_> = ready_daemons(lab)
+            .iter()
+            .filter_map(|target| describe_lag(lab, &http, target))
+            .collect();
         if lagging.is_empty() || clock::now() >= until {
-            lab.note(|journal, _| journal.lagging = lagging);
+            lab.record(|journal, _| journal.lagging = lagging);
             return;
         }
         std::thread::sleep(POLL_PAUSE);
     }
 }
 
-fn lag(lab: &Lab, http: &Http, subject: &Subject) -> Option<String> {
-    let Ok(status) = http.get::<DaemonStatus>(subject.control, "/status") else {
-        return Some(format!("{}: no status", subject.instance));
+fn describe_lag(lab: &Lab, http: &HttpClient, target: &PollTarget) -> Option<String> {
+    let Ok(status) = http.get::<DaemonStatus>(target.control, "/status") else {
+        return Some(format!("{}: no response from /status", target.instance));
     };
     let versions = lock(&lab.fleet).versions;
     let newest = |name: &str| {
-        let place = ACCOUNTS.iter().position(|plan| plan.name == name);
-        place.map_or(0, |place| versions[place])
+        let index = ACCOUNTS.iter().position(|plan| plan.name == name);
+        index.map_or(0, |index| versions[index])
     };
     let old = status.settings.iter().find(|entry| entry.version < newest(&entry.account))?;
-    Some(format!("{}: {} at version {}", subject.instance, old.account, old.version))
+    Some(format!("{}: {} at version {}", target.instance, old.account, old.version))
 }
 
 fn poll_settings(lab: &Lab, poller: usize) {
-    let http = Http::with_timeout(POLL_TIMEOUT);
+    let http = HttpClient::with_timeout(POLL_TIMEOUT);
     let mut highest: BTreeMap<(String, String), u64> = BTreeMap::new();
     while !lab.ended.load(Ordering::Relaxed) {
-        for subject in subjects(lab).iter().filter(|subject| subject.poller() == poller) {
-            // A daemon that doesn't answer right now shows in the verdict by what it lacks later.
-            let status = http.get::<DaemonStatus>(subject.control, "/status");
+        for target in ready_daemons(lab).iter().filter(|target| target.poller_index() == poller) {
+            // A failed poll is ignored. A daemon that lacks settings gets a longer latency or is
+            // recorded as lagging at the end.
+            let status = http.get::<DaemonStatus>(target.control, "/status");
             if let Some(status) = status.ok().filter(|status| status.ready) {
-                note_versions(lab, subject, status, &mut highest);
+                record_versions(lab, target, status, &mut highest);
             }
         }
         std::thread::sleep(POLL_PAUSE);
     }
 }
 
-fn note_versions(
+fn record_versions(
     lab: &Lab,
-    subject: &Subject,
+    target: &PollTarget,
     status: DaemonStatus,
     highest: &mut BTreeMap<(String, String), u64>,
 ) {
     for AccountVersion { account, version } in status.settings {
-        let key = (subject.instance.clone(), account.clone());
+        let key = (target.instance.clone(), account.clone());
         let before = highest.insert(key, version).unwrap_or(0);
         if version == before {
             continue;
         }
-        let instance = subject.instance.clone();
-        lab.note(|journal, at_ms| {
+        let instance = target.instance.clone();
+        lab.record(|journal, at_ms| {
             if version < before {
                 let text = format!("{instance}: {account} from {before} to {version}");
                 journal.reverted.push(text);
@@ -130,39 +134,47 @@
     }
 }
 
-/// Daemons that are ready at the moment.
-fn subjects(lab: &Lab) -> Vec<Subject> {
+/// Daemons that are currently ready.
+fn ready_daemons(lab: &Lab) -> Vec<PollTarget> {
     let fleet = lock(&lab.fleet);
     let ready = fleet.daemons().filter(|daemon| daemon.is_ready);
     ready
-        .map(|daemon| Subject { instance: daemon.name.clone(), control: daemon.place.control })
+        .map(|daemon| PollTarget {
+            instance: daemon.name.clone(),
+            control: daemon.endpoints.control,
+        })
         .collect()
 }
 
 fn sample_loads(lab: &Lab) {
-    let http = Http::with_timeout(POLL_TIMEOUT);
+    let http = HttpClient::with_timeout(POLL_TIMEOUT);
     while !lab.ended.load(Ordering::Relaxed) {
         for (account, plan) in ACCOUNTS.iter().enumerate() {
             for (service, service_plan) in plan.services.iter().enumerate() {
                 let open = open_connections(lab, &http, account, service);
                 let service = service_plan.name;
-                lab.note(|journal, _| journal.loads.push(Load { service, open }));
+                lab.record(|journal, _| journal.loads.push(Load { service, open }));
             }
         }
         std::thread::sleep(LOAD_PAUSE);
     }
 }
 
-fn open_connections(lab: &Lab, http: &Http, account: usize, service: usize) -> Vec<(String, u64)> {
+fn open_connections(
+    lab: &Lab,
+    http: &HttpClient,
+    account: usize,
+    service: usize,
+) -> Vec<(String, u64)> {
     let rows: Vec<_> = {
         let fleet = lock(&lab.fleet);
         let is_active = |row: &&super::fleet::Upstream| {
             (row.account, row.service) == (account, service)
                 && row.published == Published::Active
-                && row.since == 1
+                && row.since_version == 1
         };
         let daemons = fleet.upstreams.iter().filter(is_active).map(|row| &row.upstream);
-        daemons.map(|daemon| (daemon.name.clone(), daemon.place.control)).collect()
+        daemons.map(|daemon| (daemon.name.clone(), daemon.endpoints.control)).collect()
     };
     let open = |(name, control)| {
         let stats = http.get::<Stats>(control, "/admin/stats").ok()?;
--- a/xtask/src/lab/verdict/incidents.rs
+++ b/xtask/src/lab/verdict/incidents.rs
@@ -1,15 +1,16 @@
-//! What callers saw go wrong, and whom it is put down to.
+//! Counts the incidents that callers reported, by cause.
 //!
-//! An incident belongs to the phase in which it happened. What made no progress counts for the
-//! phase in which progress ended, not for the one in which the caller's patience did. A connection
-//! held by an upstream that the lab itself killed while it was open is counted apart.
+//! An incident counts for the phase in which it happened. A stalled connection or an unanswered
+//! request counts for the phase in which progress stopped, not for the one in which the caller
+//! timed out. A connection held by an upstream that the lab itself killed while it was open is
+//! counted separately.
 
 use standins::caller::{Incident, Kind, Outcome};
 use standins::upstream::Event;
 
 use super::super::figures::Figures;
 use super::super::scenario::PhaseKind;
-use super::{Entry, Evidence};
+use super::{Evidence, LedgerEntry};
 
 pub(super) fn count(figures: &mut Figures, evidence: &Evidence) {
     for incident in evidence.reports.iter().flat_map(|report| &report.incidents) {
@@ -18,21 +19,21 @@
 }
 
 fn count_one(figures: &mut Figures, evidence: &Evidence, incident: &Incident) {
-    let waited = matches!(incident.outcome, Outcome::Stalled | Outcome::Unanswered);
-    let broke_at_ms = if waited { incident.since_ms } else { incident.at_ms };
+    let made_no_progress = matches!(incident.outcome, Outcome::Stalled | Outcome::Unanswered);
+    let broke_at_ms = if made_no_progress { incident.since_ms } else { incident.at_ms };
     let kind = evidence.journal.kind_at(broke_at_ms);
     if incident.outcome == Outcome::WrongService {
         figures.packets_misdelivered += 1;
     }
     if incident.outcome == Outcome::Shed {
-        // An explicit refusal; the ledger is compared with it elsewhere.
+        // An explicit refusal. `count_ledger_events` compares refused requests with the ledger.
         return;
     }
     if !incident.established {
-        *opening_figure(figures, kind, incident) += 1;
+        *failed_opening_figure(figures, kind, incident) += 1;
         return;
     }
-    if is_killed(evidence, incident) {
+    if was_held_by_killed_upstream(evidence, incident) {
         figures.flows_lost_with_killed_upstreams += 1;
         return;
     }
@@ -43,8 +44,9 @@
     }
 }
 
-/// Where a failed opening or datagram is counted.
-fn opening_figure<'a>(
+/// Figure under which a failed opening or datagram is counted. A datagram unanswered in planned
+/// changes is also counted in `answers_incomplete` here.
+fn failed_opening_figure<'a>(
     figures: &'a mut Figures,
     kind: PhaseKind,
     incident: &Incident,
@@ -67,17 +69,17 @@
     }
 }
 
-/// True if the connection was open at an upstream when the lab killed it.
-fn is_killed(evidence: &Evidence, incident: &Incident) -> bool {
+/// Whether the connection was open at an upstream when the lab killed that upstream.
+fn was_held_by_killed_upstream(evidence: &Evidence, incident: &Incident) -> bool {
     let Some(opened) = opening_of(evidence, incident) else { return false };
     evidence.journal.killed.iter().any(|(name, at_ms)| {
         *name == opened.upstream && (opened.row.at_ms..=incident.at_ms).contains(at_ms)
     })
 }
 
-/// The last opening by the incident's client before it.
-fn opening_of<'a>(evidence: &'a Evidence, incident: &Incident) -> Option<&'a Entry> {
-    let is_opening = |entry: &&Entry| {
+/// The last opening by the incident's client before the incident.
+fn opening_of<'a>(evidence: &'a Evidence, incident: &Incident) -> Option<&'a LedgerEntry> {
+    let is_opening = |entry: &&LedgerEntry| {
         entry.row.at_ms <= incident.at_ms
             && matches!(entry.row.event, Event::Open { client } if client == incident.client)
     };
