--- a/crates/decision/src/agent/handover.rs
+++ b/crates/decision/src/agent/handover.rs
@@ -98,10 +98,10 @@
         }
         let Some(peer) = self.peers.get_mut(from) else { return };
         let before = peer.handed_over.filter(|(known, _)| *known == incarnation);
-        let silences = before.map_or(0, |(_, known)| known.peer_timeouts);
+        let known_timeouts = before.map_or(0, |(_, known)| known.peer_timeouts);
         peer.handed_over = Some((incarnation, state));
-        if state.peer_timeouts > silences {
-            peer.cursor.restart();
+        if state.peer_timeouts > known_timeouts {
+            peer.relearn_cursor.restart();
             self.request_page(now, from, out);
         }
     }
@@ -115,7 +115,7 @@
         PreviousIncarnation {
             incarnation: peer.previous_incarnation,
             handed_over: handed_over.map(|(_, state)| state),
-            resumed: self.past == Recovery::Resumed,
+            resumed: self.recovery == Recovery::Resumed,
         }
     }
 
@@ -129,7 +129,7 @@
             return;
         }
         let Some(peer) = self.peers.get_mut(from) else { return };
-        peer.cursor.former = Some(reported);
+        peer.relearn_cursor.own_previous_incarnation = Some(reported);
         self.check_resumed();
     }
 
@@ -139,25 +139,26 @@
     /// Every flow was acknowledged by two of the peers that receive announcements, or by the only
     /// one. If all of them but one have reported what they know, no flow is missing.
     pub(super) fn check_resumed(&mut self) {
-        if matches!(self.past, Recovery::Complete | Recovery::Resumed) {
+        if matches!(self.recovery, Recovery::Complete | Recovery::Resumed) {
             return;
         }
         let Some((last, state)) = self.last_handover() else { return };
-        let complete_peer =
-            |peer: &Peer| peer.cursor.done && peer.cursor.covers_handover(last, state);
+        let complete_peer = |peer: &Peer| {
+            peer.relearn_cursor.done && peer.relearn_cursor.covers_handover(last, state)
+        };
         let complete = self.peers.iter().filter(|(_, peer)| complete_peer(peer)).count();
         if state.informed_agents > 0
             && complete > 0
             && complete + 1 >= state.informed_agents as usize
         {
-            self.past = Recovery::Resumed;
+            self.recovery = Recovery::Resumed;
         }
     }
 
     /// Whether the previous incarnation has handed over, and this peer knows all that it should of
     /// that incarnation's flows.
-    pub(super) fn has_full_knowledge(&self, id: UpstreamId) -> bool {
-        let cursor = self.peers.get(id).map(|peer| &peer.cursor);
+    pub(super) fn peer_covers_handover(&self, id: UpstreamId) -> bool {
+        let cursor = self.peers.get(id).map(|peer| &peer.relearn_cursor);
         let last = self.last_handover();
         cursor.zip(last).is_some_and(|(cursor, (last, state))| cursor.covers_handover(last, state))
     }
@@ -165,10 +166,12 @@
     /// The previous incarnation and the newest handover state that it sent, as far as the peers
     /// know.
     fn last_handover(&self) -> Option<(Incarnation, HandedOver)> {
-        let reports = || self.peers.iter().filter_map(|(_, peer)| peer.cursor.former);
-        let last = reports().filter_map(|former| former.incarnation).max()?;
-        let of_last = reports().filter(|former| former.incarnation == Some(last));
-        let state = of_last.filter_map(|former| former.handed_over).max()?;
+        let reports = || {
+            self.peers.iter().filter_map(|(_, peer)| peer.relearn_cursor.own_previous_incarnation)
+        };
+        let last = reports().filter_map(|reported| reported.incarnation).max()?;
+        let of_last = reports().filter(|reported| reported.incarnation == Some(last));
+        let state = of_last.filter_map(|reported| reported.handed_over).max()?;
         Some((last, state))
     }
 }
--- a/crates/decision/src/agent/mod.rs
+++ b/crates/decision/src/agent/mod.rs
@@ -7,9 +7,9 @@
 pub mod limits;
 
 mod announce;
+mod at_most_once;
 mod claimant;
 mod claims;
-mod early;
 mod finding;
 mod flow_map;
 mod flows;
@@ -19,7 +19,7 @@
 mod install;
 mod lookup;
 mod mutant;
-mod once;
+mod optimistic;
 mod outbox;
 mod packet;
 mod peers;
@@ -73,7 +73,7 @@
     peers: peers::PeerTable,
     former_homes: home::FormerHomes,
     health: health::Health,
-    past: relearn::Recovery,
+    recovery: relearn::Recovery,
     recall: recall::Recall,
     /// Agents to which the flows are announced, by bucket.
     announce_targets: Vec<announce::Targets>,
@@ -112,7 +112,7 @@
         let mut random = Pcg64Mcg::seed_from_u64(config.seed ^ config.incarnation.0);
         let heartbeats = config.upstream.0;
         let next_question = rand::Rng::next_u64(&mut random);
-        let past = match config.may_have_prior_flows {
+        let recovery = match config.may_have_prior_flows {
             true => relearn::Recovery::Relearning,
             false => relearn::Recovery::Complete,
         };
@@ -136,7 +136,7 @@
             peers: peers::PeerTable::default(),
             former_homes: home::FormerHomes::default(),
             health: health::Health::default(),
-            past,
+            recovery,
             recall: recall::Recall::default(),
             announce_targets: Vec::new(),
             next_heartbeat_at: now,
--- a/crates/decision/src/agent/early.rs
+++ b/crates/decision/src/agent/optimistic.rs
@@ -171,11 +171,11 @@
         now: Millis,
         hops: u8,
         opening: Opening,
-        given: Claim,
+        recorded: Claim,
         out: &mut Vec<Action>,
     ) -> Verdict {
         let claim = match self.choose_claim_for_assigned(now, hops) {
-            again if again == given => Claim::Refuse,
+            repeated if repeated == recorded => Claim::Refuse,
             claim => claim,
         };
         let refusal = Reason::AllFull;
--- a/crates/decision/src/agent/peers.rs
+++ b/crates/decision/src/agent/peers.rs
@@ -47,7 +47,7 @@
     /// When an announcement of any of its incarnations was last applied.
     pub(super) last_announcement_at: Option<Millis>,
     pub(super) outbox: Outbox,
-    pub(super) cursor: Cursor,
+    pub(super) relearn_cursor: Cursor,
 }
 
 /// All peers, sorted by id.
--- a/crates/decision/src/agent/recall.rs
+++ b/crates/decision/src/agent/recall.rs
@@ -84,7 +84,7 @@
         !self.config.may_have_prior_flows && self.recall.newly_listed
     }
 
-    fn memory(&self, now: Millis) -> RecordCompleteness {
+    fn record_completeness(&self, now: Millis) -> RecordCompleteness {
         match self.must_abstain(now) || !self.recall.disputed.is_empty() {
             false => RecordCompleteness::Complete,
             true if self.is_newborn() && self.recall.disputed.is_empty() => {
@@ -128,7 +128,7 @@
             return;
         }
         let (records, next) = self.claims.page(now, first, limits::RECORDS_PER_PAGE);
-        let memory = self.memory(now);
+        let memory = self.record_completeness(now);
         let met_before = self.peers.get(from).is_some_and(|peer| peer.met_before);
         let message =
             Message::RecallReply { incarnation, from: first, records, next, memory, met_before };
--- a/crates/decision/src/agent/relearn.rs
+++ b/crates/decision/src/agent/relearn.rs
@@ -19,22 +19,22 @@
     /// Whether the peer knew all flows announced to it before this agent restarted.
     complete: bool,
     /// What the peer has reported about this agent's previous incarnation.
-    pub(super) former: Option<PreviousIncarnation>,
+    pub(super) own_previous_incarnation: Option<PreviousIncarnation>,
 }
 
 impl Cursor {
     /// Starts again with the first page.
     pub(super) fn restart(&mut self) {
-        *self = Self { former: self.former, ..Self::default() };
+        *self = Self { own_previous_incarnation: self.own_previous_incarnation, ..Self::default() };
     }
 
     /// Whether the peer received all announcements of the incarnation `last`, or has itself resumed
     /// after a restart and got them from others.
     pub(super) fn covers_handover(&self, last: Incarnation, state: HandedOver) -> bool {
-        let former = self.former.unwrap_or_default();
-        match former.incarnation == Some(last) {
-            true => former.handed_over == Some(state),
-            false => former.resumed,
+        let reported = self.own_previous_incarnation.unwrap_or_default();
+        match reported.incarnation == Some(last) {
+            true => reported.handed_over == Some(state),
+            false => reported.resumed,
         }
     }
 }
@@ -66,7 +66,7 @@
 impl Agent {
     /// Whether this agent may hold flows that it does not know.
     pub(super) fn may_hold_unknown_flows(&self, now: Millis) -> bool {
-        match self.past {
+        match self.recovery {
             Recovery::Complete | Recovery::Resumed => false,
             Recovery::Relearning => now.since(self.started_at) < limits::MAX_INCOMPLETE_STATE_MS,
             Recovery::AwaitingUnannounced { until } => {
@@ -86,11 +86,11 @@
 
     /// Asks the peers for their next pages, and ends relearning once all have sent everything.
     pub(super) fn relearn(&mut self, now: Millis, out: &mut Vec<Action>) {
-        match self.past {
+        match self.recovery {
             Recovery::Complete | Recovery::Resumed => return,
             Recovery::Relearning => {}
             Recovery::AwaitingUnannounced { .. } if !self.may_hold_unknown_flows(now) => {
-                self.past = Recovery::Complete;
+                self.recovery = Recovery::Complete;
                 return;
             }
             Recovery::AwaitingUnannounced { .. } => return,
@@ -171,12 +171,12 @@
         if page.incarnation != self.config.incarnation {
             return;
         }
-        if self.past != Recovery::Resumed || self.has_full_knowledge(from) {
+        if self.recovery != Recovery::Resumed || self.peer_covers_handover(from) {
             self.insert_relearned(now, &page.openings, out);
         }
         self.insert_entrusted(now, &page.entrusted);
         let Some(peer) = self.peers.get_mut(from) else { return };
-        let cursor = &mut peer.cursor;
+        let cursor = &mut peer.relearn_cursor;
         if cursor.done || cursor.from != page.from {
             return;
         }
@@ -196,7 +196,7 @@
     fn insert_relearned(&mut self, now: Millis, openings: &[Opening], out: &mut Vec<Action>) {
         let at_most_once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
         let single = self.settings.only_datagrams && at_most_once;
-        if self.past == Recovery::Complete || single {
+        if self.recovery == Recovery::Complete || single {
             return;
         }
         for opening in openings {
@@ -226,12 +226,12 @@
         let incarnation = self.config.incarnation;
         let Some(peer) = self.peers.get_mut(to) else { return };
         let awaits_reply =
-            peer.cursor.asked_at.is_some_and(|at| now.since(at) < limits::RELEARN_RETRY_MS);
-        if peer.cursor.done || awaits_reply || !peer.may_hold_flows(now) {
+            peer.relearn_cursor.asked_at.is_some_and(|at| now.since(at) < limits::RELEARN_RETRY_MS);
+        if peer.relearn_cursor.done || awaits_reply || !peer.may_hold_flows(now) {
             return;
         }
-        peer.cursor.asked_at = Some(now);
-        let message = Message::Relearn { incarnation, from: peer.cursor.from };
+        peer.relearn_cursor.asked_at = Some(now);
+        let message = Message::Relearn { incarnation, from: peer.relearn_cursor.from };
         out.push(Action::Send { to, message });
     }
 
@@ -247,11 +247,11 @@
             .map(|(_, peer)| peer)
             .filter(|peer| peer.may_hold_flows(now))
             .collect();
-        let incomplete = asked.iter().filter(|peer| !peer.cursor.complete).count();
-        let all_done = asked.iter().all(|peer| peer.cursor.done);
+        let incomplete = asked.iter().filter(|peer| !peer.relearn_cursor.complete).count();
+        let all_done = asked.iter().all(|peer| peer.relearn_cursor.done);
         let alone = asked.is_empty();
         if alone || (all_done && incomplete <= 1) {
-            self.past =
+            self.recovery =
                 Recovery::AwaitingUnannounced { until: now.after(limits::UNANNOUNCED_FLOWS_MS) };
         }
         self.check_resumed();
@@ -259,7 +259,7 @@
 
     /// Whether `peer` had announced its flows to this agent before it restarted.
     fn knew_all_flows_of(&self, peer: UpstreamId) -> bool {
-        let met_at = self.peers.get(peer).map(|peer| peer.incarnation_seen_at);
-        met_at.is_some_and(|met_at| met_at.since(self.started_at) >= limits::RESYNC_MS)
+        let seen_at = self.peers.get(peer).map(|peer| peer.incarnation_seen_at);
+        seen_at.is_some_and(|seen_at| seen_at.since(self.started_at) >= limits::RESYNC_MS)
     }
 }
--- a/crates/decision/src/agent/status.rs
+++ b/crates/decision/src/agent/status.rs
@@ -134,8 +134,8 @@
         if self.is_up(upstream) {
             return AgentStatus::Up;
         }
-        let says_so = self.peers.get(upstream).is_some_and(Peer::is_leaving);
-        let leaving = says_so || upstream == self.config.upstream;
+        let has_announced = self.peers.get(upstream).is_some_and(Peer::is_leaving);
+        let leaving = has_announced || upstream == self.config.upstream;
         if leaving { AgentStatus::Leaving } else { AgentStatus::Suspected }
     }
 }
--- a/crates/decision/src/agent/tests/mod.rs
+++ b/crates/decision/src/agent/tests/mod.rs
@@ -2,14 +2,14 @@
 //! delay from which agents can be cut off, and a clock that the tests advance.
 
 mod assign;
-mod early;
+mod at_most_once;
 mod explain;
 mod flows;
 mod handover;
 mod install;
 mod lookup;
 mod memberships;
-mod once;
+mod optimistic;
 mod ports;
 mod relearn;
 mod reports;
--- a/crates/decision/src/agent/tests/reports.rs
+++ b/crates/decision/src/agent/tests/reports.rs
@@ -52,7 +52,7 @@
 
 /// While all agents respond, none may send reports, so that membership costs no bytes then.
 #[test]
-fn suspect_nobody_while_all_respond() {
+fn suspect_none_while_all_respond() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Admit, 3));
     fleet.advance(30_000);
     assert_eq!(fleet.reports, []);
