--- a/crates/decision/src/agent/claimant.rs
+++ b/crates/decision/src/agent/claimant.rs
@@ -74,8 +74,8 @@
 
     /// Counts a witness's reply.
     ///
-    /// A reply after the deadline does not count: if this process was paused, the witness may have
-    /// forgotten since that it granted the claim.
+    /// A reply after the deadline does not count: if this process was paused, the witness's
+    /// record of its grant may have expired since.
     pub(super) fn claim_reply_received(
         &mut self,
         now: Millis,
--- a/crates/decision/src/agent/finding.rs
+++ b/crates/decision/src/agent/finding.rs
@@ -1,5 +1,5 @@
 //! Evaluation of the answers to a lookup: which agent holds the flow, if the answers suffice to
-//! tell.
+//! decide.
 
 use super::Agent;
 use super::flows::{Flow, FlowState};
--- a/crates/decision/src/agent/health.rs
+++ b/crates/decision/src/agent/health.rs
@@ -1,4 +1,4 @@
-//! Whether the own upstream takes openings, and the heartbeats that report this to the peers.
+//! Whether the own upstream accepts openings, and the heartbeats that report this to the peers.
 
 use super::mutant::mutated;
 use super::peers::{heartbeat_period_ms, suspect_after_ms};
@@ -25,12 +25,12 @@
     report: Option<UpstreamReport>,
     /// When the upstream process started, from its first report after the start.
     upstream_started_at: Option<Millis>,
-    /// Whether the last heartbeat said that the upstream takes openings.
+    /// Whether the last heartbeat reported that the upstream accepts openings.
     advertised_accepting: Option<bool>,
-    /// Number of uncertain flows that the last report leaves no room for.
+    /// Number of uncertain flows that the upstream does not have by its last report.
     unconfirmed: usize,
-    /// Number of uncertain flows that neither of the last two reports leaves room for. These do not
-    /// count as load.
+    /// Number of uncertain flows that the upstream has by neither of its last two reports. These do
+    /// not count as load.
     discounted: usize,
     /// Whether the last report shows flows that this agent does not know.
     last_unknown: Option<UnknownFlows>,
@@ -63,9 +63,9 @@
     /// Compares the uncertain flows, which the upstream may never have had, with the number of
     /// flows that it reports as open.
     ///
-    /// Uncertain flows that two reports in a row leave no room for do not count as load; peers that
-    /// ask about them are still told that they may be held here. A report that is too low lets the
-    /// upstream exceed its limit by at most the number of uncertain flows.
+    /// Uncertain flows in excess of the reported number do not count as load once two reports in a
+    /// row show the excess. The answers to peers that ask about these flows do not change. A report
+    /// that is too low lets the upstream exceed its limit by at most the number of uncertain flows.
     fn reconcile_uncertain_flows(&mut self, report: UpstreamReport) {
         let uncertain = self.flows.uncertain();
         let confirmed = (report.open_flows as usize).saturating_sub(self.flows.certain());
@@ -97,7 +97,7 @@
         self.flows.open() - self.health.discounted.min(self.flows.uncertain())
     }
 
-    /// Whether the own upstream takes openings now.
+    /// Whether the own upstream accepts openings now.
     pub(super) fn accepts_openings(&mut self, now: Millis) -> bool {
         if self.must_not_admit() || self.is_full() {
             return false;
@@ -147,7 +147,7 @@
         limits::RAMP_START_PERCENT + grown
     }
 
-    /// Sends heartbeats at once when the upstream stops or starts to take openings.
+    /// Sends heartbeats at once when the upstream stops or starts to accept openings.
     pub(super) fn notify_if_accepting_changed(&mut self, now: Millis, out: &mut Vec<Action>) {
         let accepting = self.accepts_openings(now);
         if self.health.advertised_accepting != Some(accepting) {
--- a/crates/decision/src/agent/install.rs
+++ b/crates/decision/src/agent/install.rs
@@ -11,7 +11,7 @@
 use crate::time::Millis;
 use crate::view::{Transport, UpstreamState, View, WhenInDoubt};
 
-/// What the settings in effect say about this agent's service, derived once per installed view.
+/// The settings in force for this agent's service and upstream, derived once per installed view.
 #[derive(Debug)]
 pub(super) struct ServiceSettings {
     pub(super) version: Version,
--- a/crates/decision/src/agent/limits.rs
+++ b/crates/decision/src/agent/limits.rs
@@ -1,7 +1,7 @@
 //! Bounds, timeouts and intervals of the agent.
 
-/// Agents that may pass a packet on: the home by an old view, the home, a holder by hint and the
-/// holder, which makes four.
+/// Agents that may pass a packet on: the home by an old view, the present home, the agent that a
+/// stale redirect names and the holder, which makes four.
 pub const MAX_HOPS: u8 = 4;
 
 /// Entries of the flow table, including closing flows. The design size is fifty thousand open
@@ -125,7 +125,7 @@
 pub const UNANNOUNCED_FLOWS_MS: u64 = 60_000;
 
 /// Longest time for which a restarted agent assumes that it may hold unknown flows because its
-/// peers cannot tell. Feeds that it held may be idle for as long.
+/// peers have not reported all of them. Feeds that it held may be idle for as long.
 pub const MAX_INCOMPLETE_STATE_MS: u64 = FLOW_IDLE_TIMEOUT_MS;
 
 /// How long a retired, unresponsive peer is still asked about unknown flows.
@@ -137,8 +137,8 @@
 /// Idle time after which a datagram flow is removed. There is no FIN to wait for.
 pub const DATAGRAM_IDLE_TIMEOUT_MS: u64 = 300_000;
 
-/// Time after which an incomplete handshake is given up: on Linux an upstream sends its last
-/// SYN-ACK after 31 s and gives up after 63 s.
+/// Time after which a flow with an incomplete handshake is removed: on Linux an upstream sends its
+/// last SYN-ACK after 31 s and gives up after 63 s.
 pub const HANDSHAKE_TIMEOUT_MS: u64 = 90_000;
 
 /// How long a request of a single datagram counts as load.
--- a/crates/decision/src/agent/mutant.rs
+++ b/crates/decision/src/agent/mutant.rs
@@ -1,5 +1,5 @@
-//! Test-only switches that each disable one safeguard, so that the fuzzing can prove that it
-//! detects the fault.
+//! Test-only switches that each disable one safeguard, so that a fuzzing run can prove
+//! that it detects the fault.
 //!
 //! The feature `mutants` is off in every shipped binary; without it the switches compile to
 //! nothing.
@@ -20,7 +20,7 @@
     OlderSettingsAccepted,
     /// Packets of other services are handled like those of the agent's own service.
     ServiceNotChecked,
-    /// The home does not remember which agent holds a flow.
+    /// The home does not record which agent holds a flow.
     RedirectsForgotten,
     /// Flows are not announced again to a restarted agent or a new home.
     RedirectsNotReannounced,
@@ -30,7 +30,7 @@
     DuplicateDelivered,
     /// The claimant's own vote counts as a majority.
     QuorumOfOne,
-    /// A draining or leaving agent takes openings.
+    /// A draining or leaving agent accepts openings.
     DrainIgnored,
     /// Packets of unknown flows are delivered without asking the peers.
     AdoptAlways,
--- a/crates/decision/src/agent/peers.rs
+++ b/crates/decision/src/agent/peers.rs
@@ -11,13 +11,13 @@
 /// One peer.
 #[derive(Debug, Default)]
 pub(super) struct Peer {
-    /// Whether the settings in effect list it.
+    /// Whether the settings in force list it.
     pub(super) listed: bool,
-    /// Whether the settings in effect list it as retired.
+    /// Whether the settings in force list it as retired.
     pub(super) retired: bool,
     pub(super) last_received_at: Option<Millis>,
-    /// When this agent first knew of the peer, or last resumed after a pause of its own. Silence
-    /// before that does not count.
+    /// When this agent first knew of the peer, or last resumed after a pause of its own. A lack of
+    /// messages before that is no evidence against the peer.
     pub(super) listed_at: Millis,
     /// Its present incarnation, once it has sent one.
     pub(super) incarnation: Option<Incarnation>,
@@ -47,6 +47,7 @@
     /// When an announcement of any of its incarnations was last applied.
     pub(super) last_announcement_at: Option<Millis>,
     pub(super) outbox: Outbox,
+    /// Progress of relearning this agent's flows from the peer.
     pub(super) relearn_cursor: Cursor,
 }
 
--- a/crates/decision/src/agent/quorum.rs
+++ b/crates/decision/src/agent/quorum.rs
@@ -1,7 +1,7 @@
-//! Votes on a claim, and whether they are a majority of every membership that may be in effect.
+//! Votes on a claim, and whether they are a majority of every membership that may be in force.
 //!
-//! Two claimants may have different settings in effect, and so count different members. Each
-//! therefore needs a majority in every membership that its settings remember. Any two claimants
+//! Two claimants may have different settings in force, and so count different members. Each
+//! therefore needs a majority in every membership that its settings still list. Any two claimants
 //! have such a membership in common, and two majorities of it share a witness, which votes only
 //! once. `docs/decisions/at-most-once.md` gives the full argument.
 
@@ -18,7 +18,7 @@
     Granted,
     /// It has recorded another claim for the opening.
     Other(Claim),
-    /// It cannot tell what it has recorded, and so does not vote.
+    /// It does not vote, for example because it may have lost its record for the opening.
     Abstained,
 }
 
@@ -35,7 +35,7 @@
     reported_until: Option<Millis>,
 }
 
-/// The memberships of a service that may still be in effect somewhere.
+/// The memberships of a service that may still be in force somewhere.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Memberships {
     memberships: Vec<Membership>,
@@ -58,7 +58,7 @@
 }
 
 impl Memberships {
-    /// The memberships that the settings of `service` remember, without those that `before` has
+    /// The memberships that the settings of `service` still list, without those that `before` has
     /// dropped.
     pub(super) fn of(
         view: &View,
@@ -106,7 +106,7 @@
     }
 
     /// Drops memberships that can grant nothing any more. `runs` tells whether a member is known to
-    /// have the given version or a later one in effect.
+    /// have the given version or a later one in force.
     ///
     /// Upstreams that were replaced long ago are gone, so no majority of their membership can ever
     /// answer, and no claim could be resolved while that membership counts. Dropping it is safe
@@ -148,8 +148,8 @@
 
     /// Processes a peer's report that a membership is outdated.
     ///
-    /// If one agent knows that nobody can claim under a membership any more, this holds for all,
-    /// and a report that arrives late only makes the wait longer.
+    /// If one agent knows that no agent can win a claim under a membership any more, this holds for
+    /// all, and a report that arrives late only makes the wait longer.
     pub(super) fn learn_outdated(&mut self, now: Millis, outdated: Outdated) {
         let until = now.after(outdated.expires_in_ms.into());
         let (from, next) = (outdated.from, Some(outdated.next));
@@ -223,7 +223,7 @@
 }
 
 impl Membership {
-    /// When all claims that were made under it will have expired, if nobody can make new ones.
+    /// When all claims that were made under it will have expired, if no agent can make new ones.
     fn outdated_until(&self) -> Option<Millis> {
         let own = self.outdated_since.map(|since| since.after(limits::CLAIM_TTL_MS));
         own.into_iter().chain(self.reported_until).min()
--- a/crates/decision/src/agent/recall.rs
+++ b/crates/decision/src/agent/recall.rs
@@ -1,8 +1,8 @@
 //! Recovery of a witness's records from the other witnesses after a start.
 //!
-//! A witness that starts abstains, since a previous incarnation, beside whatever upstream had its
-//! name, may have granted a claim. If it abstained until every such claim has expired, a service
-//! whose agents are restarted one after the other would stop.
+//! A witness that starts abstains, since a previous incarnation, possibly beside another upstream
+//! of the same name, may have granted a claim. If it abstained until every such claim has expired,
+//! a service whose agents are restarted one after the other would stop.
 //!
 //! Any claim that won with this agent's vote is recorded by a majority of a membership. Once so
 //! many other members have sent all their records that every majority contains one of them, this
@@ -42,7 +42,7 @@
     /// Whether the first settings that this agent installed were also the first to list its
     /// upstream.
     pub(super) newly_listed: bool,
-    /// Whether enough witnesses have sent all their records, under the settings in effect.
+    /// Whether enough witnesses have sent all their records, under the settings in force.
     pub(super) complete: bool,
     /// When newer settings made the recall incomplete again, by members that had not been asked
     /// yet.
@@ -79,7 +79,7 @@
         now.since(self.started_at) < limits::CLAIM_TTL_MS
     }
 
-    /// Whether, as far as this agent can tell, it has no previous incarnation.
+    /// Whether, as far as this agent knows, it has no previous incarnation.
     fn is_newborn(&self) -> bool {
         !self.config.may_have_prior_flows && self.recall.newly_listed
     }
@@ -98,8 +98,8 @@
     ///
     /// It first waits for [`limits::RECALL_DELAY_MS`]. Otherwise a claimant could still count a
     /// grant of the previous incarnation, and its claim could win after a witness has sent its
-    /// records without that claim. A claimant counts no grant after [`limits::QUORUM_TIMEOUT_MS`], so
-    /// after the longer wait every claim that can still win is recorded by its majority.
+    /// records without that claim. A claimant counts no grant after [`limits::QUORUM_TIMEOUT_MS`],
+    /// so after the longer wait every claim that can still win is recorded by its majority.
     pub(super) fn request_recall(&mut self, now: Millis, out: &mut Vec<Action>) {
         let at_most_once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
         let too_early = now.since(self.started_at) < limits::RECALL_DELAY_MS;
@@ -182,7 +182,7 @@
     /// answered.
     ///
     /// When settings list one more member while all agents have just started, every witness would
-    /// abstain. An abstention is final, so an opening of that moment would be given up, and a
+    /// abstain. An abstention is final, so an opening that arrives then would not run, and a
     /// datagram would be lost for good. Instead the witness does not reply at all, and the claimant
     /// asks again.
     pub(super) fn is_catching_up(&self, now: Millis) -> bool {
--- a/crates/decision/src/agent/relearn.rs
+++ b/crates/decision/src/agent/relearn.rs
@@ -10,7 +10,7 @@
 use crate::time::Millis;
 use crate::view::WhenInDoubt;
 
-/// Progress of reading what one peer knows.
+/// Progress of reading the flows that one peer knows.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Cursor {
     from: FlowId,
@@ -107,9 +107,9 @@
     ///
     /// If only the restarted peer's own flows were sent, knowledge of other flows could get lost: a
     /// holder's agent is down, and the agents to which it announced a flow restart one after the
-    /// other. Once it is back, nobody could tell it that its upstream has the flow, which would
-    /// hang. Sending these flows to each restarted agent prevents this as long as one of the three
-    /// agents is up at any time.
+    /// other. Once it is back, no agent could report the flow to it, and the flow would hang.
+    /// Sending these flows to each restarted agent prevents this as long as one of the three agents
+    /// is up at any time.
     pub(super) fn relearn_requested(
         &mut self,
         now: Millis,
--- a/crates/decision/src/agent/status.rs
+++ b/crates/decision/src/agent/status.rs
@@ -130,6 +130,7 @@
             location: here.or(redirect).unwrap_or(FlowLocation::Unknown),
         }
     }
+
     fn agent_status(&self, upstream: UpstreamId) -> AgentStatus {
         if self.is_up(upstream) {
             return AgentStatus::Up;
--- a/crates/decision/src/agent/tests/at_most_once.rs
+++ b/crates/decision/src/agent/tests/at_most_once.rs
@@ -335,8 +335,8 @@
     assert_eq!(fleet.agents[1].is_ready(fleet.now), ready);
 }
 
-/// The whole service crashes at once and starts anew, upstreams included, under settings that are
-/// not its first. No agent knows which openings ran, so none may run while copies of them can
+/// The whole service crashes and restarts at once, upstreams included, under settings that are not
+/// its first. No agent knows which openings ran, so none may run while copies of them can
 /// exist.
 #[rstest]
 #[case::soon(30_000, false)]
@@ -397,8 +397,8 @@
     assert_eq!(matches!(outcome, Outcome::Delivered(_)), runs, "{outcome:?}");
 }
 
-/// A claimant is paused after it has asked its witnesses, and resumes long after they have
-/// forgotten their grants. The opening that it still holds must not run then.
+/// A claimant is paused after it has asked its witnesses, and resumes long after their
+/// records of the grants have expired. The opening that it still holds must not run then.
 #[rstest]
 fn claim_by_quorum_paused_claimant() {
     let mut fleet = Fleet::settled(&Spec::new(WhenInDoubt::Refuse, 3));
@@ -413,8 +413,8 @@
 }
 
 /// One more upstream is listed shortly after the service has started, so that for some milliseconds
-/// no witness has its records. A datagram that arrives then must be delivered: if the witnesses
-/// abstained, it would be given up, and the caller never sends it again.
+/// no witness has all records. A datagram that arrives then must be delivered: if the witnesses
+/// abstained, it would not run, and the caller never sends it again.
 #[rstest]
 #[case::added(&[], 5)]
 #[case::replaced(&[3], 5)]
--- a/crates/decision/src/agent/tests/handover.rs
+++ b/crates/decision/src/agent/tests/handover.rs
@@ -82,7 +82,7 @@
     assert_eq!(fleet.send(uninformed, flow(1), PacketKind::Middle), opened);
 }
 
-/// An opening is assigned to an agent and lost on the way, and the agent shuts down as planned. Its
+/// An opening is assigned to an agent and lost in transit, and the agent shuts down as planned. Its
 /// next incarnation must not count the opening as a flow.
 #[rstest]
 fn relearn_assigned_opening_lost_before_shutdown() {
@@ -109,7 +109,7 @@
 }
 
 /// A flow ends that its agent has adopted without a record of its opening. Peers that know the
-/// opening from a previous incarnation must forget it, or they would report the flow at the next
+/// opening from a previous incarnation must remove it, or they would report the flow at the next
 /// restart.
 #[rstest]
 fn announce_end_adopted_flow() {
--- a/crates/decision/src/agent/tests/memberships.rs
+++ b/crates/decision/src/agent/tests/memberships.rs
@@ -36,10 +36,10 @@
     }
 }
 
-/// Of three upstreams one is retired, a fourth is listed, and a second one is retired. The third
-/// one's agent restarts and no longer knows that the others ran later settings. The fourth one's
-/// agent must report it, or the third counts the first membership forever, of which it is the only
-/// member left.
+/// Of three upstreams one is retired, a fourth is listed, and a second one is retired. The agent of
+/// the remaining one of the three restarts and no longer knows that the others ran later settings.
+/// The fourth agent must report this. Otherwise the restarted agent would count the first
+/// membership forever, although it is the only member left of it.
 #[test]
 fn outdated_membership_restarted_survivor() {
     let mut spec = Spec::new(WhenInDoubt::Refuse, 4);
--- a/crates/decision/src/agent/tests/relearn.rs
+++ b/crates/decision/src/agent/tests/relearn.rs
@@ -102,7 +102,7 @@
     assert_eq!(fleet.send((holder + 1) % 4, flow(1), PacketKind::Middle), opened);
 }
 
-/// A host crashes, and its upstream starts anew without its previous flows. Its agent then restarts
+/// A host crashes, and its upstream restarts without its previous flows. Its agent then restarts
 /// beside it. Peers must not report the lost flows, which would count as open for a day.
 #[rstest]
 fn relearn_flows_of_failed_upstream() {
--- a/crates/decision/src/agent/witness.rs
+++ b/crates/decision/src/agent/witness.rs
@@ -59,7 +59,7 @@
     ///
     /// They may contain a membership whose records this witness has not recalled. It does not reply
     /// rather than abstain, since an abstention is final. The claimant asks again a moment later,
-    /// when the settings are in effect here as well.
+    /// when the settings are in force here as well.
     fn must_catch_up(&self, now: Millis, view: Version) -> bool {
         let at_most_once = self.settings.when_in_doubt == WhenInDoubt::Refuse;
         at_most_once && self.may_have_voted(now) && view > self.settings.version
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -3,6 +3,7 @@
 //! Nothing here reads a clock, opens a socket, starts a thread or uses a global random number
 //! generator. Time, seeds, settings and the messages of peers are arguments; the actions to perform
 //! are returned as values. The daemons, the fuzzer and the benchmarks therefore run the same code.
+//! The part of a daemon that does the input and output is called its *shell*.
 
 pub mod agent;
 pub mod keys;
--- a/crates/decision/src/message.rs
+++ b/crates/decision/src/message.rs
@@ -102,9 +102,9 @@
     pub holder: UpstreamId,
 }
 
-/// An earlier membership of the service under which nobody can win a claim any more: so many of its
-/// members run later settings that the others are no majority. Claims that were granted under it
-/// expire.
+/// An earlier membership of the service under which no agent can win a claim any more: so many of
+/// its members run later settings that the others are no majority. Claims that were granted under
+/// it expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outdated {
     /// First version with these members.
--- a/crates/decision/src/spread/tests.rs
+++ b/crates/decision/src/spread/tests.rs
@@ -114,7 +114,7 @@
 }
 
 /// The peer that announced a version fails before the version is fetched from it. After the
-/// time-out the node fetches it from the configuration service.
+/// timeout the node fetches it from the configuration service.
 #[test]
 fn fetch_unresponsive_peer_asks_service() {
     let mut node = Spread::new(Peer { id: NodeId(1), zone: "a".into() }, 1, Millis(0));
--- a/crates/decision/src/view/mod.rs
+++ b/crates/decision/src/view/mod.rs
@@ -44,12 +44,12 @@
     Refuse,
 }
 
-/// Whether an upstream takes openings.
+/// Whether an upstream accepts openings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// Takes openings.
+    /// Accepts openings.
     Active,
-    /// Takes no openings, keeps its flows and stays in the ranking as home and witness.
+    /// Accepts no openings, keeps its flows and stays in the ranking as home and witness.
     Draining,
     /// Removed or about to be removed: still counts as a witness of claims, but is not ranked.
     Retired,
@@ -99,7 +99,7 @@
     pub control_address: SocketAddr,
     /// Address on which the upstream receives plain GUE.
     pub address: SocketAddr,
-    /// Whether it takes openings.
+    /// Whether it accepts openings.
     pub state: UpstreamState,
     /// First version that lists this upstream.
     pub since: Version,
