--- a/xtask/src/ablate/mod.rs
+++ b/xtask/src/ablate/mod.rs
@@ -27,7 +27,7 @@
 ";
 
 /// Where the clone lies.
-const COPY: &str = "target/ablate";
+const CLONE_FOLDER: &str = "target/ablate";
 /// The file that says how the programs are started.
 const DEPLOY_FILE: &str = "deploy/system.toml";
 /// Marks the lines of it that start a program.
@@ -48,16 +48,16 @@
         print!("{HELP}");
         return Ok(());
     };
-    let copy = Path::new(COPY);
+    let copy = Path::new(CLONE_FOLDER);
     days::clone_to(copy)?;
     let deploy = std::fs::read_to_string(copy.join(DEPLOY_FILE))?;
     let named = |name: &&str| options.only.is_empty() || options.only.iter().any(|o| o == name);
     let mut rows = Vec::new();
     for without in std::iter::once(None).chain(Policy::names().filter(named).map(Some)) {
-        std::fs::write(copy.join(DEPLOY_FILE), deploy_without(&deploy, without))?;
+        std::fs::write(copy.join(DEPLOY_FILE), deploy_file_without(&deploy, without))?;
         for site in &options.sites {
             for seed in 1..=options.seeds {
-                let row = play(&options, copy, site, without, seed)?;
+                let row = run_site(&options, copy, site, without, seed)?;
                 println!("{row}");
                 rows.push(row);
             }
@@ -72,8 +72,8 @@
     let (mut seeds, mut jobs, mut out) = (1, 4, PathBuf::from("docs/results"));
     while let Some(argument) = parser.next()? {
         match argument {
-            lexopt::Arg::Long("bench") => bench = Some(days::absolute(parser.value()?)?),
-            lexopt::Arg::Long("site") => sites.push(days::absolute(parser.value()?)?),
+            lexopt::Arg::Long("bench") => bench = Some(days::canonical_path(parser.value()?)?),
+            lexopt::Arg::Long("site") => sites.push(days::canonical_path(parser.value()?)?),
             lexopt::Arg::Long("seeds") => seeds = parser.value()?.parse()?,
             lexopt::Arg::Long("only") => only.push(parser.value()?.string()?),
             lexopt::Arg::Long("jobs") => jobs = parser.value()?.parse()?,
@@ -91,7 +91,7 @@
 }
 
 /// The deploy file with programs that run without this mechanism.
-fn deploy_without(deploy: &str, without: Option<&str>) -> String {
+fn deploy_file_without(deploy: &str, without: Option<&str>) -> String {
     let Some(name) = without else { return deploy.to_owned() };
     let line = |line: &str| match line.starts_with(RUN_PREFIX) {
         true => format!("{} --without {name}\"\n", line.trim_end_matches('"')),
@@ -100,18 +100,18 @@
     deploy.lines().map(line).collect()
 }
 
-fn play(
+fn run_site(
     options: &Options,
     copy: &Path,
     site: &Path,
     without: Option<&str>,
     seed: u32,
 ) -> anyhow::Result<Row> {
-    let why = match without {
+    let reason = match without {
         Some(name) => format!("ablation, play {seed}: without {name}"),
         None => format!("ablation, play {seed}: everything"),
     };
-    let days = days::score(&options.bench, copy, site, options.jobs, &why)?;
+    let days = days::score(&options.bench, copy, site, options.jobs, &reason)?;
     let site = site.file_stem().unwrap_or_default().to_string_lossy().into_owned();
     Ok(Row { site, without: without.map(str::to_owned), play: seed, days })
 }
--- a/xtask/src/ablate/report.rs
+++ b/xtask/src/ablate/report.rs
@@ -9,10 +9,10 @@
 use crate::days::{Day, mean};
 
 /// Height of a bar with its label, and width of one hundredth of worth.
-const LINE_PX: usize = 22;
-const HUNDREDTH_PX: f64 = 60.0;
+const ROW_HEIGHT_PX: usize = 22;
+const PX_PER_HUNDREDTH: f64 = 60.0;
 /// Where the bars begin.
-const ZERO_PX: f64 = 420.0;
+const ZERO_X_PX: f64 = 420.0;
 const WIDTH_PX: f64 = 900.0;
 
 /// One play of a site's standard days.
@@ -31,17 +31,17 @@
 impl Row {
     /// Mean worth of the days with trouble.
     fn mean(&self) -> f64 {
-        mean(self.days.iter().filter(|day| day.is_troubled()).map(|day| day.worth))
+        mean(self.days.iter().filter(|day| day.has_disturbance()).map(|day| day.worth))
     }
 }
 
 impl fmt::Display for Row {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let without = self.without.as_deref().unwrap_or("nothing");
         let broken = self.days.iter().filter(|day| day.broken).count();
         let (site, play, mean) = (&self.site, self.play, self.mean());
-        write!(out, "{site}, without {without}, play {play}: {mean:.4}, {broken} broken")?;
-        self.days.iter().try_for_each(|day| write!(out, " {:.3}", day.worth))
+        write!(f, "{site}, without {without}, play {play}: {mean:.4}, {broken} broken")?;
+        self.days.iter().try_for_each(|day| write!(f, " {:.3}", day.worth))
     }
 }
 
@@ -69,8 +69,8 @@
                 self.rows.iter().filter(|r| r.site == site && r.without.as_deref() == without);
             mean(rows.map(Row::mean))
         };
-        let first_plays = self.rows.iter().filter(|row| row.play == 1);
-        first_plays
+        let first_runs = self.rows.iter().filter(|row| row.play == 1);
+        first_runs
             .filter_map(|row| {
                 let name = row.without.as_deref()?;
                 let loss = means(&row.site, None) - means(&row.site, Some(name));
@@ -81,16 +81,16 @@
 
     fn svg(&self) -> String {
         let losses = self.losses();
-        let height = LINE_PX * (losses.len() + 2);
+        let height = ROW_HEIGHT_PX * (losses.len() + 2);
         let mut svg = format!(
             "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{WIDTH_PX}\" height=\"{height}\" \
              font-family=\"sans-serif\" font-size=\"13\">\n\
              <text x=\"10\" y=\"16\">Loss of mean worth on the days with trouble</text>\n"
         );
         for (index, (label, loss)) in losses.iter().enumerate() {
-            let top = LINE_PX * (index + 1);
-            let length = loss.abs() * 100.0 * HUNDREDTH_PX;
-            let left = if *loss < 0.0 { ZERO_PX - length } else { ZERO_PX };
+            let top = ROW_HEIGHT_PX * (index + 1);
+            let length = loss.abs() * 100.0 * PX_PER_HUNDREDTH;
+            let left = if *loss < 0.0 { ZERO_X_PX - length } else { ZERO_X_PX };
             let colour = if *loss < 0.0 { "#c44" } else { "#48a" };
             let _ = writeln!(
                 svg,
--- a/xtask/src/codegen.rs
+++ b/xtask/src/codegen.rs
@@ -12,7 +12,7 @@
 /// Documents whose border types are generated: `schema/NAME.json` becomes `generated/NAME.rs`.
 const SCHEMAS: &[&str] = &["account", "agent", "balancer", "root"];
 
-const RESULT_CODES_HEAD: &str = "\
+const RESULT_CODES_HEADER: &str = "\
 # Result codes
 
 Generated from `settings::codes::TABLE` by `cargo xtask codegen`: change it there. Logs, HTTP answers and `goosectl`
@@ -53,7 +53,7 @@
     for name in SCHEMAS {
         let source = root.join(format!("schema/{name}.json"));
         let path = root.join(format!("crates/settings/src/generated/{name}.rs"));
-        let text = border_types(&source).with_context(|| source.display().to_string())?;
+        let text = schema_types(&source).with_context(|| source.display().to_string())?;
         outputs.push(Output { path, text });
     }
     outputs.push(Output { path: root.join("docs/result-codes.md"), text: result_codes() });
@@ -62,32 +62,32 @@
 
 /// The page of result codes: one table for each class.
 fn result_codes() -> String {
-    let mut text = String::from(RESULT_CODES_HEAD);
+    let mut text = String::from(RESULT_CODES_HEADER);
     let mut class = None;
-    for Entry { code, name, class: of, text: what, action } in codes::TABLE {
-        if class != Some(*of) {
-            text += &format!("\n## {}\n\n", of.title());
+    for Entry { code, name, class: entry_class, text: description, action } in codes::TABLE {
+        if class != Some(*entry_class) {
+            text += &format!("\n## {}\n\n", entry_class.title());
             text += "| code | name | what has happened | what to do |\n|---|---|---|---|\n";
-            class = Some(*of);
+            class = Some(*entry_class);
         }
-        text += &format!("| {code} | `{name}` | {what} | {action} |\n");
+        text += &format!("| {code} | `{name}` | {description} | {action} |\n");
     }
     text
 }
 
-fn border_types(source: &Path) -> anyhow::Result<String> {
+fn schema_types(source: &Path) -> anyhow::Result<String> {
     let schema: schemars::schema::RootSchema = serde_json::from_slice(&std::fs::read(source)?)?;
     let mut types = TypeSpace::new(TypeSpaceSettings::default().with_struct_builder(false));
     types.add_root_schema(schema)?;
     let file = source.file_name().unwrap_or_default().to_string_lossy();
-    let head =
+    let header =
         format!("//! Border types generated from `schema/{file}` by `cargo xtask codegen`.\n\n");
-    let text = format_rust(&format!("{head}{}", types.to_stream()))?;
-    Ok(without_schema_listings(&text))
+    let text = format_rust(&format!("{header}{}", types.to_stream()))?;
+    Ok(strip_schema_listings(&text))
 }
 
 /// Drops the copies of the schema that typify puts into doc comments: `schema/` has the original.
-fn without_schema_listings(text: &str) -> String {
+fn strip_schema_listings(text: &str) -> String {
     let mut is_listing = false;
     let mut kept = String::with_capacity(text.len());
     for line in text.lines() {
--- a/xtask/src/days/mod.rs
+++ b/xtask/src/days/mod.rs
@@ -9,10 +9,10 @@
 use anyhow::{Context as _, ensure};
 
 pub(crate) use table::Day;
-use table::standard_days;
+use table::parse_standard_days;
 
 /// The bench runs in the clone: paths must not depend on where this command runs.
-pub(crate) fn absolute(path: OsString) -> anyhow::Result<PathBuf> {
+pub(crate) fn canonical_path(path: OsString) -> anyhow::Result<PathBuf> {
     let path = PathBuf::from(path);
     std::fs::canonicalize(&path).with_context(|| path.display().to_string())
 }
@@ -34,17 +34,17 @@
     copy: &Path,
     site: &Path,
     jobs: u32,
-    why: &str,
+    reason: &str,
 ) -> anyhow::Result<Vec<Day>> {
     let output = Command::new(bench)
         .arg("score")
         .arg(site)
-        .args(["--jobs", &jobs.to_string(), "--why", why])
+        .args(["--jobs", &jobs.to_string(), "--why", reason])
         .current_dir(copy)
         .stderr(Stdio::inherit())
         .output()?;
     let text = String::from_utf8_lossy(&output.stdout);
-    let days = standard_days(&text);
+    let days = parse_standard_days(&text);
     ensure!(!days.is_empty(), "the bench has played no day: {text}");
     Ok(days)
 }
--- a/xtask/src/days/table.rs
+++ b/xtask/src/days/table.rs
@@ -3,11 +3,11 @@
 use serde::Serialize;
 
 /// Days that were drawn just now differ from play to play.
-const DRAWN_PREFIX: &str = "fresh";
+const RANDOM_DAY_PREFIX: &str = "fresh";
 /// Marks a day on which a rule was broken.
-const BROKEN: &str = "BROKEN";
+const VIOLATION_MARK: &str = "BROKEN";
 /// First words of the table's head; the days follow.
-const HEAD: [&str; 4] = ["day", "own/srv", "score", "worth"];
+const HEADER: [&str; 4] = ["day", "own/srv", "score", "worth"];
 
 /// A standard day.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -22,23 +22,26 @@
 
 impl Day {
     /// Whether the day has trouble.
-    pub(crate) fn is_troubled(&self) -> bool {
+    pub(crate) fn has_disturbance(&self) -> bool {
         !self.name.starts_with("quiet")
     }
 }
 
 /// The standard days in what the bench has printed.
-pub(crate) fn standard_days(text: &str) -> Vec<Day> {
-    let is_head = |line: &&str| line.split_whitespace().take(HEAD.len()).eq(HEAD);
-    let after_head = text.lines().skip_while(|line| !is_head(line)).skip(1);
-    after_head.map_while(read_day).filter(|day| !day.name.starts_with(DRAWN_PREFIX)).collect()
+pub(crate) fn parse_standard_days(text: &str) -> Vec<Day> {
+    let is_header = |line: &&str| line.split_whitespace().take(HEADER.len()).eq(HEADER);
+    let after_header = text.lines().skip_while(|line| !is_header(line)).skip(1);
+    after_header
+        .map_while(parse_day)
+        .filter(|day| !day.name.starts_with(RANDOM_DAY_PREFIX))
+        .collect()
 }
 
-fn read_day(line: &str) -> Option<Day> {
+fn parse_day(line: &str) -> Option<Day> {
     let mut words = line.split_whitespace();
     let name = words.next()?.to_owned();
     let worth = words.nth(2)?.parse().ok()?;
-    Some(Day { name, worth, broken: line.contains(BROKEN) })
+    Some(Day { name, worth, broken: line.contains(VIOLATION_MARK) })
 }
 
 #[cfg(test)]
--- a/xtask/src/days/tests.rs
+++ b/xtask/src/days/tests.rs
@@ -1,8 +1,8 @@
 //! Reading the bench's table.
 
-use super::{Day, standard_days};
+use super::{Day, parse_standard_days};
 
-const PRINTED: &str = "\
+const BENCH_OUTPUT: &str = "\
 7 days, 4 at a time
 score on the standard days of a site (set 1394fea4): 0.637
 day                  own/srv  score  worth served refused failed  weakest part
@@ -17,10 +17,10 @@
 fn standard_days_of_a_table() {
     let day = |name: &str, worth, broken| Day { name: name.into(), worth, broken };
     let expected = [day("quiet-1", 0.873, false), day("scale-2", 0.862, true)];
-    assert_eq!(standard_days(PRINTED), expected);
+    assert_eq!(parse_standard_days(BENCH_OUTPUT), expected);
 }
 
 #[test]
 fn standard_days_without_a_table() {
-    assert_eq!(standard_days("the build has failed\n"), []);
+    assert_eq!(parse_standard_days("the build has failed\n"), []);
 }
--- a/xtask/src/direct/fleet.rs
+++ b/xtask/src/direct/fleet.rs
@@ -120,7 +120,7 @@
     pub(super) fn tend(&mut self) -> anyhow::Result<()> {
         for index in 0..BALANCERS {
             let Some(process) = &mut self.balancers[index] else { continue };
-            if let Some(status) = process.exited() {
+            if let Some(status) = process.exit_status() {
                 ensure!(status.success(), "{} ended with {status}", process.name());
                 self.start_balancer(index)?;
             }
--- a/xtask/src/gate.rs
+++ b/xtask/src/gate.rs
@@ -23,9 +23,9 @@
     codegen::run(codegen::Mode::Check)?;
     eprintln!("xtask: capacity --check");
     capacity::run(capacity::Mode::Check)?;
-    let red = known_red()?;
+    let known_failures = known_red()?;
     STEPS.iter().try_for_each(|step| match step {
-        ["test", "--locked", "--workspace"] => cargo(&without(step, &red)),
+        ["test", "--locked", "--workspace"] => cargo(&with_skips(step, &known_failures)),
         _ => cargo(step),
     })
 }
@@ -52,7 +52,7 @@
     command && line.contains("  issue ") && line.contains("seen: ") && !line.starts_with(' ')
 }
 
-fn without<'a>(step: &[&'a str], names: &'a [String]) -> Vec<&'a str> {
+fn with_skips<'a>(step: &[&'a str], names: &'a [String]) -> Vec<&'a str> {
     let skips = names.iter().flat_map(|name| ["--skip", name]);
     step.iter().copied().chain(["--"]).chain(skips).collect()
 }
--- a/xtask/src/lab/actions.rs
+++ b/xtask/src/lab/actions.rs
@@ -111,7 +111,7 @@
     pub(super) fn await_end(&self, daemon: Pick) -> anyhow::Result<()> {
         let exited = || {
             self.with_daemon(daemon, |daemon| match &mut daemon.process {
-                Some(process) => process.exited(),
+                Some(process) => process.exit_status(),
                 None => None,
             })
         };
--- a/xtask/src/lab/driver.rs
+++ b/xtask/src/lab/driver.rs
@@ -163,10 +163,10 @@
     }
     let begun = clock::now();
     for mut process in processes {
-        while process.exited().is_none() && clock::now().since(begun) < 1_000 {
+        while process.exit_status().is_none() && clock::now().since(begun) < 1_000 {
             lab.pause(super::STEP_MS)?;
         }
-        if process.exited().is_none() {
+        if process.exit_status().is_none() {
             lab.say(&format!("{} is killed", process.name()));
         }
     }
--- a/xtask/src/process.rs
+++ b/xtask/src/process.rs
@@ -14,8 +14,8 @@
     command.args(["build", "--locked"]).args(arguments);
     let status = command.stdin(Stdio::null()).status().context("cargo build")?;
     ensure!(status.success(), "cargo build: {status}");
-    let own = std::env::current_exe()?;
-    let target = own.parent().and_then(Path::parent).context("no target folder")?;
+    let executable = std::env::current_exe()?;
+    let target = executable.parent().and_then(Path::parent).context("no target folder")?;
     Ok(target.to_owned())
 }
 
@@ -59,14 +59,14 @@
     }
 
     /// The exit status, once it has ended.
-    pub(crate) fn exited(&mut self) -> Option<ExitStatus> {
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        if self.exited().is_some() {
+        if self.exit_status().is_some() {
             return;
         }
         // A stopped process takes SIGKILL all the same.
--- a/xtask/src/regress/mod.rs
+++ b/xtask/src/regress/mod.rs
@@ -1,6 +1,6 @@
 //! Whether the users' deployments are served as well as before.
 //!
-//! A committed file names the sites and what they have reached. Each is played once on a clone of
+//! A committed file names the sites and the means that they have reached. Each is played once on a clone of
 //! the last commit; a site whose mean has fallen by more than plays of the same code differ, or on
 //! which a rule is broken, fails the command.
 
@@ -26,17 +26,17 @@
   --write         write what was reached into docs/results/regress.json
 ";
 
-/// What the sites have reached.
-const REACHED: &str = "docs/results/regress.json";
+/// File with the means that the sites have reached.
+const BASELINE_FILE: &str = "docs/results/regress.json";
 /// Where the clone lies.
-const COPY: &str = "target/regress";
+const CLONE_FOLDER: &str = "target/regress";
 /// A mean may fall by this much: plays of the same code differ by up to 0.005, and the users call
 /// less than 0.03 noise.
-const FALL_MAX: f64 = 0.03;
+const MEAN_DROP_MAX: f64 = 0.03;
 
 /// A site and the mean worth of its standard days with trouble.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Reached {
+struct Baseline {
     site: String,
     mean: f64,
 }
@@ -56,22 +56,23 @@
         print!("{HELP}");
         return Ok(());
     };
-    let mut reached: Vec<Reached> =
-        serde_json::from_str(&std::fs::read_to_string(REACHED).context(REACHED)?)?;
-    days::clone_to(Path::new(COPY))?;
-    let mut faults = Vec::new();
-    for known in reached.iter_mut().filter(|known| known.site.contains(&options.only)) {
-        let site = options.sites.join(&known.site);
-        let why = format!("regression run: {}", known.site);
-        let days = days::score(&options.bench, Path::new(COPY), &site, options.jobs, &why)?;
+    let mut baselines: Vec<Baseline> =
+        serde_json::from_str(&std::fs::read_to_string(BASELINE_FILE).context(BASELINE_FILE)?)?;
+    days::clone_to(Path::new(CLONE_FOLDER))?;
+    let mut regressions = Vec::new();
+    for baseline in baselines.iter_mut().filter(|baseline| baseline.site.contains(&options.only)) {
+        let site = options.sites.join(&baseline.site);
+        let reason = format!("regression run: {}", baseline.site);
+        let days =
+            days::score(&options.bench, Path::new(CLONE_FOLDER), &site, options.jobs, &reason)?;
         println!("{}", serde_json::to_string(&days)?);
-        faults.extend(compare(known, &days));
-        known.mean = mean_of(&days);
+        regressions.extend(compare(baseline, &days));
+        baseline.mean = mean_worth(&days);
     }
     if options.write {
-        std::fs::write(REACHED, serde_json::to_string_pretty(&reached)? + "\n")?;
+        std::fs::write(BASELINE_FILE, serde_json::to_string_pretty(&baselines)? + "\n")?;
     }
-    ensure!(faults.is_empty(), "{}", faults.join("; "));
+    ensure!(regressions.is_empty(), "{}", regressions.join("; "));
     Ok(())
 }
 
@@ -79,8 +80,8 @@
     let mut options = Options { jobs: 4, ..Options::default() };
     while let Some(argument) = parser.next()? {
         match argument {
-            lexopt::Arg::Long("bench") => options.bench = days::absolute(parser.value()?)?,
-            lexopt::Arg::Long("sites") => options.sites = days::absolute(parser.value()?)?,
+            lexopt::Arg::Long("bench") => options.bench = days::canonical_path(parser.value()?)?,
+            lexopt::Arg::Long("sites") => options.sites = days::canonical_path(parser.value()?)?,
             lexopt::Arg::Long("only") => options.only = parser.value()?.string()?,
             lexopt::Arg::Long("jobs") => options.jobs = parser.value()?.parse()?,
             lexopt::Arg::Long("write") => options.write = true,
@@ -94,17 +95,17 @@
 }
 
 /// What is wrong with these days, in words.
-fn compare(known: &Reached, days: &[Day]) -> Vec<String> {
+fn compare(baseline: &Baseline, days: &[Day]) -> Vec<String> {
     let broken = days.iter().filter(|day| day.broken);
-    let mut faults: Vec<String> =
-        broken.map(|day| format!("{}: a rule is broken on {}", known.site, day.name)).collect();
-    let mean = mean_of(days);
-    if known.mean - mean > FALL_MAX {
-        faults.push(format!("{}: mean {mean:.4}, {:.4} before", known.site, known.mean));
+    let mut regressions: Vec<String> =
+        broken.map(|day| format!("{}: a rule is broken on {}", baseline.site, day.name)).collect();
+    let mean = mean_worth(days);
+    if baseline.mean - mean > MEAN_DROP_MAX {
+        regressions.push(format!("{}: mean {mean:.4}, {:.4} before", baseline.site, baseline.mean));
     }
-    faults
+    regressions
 }
 
-fn mean_of(days: &[Day]) -> f64 {
-    mean(days.iter().filter(|day| day.is_troubled()).map(|day| day.worth))
+fn mean_worth(days: &[Day]) -> f64 {
+    mean(days.iter().filter(|day| day.has_disturbance()).map(|day| day.worth))
 }
--- a/xtask/src/regress/tests.rs
+++ b/xtask/src/regress/tests.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 
-use super::{Reached, compare};
+use super::{Baseline, compare};
 use crate::days::Day;
 
 fn day(name: &str, worth: f64, broken: bool) -> Day {
@@ -14,8 +14,8 @@
 #[case::within_noise(0.875, false, 0)]
 #[case::fallen(0.865, false, 1)]
 #[case::risen_with_a_rule_broken(0.95, true, 1)]
-fn compare_days(#[case] worth: f64, #[case] broken: bool, #[case] faults: usize) {
-    let known = Reached { site: "a.toml".into(), mean: 0.9 };
+fn compare_days(#[case] worth: f64, #[case] broken: bool, #[case] regressions: usize) {
+    let baseline = Baseline { site: "a.toml".into(), mean: 0.9 };
     let days = [day("quiet-1", 0.2, false), day("trouble-1", worth, broken)];
-    assert_eq!(compare(&known, &days).len(), faults);
+    assert_eq!(compare(&baseline, &days).len(), regressions);
 }
