--- a/xtask/src/direct/fleet.rs
+++ b/xtask/src/direct/fleet.rs
@@ -24,21 +24,21 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const REGIONS: [&str; 3] = ["north", "north", "south"];
 /// The service that stays in one region, and that region.
-const HOMED: (&str, &str) = ("manifest", "north");
+const REGION_BOUND: (&str, &str) = ("manifest", "north");
 /// The service whose cold upstreams are limited, and the openings a second that they bear.
-const LIMITED: (&str, f64) = ("shelf", 20.0);
+const WARMUP_LIMITED: (&str, f64) = ("shelf", 20.0);
 /// Time for which an upstream is cold that starts after the callers.
-const COLD: Duration = Duration::from_secs(2);
-const SLOTS: usize = 7;
-const WORK: Duration = Duration::from_millis(20);
+const WARMUP: Duration = Duration::from_secs(2);
+const UPSTREAM_SLOTS: usize = 7;
+const WORK_DURATION: Duration = Duration::from_millis(20);
 /// Ports, the same on all addresses.
-const PACKETS: u16 = 18_172;
-const READY: u16 = 18_167;
-const OUTBOUND: u16 = 18_301;
-const APP: u16 = 18_300;
-const INTERNAL: u16 = 17_720;
-const STORE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(127, 0, 3, 1), 18_169);
-const CALLERS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(127, 0, 4, 1), PACKETS);
+const DATAGRAM_PORT: u16 = 18_172;
+const READY_PORT: u16 = 18_167;
+const OUTBOUND_PORT: u16 = 18_301;
+const APP_PORT: u16 = 18_300;
+const INTERNAL_PORT: u16 = 17_720;
+const STORE_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(127, 0, 3, 1), 18_169);
+const CALLERS_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(127, 0, 4, 1), DATAGRAM_PORT);
 
 /// Everything that runs. Dropping it ends it.
 pub(super) struct Fleet {
@@ -52,34 +52,35 @@
     agents: Vec<Option<Process>>,
     upstreams: Vec<Option<Upstream>>,
     services: Vec<&'static str>,
-    cold_until: Vec<Option<Instant>>,
-    lives: u64,
-    logs: u32,
+    warmup_ends: Vec<Option<Instant>>,
+    incarnations: u64,
+    log_count: u32,
 }
 
 impl Fleet {
     /// Starts everything but the callers.
     pub(super) fn start(programs: &Path, out: &Path) -> anyhow::Result<Self> {
         let store = Store::default();
-        store.serve(STORE).context("is another lab at work?")?;
+        store.serve(STORE_ADDRESS).context("is another lab at work?")?;
         store.put("op/config", &configuration());
-        let ready = |index| SocketAddrV4::new(balancer_ip(index), READY);
-        let packets = |index| SocketAddrV4::new(balancer_ip(index), PACKETS);
-        let looked: Vec<_> = (0..BALANCERS).map(|index| (packets(index), ready(index))).collect();
+        let ready = |index| SocketAddrV4::new(balancer_ip(index), READY_PORT);
+        let packets = |index| SocketAddrV4::new(balancer_ip(index), DATAGRAM_PORT);
+        let endpoints: Vec<_> =
+            (0..BALANCERS).map(|index| (packets(index), ready(index))).collect();
         let mut fleet = Self {
             programs: programs.to_owned(),
             out: out.to_owned(),
             store,
             ledger: Ledger::default(),
-            fabric: Fabric::start(&looked)?,
+            fabric: Fabric::start(&endpoints)?,
             callers: None,
             balancers: (0..BALANCERS).map(|_| None).collect(),
             agents: SERVICES.iter().map(|_| None).collect(),
             upstreams: SERVICES.iter().map(|_| None).collect(),
             services: SERVICES.to_vec(),
-            cold_until: vec![None; SERVICES.len()],
-            lives: 0,
-            logs: 0,
+            warmup_ends: vec![None; SERVICES.len()],
+            incarnations: 0,
+            log_count: 0,
         };
         for index in 0..SERVICES.len() {
             fleet.start_upstream(index)?;
@@ -103,21 +104,21 @@
             target(80, "manifest", 10, false),
         ];
         let (fabric, ledger) = (self.fabric.clone(), self.ledger.clone());
-        self.callers = Some(Callers::start(CALLERS, &targets, fabric, ledger, seed)?);
+        self.callers = Some(Callers::start(CALLERS_ADDRESS, &targets, fabric, ledger, seed)?);
         Ok(())
     }
 
-    pub(super) fn balancers(&self) -> usize {
+    pub(super) fn balancer_count(&self) -> usize {
         BALANCERS
     }
 
     /// Balancers in rotation.
-    pub(super) fn ready(&self) -> usize {
+    pub(super) fn ready_balancers(&self) -> usize {
         self.fabric.ready()
     }
 
     /// Starts balancers again that have ended.
-    pub(super) fn tend(&mut self) -> anyhow::Result<()> {
+    pub(super) fn restart_exited(&mut self) -> anyhow::Result<()> {
         for index in 0..BALANCERS {
             let Some(process) = &mut self.balancers[index] else { continue };
             if let Some(status) = process.exit_status() {
@@ -129,7 +130,7 @@
     }
 
     /// Does what a step says.
-    pub(super) fn act(&mut self, action: Action) -> anyhow::Result<()> {
+    pub(super) fn apply(&mut self, action: Action) -> anyhow::Result<()> {
         match action {
             Action::RollBalancer(index) => self.signal(index, Signal::SIGTERM),
             Action::FreezeBalancer(index) => self.signal(index, Signal::SIGSTOP),
@@ -140,12 +141,12 @@
                 if let Some(upstream) = &self.upstreams[index] {
                     upstream.drain();
                 }
-                self.list(index, "draining");
+                self.publish_entry(index, "draining");
             }
             Action::Retire(index) => {
                 self.upstreams[index] = None;
                 self.agents[index] = None;
-                self.store.remove(&key(index));
+                self.store.remove(&entry_key(index));
             }
             Action::Reuse(index) => {
                 self.services[index] = "manifest";
@@ -153,8 +154,8 @@
                 self.start_agent(index)?;
             }
             Action::Crash(index) => self.upstreams[index] = None,
-            Action::Forget(index) => self.store.remove(&key(index)),
-            Action::Relist(index) => self.list(index, "ready"),
+            Action::Forget(index) => self.store.remove(&entry_key(index)),
+            Action::Relist(index) => self.publish_entry(index, "ready"),
             Action::Restart(index) => self.start_upstream(index)?,
             Action::CloseZone(zone) => {
                 self.store.put(&zone_key(zone), &json!({}));
@@ -217,10 +218,10 @@
         program: &str,
         settings: &serde_json::Value,
     ) -> anyhow::Result<Process> {
-        self.logs += 1;
+        self.log_count += 1;
         let path = self.out.join(format!("{name}.yaml"));
         std::fs::write(&path, serde_saphyr::to_string(settings)?)?;
-        let log = self.out.join(format!("{name}.{}.log", self.logs));
+        let log = self.out.join(format!("{name}.{}.log", self.log_count));
         let path = path.to_string_lossy();
         let variable = Some(("GOOSEBERRYSILL_CONFIG", path.as_ref()));
         Process::start(name, &self.programs.join(program), &[], variable, &log)
@@ -228,43 +229,43 @@
 
     fn start_upstream(&mut self, index: usize) -> anyhow::Result<()> {
         self.upstreams[index] = None;
-        self.lives += 1;
+        self.incarnations += 1;
         let plan = Plan {
             service: self.services[index],
-            life: self.lives,
-            app: SocketAddrV4::new(upstream_ip(index), APP),
-            outbound: SocketAddrV4::new(upstream_ip(index), OUTBOUND),
-            slots: SLOTS,
-            work: WORK,
+            life: self.incarnations,
+            app: SocketAddrV4::new(upstream_ip(index), APP_PORT),
+            outbound: SocketAddrV4::new(upstream_ip(index), OUTBOUND_PORT),
+            slots: UPSTREAM_SLOTS,
+            work: WORK_DURATION,
             zone: ZONES[zone_of(index)],
             allowed: is_allowed(self.services[index], index),
-            cold: self.cold(index),
+            cold: self.warmup(index),
         };
         self.upstreams[index] = Some(Upstream::start(plan, self.ledger.clone())?);
-        self.list(index, "ready");
+        self.publish_entry(index, "ready");
         Ok(())
     }
 
     /// Until when an upstream that starts now is cold, and what it bears if that is limited.
-    fn cold(&mut self, index: usize) -> Option<(Instant, f64)> {
-        let until = self.callers.as_ref().map(|_| Instant::now() + COLD);
-        self.cold_until[index] = until;
-        let (service, limit) = LIMITED;
+    fn warmup(&mut self, index: usize) -> Option<(Instant, f64)> {
+        let until = self.callers.as_ref().map(|_| Instant::now() + WARMUP);
+        self.warmup_ends[index] = until;
+        let (service, limit) = WARMUP_LIMITED;
         until.filter(|_| self.services[index] == service).map(|until| (until, limit))
     }
 
-    fn list(&self, index: usize, state: &str) {
+    fn publish_entry(&self, index: usize, state: &str) {
         let entry = json!({
             "service": self.services[index],
-            "address": SocketAddrV4::new(upstream_ip(index), APP).to_string(),
+            "address": SocketAddrV4::new(upstream_ip(index), APP_PORT).to_string(),
             "zone": ZONES[zone_of(index)],
             "version": "v1",
-            "capacity": SLOTS,
+            "capacity": UPSTREAM_SLOTS,
             "state": state,
-            "warmupLeftMs": self.cold_until[index].map_or(0, cold_for_ms),
+            "warmupLeftMs": self.warmup_ends[index].map_or(0, warmup_left_ms),
             "seq": 1,
         });
-        self.store.put(&key(index), &entry);
+        self.store.put(&entry_key(index), &entry);
     }
 }
 
@@ -281,11 +282,11 @@
 }
 
 fn is_allowed(service: &str, index: usize) -> bool {
-    let (homed, region) = HOMED;
-    service != homed || REGIONS[zone_of(index)] == region
+    let (region_bound, region) = REGION_BOUND;
+    service != region_bound || REGIONS[zone_of(index)] == region
 }
 
-fn cold_for_ms(until: Instant) -> u64 {
+fn warmup_left_ms(until: Instant) -> u64 {
     until.saturating_duration_since(Instant::now()).as_millis() as u64
 }
 
@@ -293,24 +294,24 @@
     format!("op/evacuate/{}", ZONES[zone])
 }
 
-fn key(index: usize) -> String {
+fn entry_key(index: usize) -> String {
     format!("servers/u{index}")
 }
 
 fn configuration() -> serde_json::Value {
     let route = |prefix: &str, service: &str| json!({"name": prefix, "host": "198.18.0.1", "prefix": prefix, "service": service});
-    let mut homed = route("/80/", HOMED.0);
-    homed["allowedRegions"] = json!([HOMED.1]);
-    let routes = [route("/8443/", "shelf"), route("/443/", "shelf"), homed];
-    let (name, limit) = LIMITED;
-    let limited = json!({"name": name, "warmupS": COLD.as_secs_f64(), "warmupPerS": limit});
+    let mut region_bound = route("/80/", REGION_BOUND.0);
+    region_bound["allowedRegions"] = json!([REGION_BOUND.1]);
+    let routes = [route("/8443/", "shelf"), route("/443/", "shelf"), region_bound];
+    let (name, limit) = WARMUP_LIMITED;
+    let limited = json!({"name": name, "warmupS": WARMUP.as_secs_f64(), "warmupPerS": limit});
     json!({"version": 1, "routes": routes, "services": [limited], "limits": {}})
 }
 
 fn settings(name: &str, ip: Ipv4Addr, service: Option<&str>) -> serde_json::Value {
     let address = |port| SocketAddrV4::new(ip, port).to_string();
     let seeds: Vec<String> = (0..BALANCERS)
-        .map(|index| SocketAddrV4::new(balancer_ip(index), READY).to_string())
+        .map(|index| SocketAddrV4::new(balancer_ip(index), READY_PORT).to_string())
         .collect();
     let zones: serde_json::Map<String, serde_json::Value> = ZONES
         .iter()
@@ -321,14 +322,14 @@
         "nodeName": name,
         "zones": zones,
         "ip": ip.to_string(),
-        "listen": {"datagramAddr": address(PACKETS), "ready": address(READY)},
-        "internalPorts": [INTERNAL, INTERNAL + 15],
+        "listen": {"datagramAddr": address(DATAGRAM_PORT), "ready": address(READY_PORT)},
+        "internalPorts": [INTERNAL_PORT, INTERNAL_PORT + 15],
         "seeds": seeds,
-        "platform": {"address": STORE.to_string()},
+        "platform": {"address": STORE_ADDRESS.to_string()},
     });
     if let Some(service) = service {
-        settings["listen"]["outbound"] = address(OUTBOUND).into();
-        settings["app"] = address(APP).into();
+        settings["listen"]["outbound"] = address(OUTBOUND_PORT).into();
+        settings["app"] = address(APP_PORT).into();
         settings["service"] = service.into();
     }
     settings
--- a/xtask/src/direct/mod.rs
+++ b/xtask/src/direct/mod.rs
@@ -15,42 +15,42 @@
 use crate::process;
 
 /// Time within which all balancers must be ready at the start.
-const READY_MAX: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause between two looks at what is waited for.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Builds and runs the lab; an error says which promise was broken.
 pub(crate) fn run(seed: u64, out: Option<PathBuf>) -> anyhow::Result<()> {
     let programs = process::build(&["--package", "platform", "--bins"])?.join("debug");
     let folder = || std::env::temp_dir().join(format!("gooseberrysill-{}", std::process::id()));
-    let kept = out.is_some();
+    let keep_logs = out.is_some();
     let out = out.unwrap_or_else(folder);
     std::fs::create_dir_all(&out)?;
     let mut fleet = Fleet::start(&programs, &out)?;
-    let waiting = Instant::now();
-    while fleet.ready() < fleet.balancers() {
-        ensure!(waiting.elapsed() < READY_MAX, "not all balancers are ready");
-        std::thread::sleep(LOOK);
+    let launched = Instant::now();
+    while fleet.ready_balancers() < fleet.balancer_count() {
+        ensure!(launched.elapsed() < READY_TIMEOUT, "not all balancers are ready");
+        std::thread::sleep(POLL_INTERVAL);
     }
     fleet.start_callers(seed)?;
-    let began = Instant::now();
+    let start = Instant::now();
     for step in STEPS {
-        while began.elapsed() < step.at {
-            fleet.tend()?;
-            std::thread::sleep(LOOK);
+        while start.elapsed() < step.at {
+            fleet.restart_exited()?;
+            std::thread::sleep(POLL_INTERVAL);
         }
-        eprintln!("lab {:>6.2} s  {:?}", began.elapsed().as_secs_f64(), step.action);
-        fleet.act(step.action)?;
+        eprintln!("lab {:>6.2} s  {:?}", start.elapsed().as_secs_f64(), step.action);
+        fleet.apply(step.action)?;
     }
     let verdict = fleet.end();
     println!("{}", verdict.to_json());
     let failures = verdict.failures();
-    let broken = !failures.is_empty();
-    if kept || broken {
+    let has_failed = !failures.is_empty();
+    if keep_logs || has_failed {
         eprintln!("lab: logs are in {}", out.display());
     } else {
         std::fs::remove_dir_all(&out)?;
     }
-    ensure!(!broken, "a promise was broken: {}", failures.join("; "));
+    ensure!(!has_failed, "a promise was broken: {}", failures.join("; "));
     Ok(())
 }
