--- a/xtask/src/bench/documents.rs
+++ b/xtask/src/bench/documents.rs
@@ -9,7 +9,7 @@
 use loadgen::world::{TARGET_SIZE, root_yaml};
 use wire::sealed::{KeyId, derive_account_key};
 
-pub(super) const MASTER: [u8; 32] = [0x5a; 32];
+pub(super) const MASTER_KEY: [u8; 32] = [0x5a; 32];
 pub(super) const FLOW_KEY: [u8; 16] = [0x42; 16];
 pub(super) const KEY_ID: KeyId = KeyId(1);
 /// Account, service and upstream of the agent.
@@ -17,22 +17,23 @@
 pub(super) const SERVICE: &str = "feed";
 const UPSTREAM: &str = "feed-1";
 /// Address of the agent's service.
-pub(super) const ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 200, 0, 1), 443);
+pub(super) const SERVICE_ADDRESS: SocketAddrV4 =
+    SocketAddrV4::new(Ipv4Addr::new(10, 200, 0, 1), 443);
 
-pub(super) const PLATFORM: SocketAddr = local(1, 8_000);
-pub(super) const RELAY: SocketAddr = local(2, 6_080);
-pub(super) const BALANCER: SocketAddr = local(3, 6_080);
-pub(super) const AGENT: SocketAddr = local(4, 6_080);
-pub(super) const UPSTREAM_ADDRESS: SocketAddr = local(5, 6_080);
-const GATEWAY: SocketAddr = local(6, 6_081);
+pub(super) const PLATFORM_ADDRESS: SocketAddr = loopback(1, 8_000);
+pub(super) const RELAY_ADDRESS: SocketAddr = loopback(2, 6_080);
+pub(super) const BALANCER_ADDRESS: SocketAddr = loopback(3, 6_080);
+pub(super) const AGENT_ADDRESS: SocketAddr = loopback(4, 6_080);
+pub(super) const UPSTREAM_ADDRESS: SocketAddr = loopback(5, 6_080);
+const GATEWAY_ADDRESS: SocketAddr = loopback(6, 6_081);
 const CONTROL_PORT: u16 = 9_080;
 
-const fn local(host: u8, port: u16) -> SocketAddr {
+const fn loopback(host: u8, port: u16) -> SocketAddr {
     SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::new(127, 90, 0, host), port))
 }
 
 /// HTTP endpoint of the daemon with this data address.
-pub(super) fn control_of(data: SocketAddr) -> SocketAddr {
+pub(super) fn control_address(data: SocketAddr) -> SocketAddr {
     SocketAddr::new(data.ip(), CONTROL_PORT)
 }
 
@@ -44,8 +45,8 @@
 /// The agent's account.
 pub(super) fn account() -> AccountSpec {
     let endpoint = Endpoint {
-        address: (*ADDRESS.ip()).into(),
-        port: ADDRESS.port(),
+        address: (*SERVICE_ADDRESS.ip()).into(),
+        port: SERVICE_ADDRESS.port(),
         transport: Transport::Tcp,
     };
     let upstream = UpstreamSpec {
@@ -53,8 +54,8 @@
         zone: "zone-0".into(),
         weight: 100,
         max_flows: 60_000,
-        agent_address: AGENT,
-        control_address: control_of(AGENT),
+        agent_address: AGENT_ADDRESS,
+        control_address: control_address(AGENT_ADDRESS),
         address: UPSTREAM_ADDRESS,
         state: UpstreamState::Active,
         since: Version(1),
@@ -72,32 +73,32 @@
 
 /// Settings of the balancer's process.
 pub(super) fn balancer() -> String {
-    format!("instance: bal-1\n{}{}", shared(BALANCER), key(&MASTER))
+    format!("instance: bal-1\n{}{}", common_settings(BALANCER_ADDRESS), keys_yaml(&MASTER_KEY))
 }
 
 /// Settings of the agent's process.
 pub(super) fn agent() -> String {
-    let secret = derive_account_key(&MASTER, KEY_ID, AccountId::of(ACCOUNT));
+    let secret = derive_account_key(&MASTER_KEY, KEY_ID, AccountId::of(ACCOUNT));
     let own = format!(
         "instance: agent-1\naccount: {ACCOUNT}\nservice: {SERVICE}\nupstream: {UPSTREAM}\n\
          upstream_address: \"{UPSTREAM_ADDRESS}\"\nupstream_status_address: \"{}\"\n\
-         gateway_address: \"{GATEWAY}\"\n",
-        local(5, 9_000),
+         gateway_address: \"{GATEWAY_ADDRESS}\"\n",
+        loopback(5, 9_000),
     );
-    own + &shared(AGENT) + &key(&secret)
+    own + &common_settings(AGENT_ADDRESS) + &keys_yaml(&secret)
 }
 
-fn shared(data: SocketAddr) -> String {
+fn common_settings(data: SocketAddr) -> String {
     format!(
         "zone: zone-0\nregion: region-0\ndata_address: \"{data}\"\ncontrol_address: \"{}\"\n\
-         platform_address: \"{PLATFORM}\"\npeers: []\nflow_key_hex: \"{}\"\nreceive_threads: 1\n\
+         platform_address: \"{PLATFORM_ADDRESS}\"\npeers: []\nflow_key_hex: \"{}\"\nreceive_threads: 1\n\
          shutdown_grace_ms: 0\n",
-        control_of(data),
+        control_address(data),
         hex(&FLOW_KEY),
     )
 }
 
-fn key(secret: &[u8]) -> String {
+fn keys_yaml(secret: &[u8]) -> String {
     format!("keys:\n  - id: {}\n    secret_hex: \"{}\"\n", KEY_ID.0, hex(secret))
 }
 
--- a/xtask/src/bench/mod.rs
+++ b/xtask/src/bench/mod.rs
@@ -19,7 +19,7 @@
 use loadgen::traffic::{Flood, flood};
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-use report::{Count, Sample};
+use report::{Sample, Totals};
 use subject::{Kind, Subject};
 use world::World;
 
@@ -29,16 +29,16 @@
 /// somebody else hits all of them alike.
 const TURNS: usize = 8;
 /// Length of one turn.
-const TURN: Duration = Duration::from_millis(200);
+const TURN_DURATION: Duration = Duration::from_millis(200);
 /// Time before the first count of a turn, in which queues and caches fill.
-const WARM_UP: Duration = Duration::from_millis(60);
+const WARM_UP_DURATION: Duration = Duration::from_millis(60);
 /// The flood goes on for this long after the count.
-const OVERLAP: Duration = Duration::from_millis(40);
+const SEND_OVERLAP: Duration = Duration::from_millis(40);
 /// Threads that send. One alone does not always keep a subject busy, and a subject that waits
 /// gets small batches, which cost more for each packet.
-const SENDERS: usize = 2;
+const SENDER_THREADS: usize = 2;
 /// Time over which the idle daemons are watched.
-const IDLE: Duration = Duration::from_secs(3);
+const IDLE_DURATION: Duration = Duration::from_secs(3);
 
 /// Runs the bench.
 pub(crate) fn run(parser: &mut lexopt::Parser) -> anyhow::Result<()> {
@@ -54,18 +54,18 @@
         return run_experiment(&experiment, &options.out);
     }
     let world = World::start(&[])?;
-    let idle = report::Idle::measure(&world.subjects, IDLE)?;
+    let idle = report::Idle::measure(&world.subjects, IDLE_DURATION)?;
     let mut samples = Vec::new();
     for run in 1..=RUNS {
-        let mut counts = [Count::default(); KINDS.len()];
+        let mut totals = [Totals::default(); KINDS.len()];
         for _ in 0..TURNS {
             ensure!(!interrupted.load(Ordering::Relaxed), "interrupted");
-            for (subject, count) in world.subjects.iter().zip(&mut counts) {
-                measure(subject, count)?;
+            for (subject, subject_totals) in world.subjects.iter().zip(&mut totals) {
+                measure(subject, subject_totals)?;
             }
         }
-        for (subject, count) in world.subjects.iter().zip(counts) {
-            let sample = Sample::of(subject.kind(), count)?;
+        for (subject, subject_totals) in world.subjects.iter().zip(totals) {
+            let sample = Sample::of(subject.kind(), subject_totals)?;
             eprintln!("bench: run {run}, {}", sample.describe());
             samples.push(sample);
         }
@@ -116,30 +116,30 @@
 }
 
 /// Folder of the release binaries.
-fn programs() -> &'static Path {
+fn release_folder() -> &'static Path {
     Path::new("target/release")
 }
 
 /// Floods one subject and adds what its fast path moved in how much processor time.
-fn measure(subject: &Subject, count: &mut Count) -> anyhow::Result<()> {
+fn measure(subject: &Subject, totals: &mut Totals) -> anyhow::Result<()> {
     let run = Flood {
         to: subject.address(),
-        duration: WARM_UP + TURN + OVERLAP,
+        duration: WARM_UP_DURATION + TURN_DURATION + SEND_OVERLAP,
         rate: None,
         packets: u64::MAX,
     };
     std::thread::scope(|scope| {
         let senders: Vec<_> =
-            (0..SENDERS).map(|_| scope.spawn(|| flood(subject.frames(), run))).collect();
-        std::thread::sleep(WARM_UP);
+            (0..SENDER_THREADS).map(|_| scope.spawn(|| flood(subject.frames(), run))).collect();
+        std::thread::sleep(WARM_UP_DURATION);
         let before = subject.reading()?;
-        std::thread::sleep(TURN);
+        std::thread::sleep(TURN_DURATION);
         let after = subject.reading()?;
         for sender in senders {
             let sent = sender.join().ok().context("a sender panicked")??;
             ensure!(sent > 0, "nothing was sent to the {}", subject.kind().name());
         }
-        count.add(before, after);
+        totals.add(before, after);
         Ok(())
     })
 }
--- a/xtask/src/bench/process.rs
+++ b/xtask/src/bench/process.rs
@@ -26,7 +26,7 @@
     }
 
     /// Starts a program that answers each line of its input by one line.
-    pub(super) fn asked(program: &Path, arguments: &[String]) -> anyhow::Result<Self> {
+    pub(super) fn interactive(program: &Path, arguments: &[String]) -> anyhow::Result<Self> {
         let mut command = Command::new(program);
         command.args(arguments).stdin(Stdio::piped()).stdout(Stdio::piped());
         let mut child = command.spawn().with_context(|| program.display().to_string())?;
@@ -36,7 +36,7 @@
     }
 
     /// Asks for one line.
-    pub(super) fn ask(&self) -> anyhow::Result<String> {
+    pub(super) fn query(&self) -> anyhow::Result<String> {
         let pipes = self.pipes.as_ref().context("this process is not asked")?;
         let mut pipes = pipes.lock().unwrap_or_else(PoisonError::into_inner);
         writeln!(pipes.0)?;
@@ -46,7 +46,7 @@
     }
 
     /// Processor time of the threads called `name`, or of all.
-    pub(super) fn processor_time(&self, name: Option<&str>) -> anyhow::Result<Duration> {
+    pub(super) fn cpu_time(&self, name: Option<&str>) -> anyhow::Result<Duration> {
         let mut nanoseconds = 0;
         for task in fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
             let folder = task?.path();
--- a/xtask/src/bench/report.rs
+++ b/xtask/src/bench/report.rs
@@ -27,31 +27,31 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Usage {
-    processor_us: f64,
+    cpu_us_per_s: f64,
     memory_bytes: f64,
 }
 
 /// What one subject moved in the turns of a run.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Count {
+pub(super) struct Totals {
     packets: u64,
-    processor: Duration,
+    cpu_time: Duration,
 }
 
-impl Count {
+impl Totals {
     /// Adds what was moved between two readings.
     pub(super) fn add(&mut self, before: Reading, after: Reading) {
         self.packets += after.packets - before.packets;
-        self.processor += after.processor - before.processor;
+        self.cpu_time += after.cpu_time - before.cpu_time;
     }
 }
 
 impl Sample {
     /// The sample of a run.
-    pub(super) fn of(kind: Kind, count: Count) -> anyhow::Result<Self> {
-        let processor = count.processor.as_secs_f64();
-        ensure!(count.packets > 0 && processor > 0.0, "the {} moved nothing", kind.name());
-        Ok(Self { kind, packets_per_core_s: count.packets as f64 / processor })
+    pub(super) fn of(kind: Kind, totals: Totals) -> anyhow::Result<Self> {
+        let cpu_time = totals.cpu_time.as_secs_f64();
+        ensure!(totals.packets > 0 && cpu_time > 0.0, "the {} moved nothing", kind.name());
+        Ok(Self { kind, packets_per_core_s: totals.packets as f64 / cpu_time })
     }
 
     pub(super) fn describe(&self) -> String {
@@ -63,16 +63,16 @@
     /// Watches the daemons for a while.
     pub(super) fn measure(subjects: &[Subject], duration: Duration) -> anyhow::Result<Self> {
         let times = |subjects: &[Subject]| -> anyhow::Result<Vec<Duration>> {
-            subjects.iter().map(|subject| subject.process.processor_time(None)).collect()
+            subjects.iter().map(|subject| subject.process.cpu_time(None)).collect()
         };
         let before = times(subjects)?;
         std::thread::sleep(duration);
         let after = times(subjects)?;
         let mut idle = Self { balancer: Usage::default(), agent: Usage::default() };
         for ((subject, before), after) in subjects.iter().zip(before).zip(after) {
-            let processor = (after - before).as_secs_f64() / duration.as_secs_f64();
+            let cpu_time = (after - before).as_secs_f64() / duration.as_secs_f64();
             let usage = Usage {
-                processor_us: processor * 1e6,
+                cpu_us_per_s: cpu_time * 1e6,
                 memory_bytes: subject.process.resident_bytes()? as f64,
             };
             match subject.kind() {
@@ -90,12 +90,12 @@
     let mut series = Vec::new();
     for kind in KINDS {
         let rates = rates(samples, kind);
-        let points: Vec<(f64, f64)> = numbered(&rates);
+        let points: Vec<(f64, f64)> = by_run_number(&rates);
         let name = format!("{}_rate", kind.name());
         series.push(Series::new(&name, "run", "packets/s per core", &points));
     }
     for kind in [Kind::Balancer, Kind::Agent] {
-        let points = numbered(&ratios(samples, kind));
+        let points = by_run_number(&ratios(samples, kind));
         let name = format!("{}_ratio", kind.name());
         series.push(Series::new(&name, "run", "of the bare relay", &points));
     }
@@ -105,9 +105,9 @@
     let (services, flows) = (TARGET_SIZE.services as f64, FLOWS as f64);
     let (balancer, agent) = (idle.balancer, idle.agent);
     push("balancer_memory", "services", "B of VmRSS", (services, balancer.memory_bytes));
-    push("balancer_idle_processor", "services", "us/s", (services, balancer.processor_us));
+    push("balancer_idle_processor", "services", "us/s", (services, balancer.cpu_us_per_s));
     push("agent_memory", "open flows", "B of VmRSS", (flows, agent.memory_bytes));
-    push("agent_idle_processor", "open flows", "us/s", (flows, agent.processor_us));
+    push("agent_idle_processor", "open flows", "us/s", (flows, agent.cpu_us_per_s));
     Results { command: "cargo xtask bench".into(), series }
 }
 
@@ -134,6 +134,6 @@
     rates(samples, kind).iter().zip(relay).map(|(rate, relay)| rate / relay).collect()
 }
 
-fn numbered(values: &[f64]) -> Vec<(f64, f64)> {
+fn by_run_number(values: &[f64]) -> Vec<(f64, f64)> {
     values.iter().enumerate().map(|(index, value)| (index as f64 + 1.0, *value)).collect()
 }
--- a/xtask/src/bench/subject.rs
+++ b/xtask/src/bench/subject.rs
@@ -10,8 +10,8 @@
 use super::process::Process;
 
 /// Longest wait for a daemon to become ready.
-const READY: Duration = Duration::from_secs(15);
-const STEP: Duration = Duration::from_millis(50);
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Kind of a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     /// Packets moved since the start.
     pub(super) packets: u64,
     /// Processor time of the thread that moves them.
-    pub(super) processor: Duration,
+    pub(super) cpu_time: Duration,
 }
 
 impl Kind {
@@ -54,7 +54,7 @@
     }
 
     /// Thread that moves packets.
-    fn thread(self) -> &'static str {
+    fn packet_thread(self) -> &'static str {
         match self {
             Self::Relay => "relay",
             Self::Balancer => "receive-0",
@@ -62,7 +62,7 @@
         }
     }
 
-    fn counter(self) -> &'static str {
+    fn packet_counter(self) -> &'static str {
         match self {
             Self::Relay => "",
             Self::Balancer => "packets_forwarded_total",
@@ -86,12 +86,12 @@
 
     /// Counts now. The processor time is read first for all kinds alike.
     pub(super) fn reading(&self) -> anyhow::Result<Reading> {
-        let processor = self.process.processor_time(Some(self.kind.thread()))?;
+        let cpu_time = self.process.cpu_time(Some(self.kind.packet_thread()))?;
         let packets = match self.kind {
-            Kind::Relay => self.process.ask()?.parse()?,
-            Kind::Balancer | Kind::Agent => self.counter(self.kind.counter())?,
+            Kind::Relay => self.process.query()?.parse()?,
+            Kind::Balancer | Kind::Agent => self.counter(self.kind.packet_counter())?,
         };
-        Ok(Reading { packets, processor })
+        Ok(Reading { packets, cpu_time })
     }
 
     /// A counter of the daemon's status.
@@ -101,17 +101,23 @@
     }
 
     /// Waits until the daemon is ready and `done` holds for its status.
-    pub(super) fn wait(&self, done: impl Fn(&serde_json::Value) -> bool) -> anyhow::Result<()> {
+    pub(super) fn wait_until_ready(
+        &self,
+        condition: impl Fn(&serde_json::Value) -> bool,
+    ) -> anyhow::Result<()> {
         let start = Instant::now();
         loop {
             match self.status() {
-                Ok(status) if status["ready"] == true && done(&status) => return Ok(()),
+                Ok(status) if status["ready"] == true && condition(&status) => return Ok(()),
                 answer => {
                     let name = self.kind.name();
-                    ensure!(start.elapsed() < READY, "{name} did not become ready: {answer:?}");
+                    ensure!(
+                        start.elapsed() < READY_TIMEOUT,
+                        "{name} did not become ready: {answer:?}"
+                    );
                 }
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
--- a/xtask/src/bench/world.rs
+++ b/xtask/src/bench/world.rs
@@ -11,9 +11,11 @@
 use loadgen::world::{TARGET_SIZE, account_yaml};
 use wire::sealed::AccountKeyring;
 
-use super::documents::{self, AGENT, BALANCER, PLATFORM, RELAY, UPSTREAM_ADDRESS};
+use super::documents::{
+    self, AGENT_ADDRESS, BALANCER_ADDRESS, PLATFORM_ADDRESS, RELAY_ADDRESS, UPSTREAM_ADDRESS,
+};
 use super::process::Process;
-use super::programs;
+use super::release_folder;
 use super::subject::{Kind, Subject};
 
 /// Flows of the load on each subject, and open flows of the agent.
@@ -21,9 +23,9 @@
 /// Accounts whose services the balancer's load goes to; each upstream of them has a sink.
 const LOADED_ACCOUNTS: usize = 10;
 /// Openings a second while the agent's flows are opened.
-const OPENING_RATE: u64 = 25_000;
+const OPENINGS_PER_S: u64 = 25_000;
 /// Attempts to open all flows; openings may be lost in a burst.
-const ATTEMPTS: usize = 8;
+const OPEN_ATTEMPTS: usize = 8;
 
 /// Running processes and sinks.
 pub(super) struct World {
@@ -36,14 +38,16 @@
 impl World {
     /// Starts everything, publishes the target's settings and opens the agent's flows. At the
     /// addresses in `listening` there will be somebody who reads.
-    pub(super) fn start(listening: &[SocketAddr]) -> anyhow::Result<Self> {
+    pub(super) fn start(receivers: &[SocketAddr]) -> anyhow::Result<Self> {
         let folder = PathBuf::from("target/bench");
         std::fs::create_dir_all(&folder)?;
         let accounts = TARGET_SIZE.accounts();
         let loaded = &accounts[..LOADED_ACCOUNTS];
         let agents: Vec<SocketAddr> = upstream_addresses(loaded);
-        let unread = agents.iter().chain([&UPSTREAM_ADDRESS]).filter(|it| !listening.contains(it));
-        let sinks = unread.map(|address| bind_sink(*address)).collect::<anyhow::Result<_>>()?;
+        let without_receiver =
+            agents.iter().chain([&UPSTREAM_ADDRESS]).filter(|address| !receivers.contains(address));
+        let sinks =
+            without_receiver.map(|address| bind_sink(*address)).collect::<anyhow::Result<_>>()?;
         let platform = start_platform(&folder, &accounts)?;
         let subjects = vec![relay(&agents)?, balancer(&folder, loaded)?, agent(&folder)?];
         Ok(Self { subjects, _platform: platform, _sinks: sinks })
@@ -52,15 +56,15 @@
 
 fn upstream_addresses(accounts: &[AccountSpec]) -> Vec<SocketAddr> {
     let services = accounts.iter().flat_map(|account| &account.services);
-    services.flat_map(|service| &service.upstreams).map(|it| it.agent_address).collect()
+    services.flat_map(|service| &service.upstreams).map(|upstream| upstream.agent_address).collect()
 }
 
 fn start_platform(folder: &Path, accounts: &[AccountSpec]) -> anyhow::Result<Process> {
-    let listen = PLATFORM.to_string();
+    let listen = PLATFORM_ADDRESS.to_string();
     let arguments = ["--listen", &listen];
-    let program = programs().join("standin-platform");
+    let program = release_folder().join("standin-platform");
     let platform = Process::daemon(&program, &arguments, &folder.join("platform.log"))?;
-    put_patiently("/admin/root", &documents::root())?;
+    put_with_retries("/admin/root", &documents::root())?;
     for account in accounts.iter().chain([&documents::account()]) {
         put(&format!("/admin/accounts/{}", account.name), &account_yaml(account))?;
     }
@@ -68,7 +72,7 @@
     Ok(platform)
 }
 
-fn put_patiently(path: &str, body: &str) -> anyhow::Result<()> {
+fn put_with_retries(path: &str, body: &str) -> anyhow::Result<()> {
     let start = Instant::now();
     while let Err(error) = put(path, body) {
         ensure!(start.elapsed() < Duration::from_secs(5), "platform: {error:#}");
@@ -78,17 +82,17 @@
 }
 
 fn put(path: &str, body: &str) -> anyhow::Result<()> {
-    ureq::put(format!("http://{PLATFORM}{path}")).send(body).context(path.to_owned())?;
+    ureq::put(format!("http://{PLATFORM_ADDRESS}{path}")).send(body).context(path.to_owned())?;
     Ok(())
 }
 
 fn relay(receivers: &[SocketAddr]) -> anyhow::Result<Subject> {
-    let addresses = [RELAY].iter().chain(receivers).map(SocketAddr::to_string);
+    let addresses = [RELAY_ADDRESS].iter().chain(receivers).map(SocketAddr::to_string);
     let arguments: Vec<String> = ["relay".to_owned()].into_iter().chain(addresses).collect();
     // The relay gets what the balancer gets.
-    let frames = balancer_frames(&[documents::ADDRESS], FLOWS, Opening::No)?;
-    let process = Process::asked(&programs().join("gooseberrysill-load"), &arguments)?;
-    Ok(Subject { kind: Kind::Relay, process, data: RELAY, control: RELAY, frames })
+    let frames = balancer_frames(&[documents::SERVICE_ADDRESS], FLOWS, Opening::No)?;
+    let process = Process::interactive(&release_folder().join("gooseberrysill-load"), &arguments)?;
+    Ok(Subject { kind: Kind::Relay, process, data: RELAY_ADDRESS, control: RELAY_ADDRESS, frames })
 }
 
 fn balancer(folder: &Path, loaded: &[AccountSpec]) -> anyhow::Result<Subject> {
@@ -103,38 +107,46 @@
         .collect();
     let frames = balancer_frames(&services, FLOWS, Opening::No)?;
     let process = daemon(folder, "balancer", &documents::balancer())?;
-    let control = documents::control_of(BALANCER);
-    let subject = Subject { kind: Kind::Balancer, process, data: BALANCER, control, frames };
+    let control = documents::control_address(BALANCER_ADDRESS);
+    let subject =
+        Subject { kind: Kind::Balancer, process, data: BALANCER_ADDRESS, control, frames };
     let accounts = TARGET_SIZE.accounts + 1;
-    subject.wait(|status| status["settings"].as_array().map(Vec::len) == Some(accounts))?;
+    subject
+        .wait_until_ready(|status| status["settings"].as_array().map(Vec::len) == Some(accounts))?;
     Ok(subject)
 }
 
 fn agent(folder: &Path) -> anyhow::Result<Subject> {
-    let keys = [(documents::KEY_ID, documents::MASTER)];
+    let keys = [(documents::KEY_ID, documents::MASTER_KEY)];
     let account = AccountId::of(documents::ACCOUNT);
     let keyring = AccountKeyring::derive(&keys, account).context("no key")?;
     let frames = |opening| {
         let names = (documents::ACCOUNT, documents::SERVICE);
-        let place = (documents::ADDRESS, &documents::FLOW_KEY);
+        let place = (documents::SERVICE_ADDRESS, &documents::FLOW_KEY);
         sealed_frames(&keyring, names, place, FLOWS, opening)
     };
     let process = daemon(folder, "agent", &documents::agent())?;
-    let control = documents::control_of(AGENT);
-    let middle = frames(Opening::No)?;
-    let subject = Subject { kind: Kind::Agent, process, data: AGENT, control, frames: middle };
-    subject.wait(|_| true)?;
+    let control = documents::control_address(AGENT_ADDRESS);
+    let mid_flow_frames = frames(Opening::No)?;
+    let subject = Subject {
+        kind: Kind::Agent,
+        process,
+        data: AGENT_ADDRESS,
+        control,
+        frames: mid_flow_frames,
+    };
+    subject.wait_until_ready(|_| true)?;
     open_flows(&subject, &frames(Opening::Yes)?)?;
     Ok(subject)
 }
 
 /// Opens all flows at the agent.
 fn open_flows(agent: &Subject, openings: &loadgen::traffic::Frames) -> anyhow::Result<()> {
-    for _ in 0..ATTEMPTS {
+    for _ in 0..OPEN_ATTEMPTS {
         let run = Flood {
-            to: AGENT,
+            to: AGENT_ADDRESS,
             duration: Duration::from_secs(5),
-            rate: Some(OPENING_RATE),
+            rate: Some(OPENINGS_PER_S),
             packets: FLOWS as u64,
         };
         flood(openings, run)?;
@@ -149,7 +161,7 @@
 fn daemon(folder: &Path, name: &str, settings: &str) -> anyhow::Result<Process> {
     let file = folder.join(format!("{name}.yaml"));
     std::fs::write(&file, settings)?;
-    let program = programs().join(format!("gooseberrysill-{name}"));
+    let program = release_folder().join(format!("gooseberrysill-{name}"));
     let arguments = ["--settings", &file.display().to_string()];
     Process::daemon(&program, &arguments, &folder.join(format!("{name}.log")))
 }
