--- a/xtask/src/capacity/budget.rs
+++ b/xtask/src/capacity/budget.rs
@@ -6,7 +6,7 @@
     /// Bytes a second, sent and received together.
     Bytes,
     /// Microseconds of processor time a second.
-    Processor,
+    CpuTime,
     /// Bytes of memory.
     Memory,
     /// Messages a second, sent and received together; not limited.
@@ -14,7 +14,7 @@
     /// Reads of the platform a second, by the whole fleet.
     Reads,
     /// Milliseconds until a change is in force everywhere.
-    Settled,
+    Propagation,
     /// Milliseconds of something that is not limited.
     Elapsed,
 }
@@ -24,11 +24,11 @@
     pub(super) fn budget(self) -> Option<f64> {
         match self {
             Self::Bytes => Some(10_000.0),
-            Self::Processor => Some(16_000.0),
+            Self::CpuTime => Some(16_000.0),
             Self::Memory => Some(64.0 * 1_024.0 * 1_024.0),
             Self::Messages | Self::Elapsed => None,
             Self::Reads => Some(2_000.0),
-            Self::Settled => Some(7_000.0),
+            Self::Propagation => Some(7_000.0),
         }
     }
 
@@ -36,12 +36,12 @@
     pub(super) fn show(self, value: f64) -> String {
         match self {
             Self::Bytes => format!("{:.2} KB/s", value / 1e3),
-            Self::Processor => format!("{:.3} % of a core", value / 1e4),
+            Self::CpuTime => format!("{:.3} % of a core", value / 1e4),
             Self::Memory => format!("{:.1} MB", value / 1_024.0 / 1_024.0),
             Self::Messages => format!("{value:.1} messages/s"),
             Self::Reads => format!("{value:.1} reads/s"),
             Self::Elapsed => format!("{value:.0} ms"),
-            Self::Settled => format!("{:.1} s", value / 1e3),
+            Self::Propagation => format!("{:.1} s", value / 1e3),
         }
     }
 
--- a/xtask/src/capacity/failure.rs
+++ b/xtask/src/capacity/failure.rs
@@ -4,7 +4,7 @@
 
 /// A line as it came out.
 #[derive(Clone, Debug)]
-pub(super) struct Spent {
+pub(super) struct CapacityLine {
     /// Role.
     pub(super) role: &'static str,
     /// Mechanism.
@@ -15,7 +15,7 @@
     pub(super) value: f64,
 }
 
-impl Spent {
+impl CapacityLine {
     /// Budget over value; below one it does not fit today's target.
     pub(super) fn headroom(&self) -> Option<f64> {
         self.quantity.budget().map(|budget| budget / self.value)
@@ -23,7 +23,7 @@
 }
 
 /// Limited lines, the tightest first.
-pub(super) fn tightest(mut lines: Vec<Spent>) -> Vec<Spent> {
+pub(super) fn by_headroom(mut lines: Vec<CapacityLine>) -> Vec<CapacityLine> {
     lines.retain(|line| line.headroom().is_some());
     lines.sort_by(|a, b| {
         a.headroom().partial_cmp(&b.headroom()).unwrap_or(std::cmp::Ordering::Equal)
--- a/xtask/src/capacity/figure.rs
+++ b/xtask/src/capacity/figure.rs
@@ -10,13 +10,13 @@
 
 /// All result files.
 #[derive(Clone, Debug)]
-pub(super) struct Files {
+pub(super) struct ResultFiles {
     files: Vec<(&'static str, Results)>,
 }
 
 /// How a value is taken from a series.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Take {
+pub(super) enum Lookup {
     /// The fitted line at x.
     Line(f64),
     /// The fitted slope times x, without the intercept.
@@ -35,12 +35,12 @@
         /// Series in it.
         series: &'static str,
         /// How the value is taken.
-        take: Take,
+        lookup: Lookup,
         /// How often it occurs a second, or one.
-        times: f64,
+        per_second: f64,
     },
     /// Not measured: counted or assumed, with the reason.
-    Counted {
+    Computed {
         /// Value.
         value: f64,
         /// Where it comes from.
@@ -60,26 +60,26 @@
 }
 
 /// A term from a measured series, once.
-pub(super) const fn measured(file: &'static str, series: &'static str, take: Take) -> Term {
-    Term::Measured { file, series, take, times: 1.0 }
+pub(super) const fn measured(file: &'static str, series: &'static str, lookup: Lookup) -> Term {
+    Term::Measured { file, series, lookup, per_second: 1.0 }
 }
 
 /// A term from a measured series that occurs `times` a second.
-pub(super) const fn rated(
+pub(super) const fn scaled(
     file: &'static str,
     series: &'static str,
-    take: Take,
-    times: f64,
+    lookup: Lookup,
+    per_second: f64,
 ) -> Term {
-    Term::Measured { file, series, take, times }
+    Term::Measured { file, series, lookup, per_second }
 }
 
 /// A term that is not measured.
-pub(super) const fn counted(value: f64, reason: &'static str) -> Term {
-    Term::Counted { value, reason }
+pub(super) const fn computed(value: f64, reason: &'static str) -> Term {
+    Term::Computed { value, reason }
 }
 
-impl Files {
+impl ResultFiles {
     /// Reads all result files.
     pub(super) fn read(folder: &Path) -> anyhow::Result<Self> {
         let read = |name: &'static str| {
@@ -90,7 +90,7 @@
 
     /// Files made in a test.
     #[cfg(test)]
-    pub(super) fn of(files: Vec<(&'static str, Results)>) -> Self {
+    pub(super) fn from_results(files: Vec<(&'static str, Results)>) -> Self {
         Self { files }
     }
 
@@ -117,15 +117,15 @@
 
     fn add(&self, term: &Term, figure: &mut Figure) -> anyhow::Result<()> {
         match term {
-            Term::Counted { value, reason } => {
+            Term::Computed { value, reason } => {
                 figure.value += value;
                 figure.sources.push((*reason).into());
             }
-            Term::Measured { file, series, take, times } => {
+            Term::Measured { file, series, lookup, per_second } => {
                 let found = self.series(file, series)?;
-                figure.value += value_of(found, *take)? * times;
-                figure.sources.push(format!("{file}.json `{series}` {}", take.words()));
-                if !matches!(take, Take::Point(_)) {
+                figure.value += value_of(found, *lookup)? * per_second;
+                figure.sources.push(format!("{file}.json `{series}` {}", lookup.describe()));
+                if !matches!(lookup, Lookup::Point(_)) {
                     let residual = found.fit.map_or(0.0, |fit| fit.residual_percent);
                     let largest = figure.residual_percent.unwrap_or(0.0).max(residual);
                     figure.residual_percent = Some(largest);
@@ -136,8 +136,8 @@
     }
 }
 
-impl Take {
-    fn words(self) -> String {
+impl Lookup {
+    fn describe(self) -> String {
         match self {
             Self::Line(x) => format!("line at {x}"),
             Self::Slope(x) => format!("slope x {x}"),
@@ -146,12 +146,12 @@
     }
 }
 
-fn value_of(series: &Series, take: Take) -> anyhow::Result<f64> {
+fn value_of(series: &Series, lookup: Lookup) -> anyhow::Result<f64> {
     let fit = || series.fit.with_context(|| format!("{} has no line", series.name));
-    match take {
-        Take::Line(x) => Ok(fit()?.at(x)),
-        Take::Slope(x) => Ok(fit()?.slope * x),
-        Take::Point(x) => {
+    match lookup {
+        Lookup::Line(x) => Ok(fit()?.at(x)),
+        Lookup::Slope(x) => Ok(fit()?.slope * x),
+        Lookup::Point(x) => {
             let point = series.points.iter().find(|point| point.x == x);
             ensure!(point.is_some(), "{} was not measured at {x}", series.name);
             Ok(point.map_or(0.0, |point| point.y))
--- a/xtask/src/capacity/mod.rs
+++ b/xtask/src/capacity/mod.rs
@@ -16,7 +16,7 @@
 
 use anyhow::{Context as _, ensure};
 
-use figure::Files;
+use figure::ResultFiles;
 
 const PAGE: &str = "docs/CAPACITY.md";
 const RESULTS: &str = "docs/results";
@@ -49,10 +49,10 @@
 pub(crate) fn run(mode: Mode) -> anyhow::Result<()> {
     match &mode {
         Mode::Measure => measure::run(Path::new(RESULTS))?,
-        Mode::Sweep(text) => sweep::take(text, Path::new(RESULTS))?,
+        Mode::Sweep(text) => sweep::import(text, Path::new(RESULTS))?,
         Mode::Write | Mode::Check => {}
     }
-    let page = page::render(&Files::read(Path::new(RESULTS))?)?;
+    let page = page::render(&ResultFiles::read(Path::new(RESULTS))?)?;
     if mode != Mode::Check {
         return std::fs::write(PAGE, page).context(PAGE);
     }
--- a/xtask/src/capacity/roles/agent.rs
+++ b/xtask/src/capacity/roles/agent.rs
@@ -1,20 +1,23 @@
 //! The agent, by the decision core and the real messages.
 
-use super::super::budget::Quantity::{Bytes, Memory, Messages, Processor};
-use super::super::figure::Take::{Line, Point, Slope};
-use super::super::figure::{Term, measured, rated};
-use super::{MEAN_FLOWS, MEAN_RATE, ONCE, Role, row};
+use super::super::budget::Quantity::{Bytes, CpuTime, Memory, Messages};
+use super::super::figure::Lookup::{Line, Point, Slope};
+use super::super::figure::{Term, measured, scaled};
+use super::{MEAN_FLOWS, MEAN_OPENINGS_PER_S, Role, SINGLE_POINT, row};
 
 /// Comparisons of settings a second: one asked and one answered every 2 s.
-const COMPARISONS: f64 = 1.0;
+const COMPARISONS_PER_S: f64 = 1.0;
 /// Flows of the fullest agent.
-const MOST_FLOWS: f64 = 50_000.0;
+const MAX_FLOWS: f64 = 50_000.0;
 /// Agents of the largest service that was measured.
-const LARGEST_SERVICE: f64 = 64.0;
+const LARGEST_SERVICE_AGENTS: f64 = 64.0;
 
 pub(super) fn role() -> Role {
-    let mean = |name: &'static str, held: &'static str| -> [Term; 2] {
-        [measured("agent", name, Point(MEAN_RATE)), measured("agent", held, Slope(MEAN_FLOWS))]
+    let mean = |name: &'static str, open_flows: &'static str| -> [Term; 2] {
+        [
+            measured("agent", name, Point(MEAN_OPENINGS_PER_S)),
+            measured("agent", open_flows, Slope(MEAN_FLOWS)),
+        ]
     };
     Role {
         name: "Agent",
@@ -34,17 +37,17 @@
             row(
                 Bytes,
                 "agent of a service of 64, idle: heartbeats, capped at 40 messages/s",
-                &[measured("agent", "service_size_bytes", Point(LARGEST_SERVICE))],
+                &[measured("agent", "service_size_bytes", Point(LARGEST_SERVICE_AGENTS))],
             ),
             row(
                 Bytes,
                 "fullest agent (50,000 flows), no new ones: refresh every 10 min",
-                &[measured("agent", "open_flows_bytes", Line(MOST_FLOWS))],
+                &[measured("agent", "open_flows_bytes", Line(MAX_FLOWS))],
             ),
             row(
                 Bytes,
                 "settings: one account's digest asked and answered every 2 s over HTTP",
-                &[rated("tree", "exchange_bytes", ONCE, COMPARISONS)],
+                &[scaled("tree", "exchange_bytes", SINGLE_POINT, COMPARISONS_PER_S)],
             ),
             row(
                 Messages,
@@ -57,19 +60,19 @@
                 &mean("new_flows_refuse_messages", "open_flows_messages"),
             ),
             row(
-                Processor,
+                CpuTime,
                 "mean agent, `admit`",
                 &mean("new_flows_admit_processor", "open_flows_processor"),
             ),
             row(
-                Processor,
+                CpuTime,
                 "mean agent, `refuse`",
                 &mean("new_flows_refuse_processor", "open_flows_processor"),
             ),
             row(
-                Processor,
+                CpuTime,
                 "fullest agent (50,000 flows), no new ones",
-                &[measured("agent", "open_flows_processor", Line(MOST_FLOWS))],
+                &[measured("agent", "open_flows_processor", Line(MAX_FLOWS))],
             ),
             row(
                 Memory,
@@ -79,12 +82,12 @@
             row(
                 Memory,
                 "whole process, fullest agent (50,000 flows, no peers)",
-                &[measured("bench", "agent_memory", Point(MOST_FLOWS))],
+                &[measured("bench", "agent_memory", Point(MAX_FLOWS))],
             ),
             row(
                 Memory,
                 "tables of the fullest agent, redirects of such peers included",
-                &[measured("memory", "agent_bytes", Line(MOST_FLOWS))],
+                &[measured("memory", "agent_bytes", Line(MAX_FLOWS))],
             ),
         ],
         proposal: "`admit`: a period of announcements of 1 s instead of 250 ms (trial: 6.6 KB/s \
--- a/xtask/src/capacity/roles/balancer.rs
+++ b/xtask/src/capacity/roles/balancer.rs
@@ -1,14 +1,14 @@
 //! The balancer.
 
-use super::super::budget::Quantity::{Bytes, Memory, Messages, Processor};
-use super::super::figure::Take::{Line, Point};
-use super::super::figure::{counted, measured, rated};
-use super::{BALANCERS, CHANGES, ONCE, Role, SERVICES, US, row};
+use super::super::budget::Quantity::{Bytes, CpuTime, Memory, Messages};
+use super::super::figure::Lookup::{Line, Point};
+use super::super::figure::{computed, measured, scaled};
+use super::{BALANCERS, CHANGES_PER_S, Role, SERVICES, SINGLE_POINT, US_PER_MS, row};
 
 /// Reads of the list a second: a list of 2.4 MB at 2,000 bytes a second.
-const LIST_READS: f64 = 1.0 / 1_200.0;
+const LIST_READS_PER_S: f64 = 1.0 / 1_200.0;
 /// Full comparisons a second over HTTP: one asked and one answered every 30 s.
-const COMPARISONS: f64 = 2.0 / 30.0;
+const COMPARISONS_PER_S: f64 = 2.0 / 30.0;
 
 pub(super) fn role() -> Role {
     Role {
@@ -25,46 +25,46 @@
             row(
                 Bytes,
                 "rumours (3 peers, 2 rounds) and fetched deltas of 3,800 changes a day",
-                &[rated("control", "change_bytes", Line(BALANCERS), CHANGES)],
+                &[scaled("control", "change_bytes", Line(BALANCERS), CHANGES_PER_S)],
             ),
             row(
                 Bytes,
                 "full digests over HTTP, one asked and one answered every 30 s",
                 &[
-                    rated("tree", "digest_bytes", Line(SERVICES), COMPARISONS),
-                    rated("tree", "exchange_bytes", ONCE, COMPARISONS),
+                    scaled("tree", "digest_bytes", Line(SERVICES), COMPARISONS_PER_S),
+                    scaled("tree", "exchange_bytes", SINGLE_POINT, COMPARISONS_PER_S),
                 ],
             ),
             row(
                 Bytes,
                 "instance list, read whole at 2,000 bytes a second: every 20 minutes",
-                &[rated("tree", "list_bytes", Line(SERVICES), LIST_READS)],
+                &[scaled("tree", "list_bytes", Line(SERVICES), LIST_READS_PER_S)],
             ),
             row(
                 Messages,
                 "digests, sent and received",
-                &[counted(2.0, "a question and an answer every 2 s, in both directions")],
+                &[computed(2.0, "a question and an answer every 2 s, in both directions")],
             ),
             row(
-                Processor,
+                CpuTime,
                 "digests and rumours",
                 &[measured("control", "idle_processor", Line(BALANCERS))],
             ),
             row(
-                Processor,
+                CpuTime,
                 "parse, check and rebuild of the whole view on each change",
-                &[rated("tree", "change_ms", Line(SERVICES), CHANGES * US)],
+                &[scaled("tree", "change_ms", Line(SERVICES), CHANGES_PER_S * US_PER_MS)],
             ),
             row(
-                Processor,
+                CpuTime,
                 "list parsed and compared with the view every 20 minutes",
                 &[
-                    rated("tree", "list_parse_ms", Line(SERVICES), LIST_READS * US),
-                    rated("tree", "liveness_ms", Line(SERVICES), LIST_READS * US),
+                    scaled("tree", "list_parse_ms", Line(SERVICES), LIST_READS_PER_S * US_PER_MS),
+                    scaled("tree", "liveness_ms", Line(SERVICES), LIST_READS_PER_S * US_PER_MS),
                 ],
             ),
             row(
-                Processor,
+                CpuTime,
                 "whole process, idle, reading for its zone, settings and list of target size",
                 &[measured("bench", "balancer_idle_processor", Point(SERVICES))],
             ),
--- a/xtask/src/capacity/roles/direct.rs
+++ b/xtask/src/capacity/roles/direct.rs
@@ -1,14 +1,14 @@
 //! The processes of the direct-return path, from the users' sweep over 30 to 300 instances.
 
-use super::super::budget::Quantity::{Bytes, Memory, Processor};
-use super::super::figure::Take::{Line, Point};
+use super::super::budget::Quantity::{Bytes, CpuTime, Memory};
+use super::super::figure::Lookup::{Line, Point};
 use super::super::figure::measured;
 use super::{Role, row};
 
 /// Instances of the users' target deployment, to which the lines are carried on.
-const INSTANCES: f64 = 1_644.0;
+const TARGET_INSTANCES: f64 = 1_644.0;
 /// Largest number of instances that was played.
-const LARGEST: f64 = 300.0;
+const MAX_MEASURED_INSTANCES: f64 = 300.0;
 
 pub(super) fn roles() -> Vec<Role> {
     vec![balancer(), agent()]
@@ -24,22 +24,22 @@
             row(
                 Bytes,
                 "busiest: beacons of a reader to each balancer, with the changes of the list; callers' packets",
-                &[measured("sweep", "balancer_bytes_busiest", Line(INSTANCES))],
+                &[measured("sweep", "balancer_bytes_busiest", Line(TARGET_INSTANCES))],
             ),
             row(
-                Processor,
+                CpuTime,
                 "busiest: the same",
-                &[measured("sweep", "balancer_processor_busiest", Line(INSTANCES))],
+                &[measured("sweep", "balancer_processor_busiest", Line(TARGET_INSTANCES))],
             ),
             row(
                 Memory,
                 "busiest: routes, upstreams, flows",
-                &[measured("sweep", "balancer_memory_busiest", Line(INSTANCES))],
+                &[measured("sweep", "balancer_memory_busiest", Line(TARGET_INSTANCES))],
             ),
             row(
                 Bytes,
                 "middle, at 300 instances: hellos, beacons heard; callers' packets",
-                &[measured("sweep", "balancer_bytes_middle", Point(LARGEST))],
+                &[measured("sweep", "balancer_bytes_middle", Point(MAX_MEASURED_INSTANCES))],
             ),
         ],
         proposal: "A reader tells every balancer by itself. Passing beacons and changes on within each availability zone \
@@ -56,17 +56,17 @@
             row(
                 Bytes,
                 "busiest, at 300 instances: callers' packets, words to balancers",
-                &[measured("sweep", "agent_bytes_busiest", Point(LARGEST))],
+                &[measured("sweep", "agent_bytes_busiest", Point(MAX_MEASURED_INSTANCES))],
             ),
             row(
-                Processor,
+                CpuTime,
                 "busiest, at 300 instances: the same",
-                &[measured("sweep", "agent_processor_busiest", Point(LARGEST))],
+                &[measured("sweep", "agent_processor_busiest", Point(MAX_MEASURED_INSTANCES))],
             ),
             row(
                 Memory,
                 "busiest: flows",
-                &[measured("sweep", "agent_memory_busiest", Line(INSTANCES))],
+                &[measured("sweep", "agent_memory_busiest", Line(TARGET_INSTANCES))],
             ),
         ],
         proposal: "The traffic of the sweep is the same at each size, so an agent's share of it falls with the fleet and \
--- a/xtask/src/capacity/roles/mod.rs
+++ b/xtask/src/capacity/roles/mod.rs
@@ -6,10 +6,10 @@
 mod others;
 
 use super::budget::Quantity;
-use super::figure::{Take, Term};
+use super::figure::{Lookup, Term};
 
 /// Changes of settings a second: 3,800 a day.
-const CHANGES: f64 = 3_800.0 / 86_400.0;
+const CHANGES_PER_S: f64 = 3_800.0 / 86_400.0;
 /// Services, over which the tree's slopes are taken.
 const SERVICES: f64 = 1_900.0;
 /// Balancers.
@@ -17,11 +17,11 @@
 /// Open flows of the mean agent: 37 million on 10,000.
 const MEAN_FLOWS: f64 = 3_700.0;
 /// New flows a second of the mean agent: 120,000 on 10,000.
-const MEAN_RATE: f64 = 12.0;
+const MEAN_OPENINGS_PER_S: f64 = 12.0;
 /// Microseconds in a millisecond.
-const US: f64 = 1_000.0;
+const US_PER_MS: f64 = 1_000.0;
 /// The only point of a series that has one.
-const ONCE: Take = Take::Point(1.0);
+const SINGLE_POINT: Lookup = Lookup::Point(1.0);
 
 /// One line of a role's table.
 #[derive(Clone, Debug)]
--- a/xtask/src/capacity/roles/others.rs
+++ b/xtask/src/capacity/roles/others.rs
@@ -1,23 +1,23 @@
 //! Readers of settings, the platform's reads, and goosectl.
 
-use super::super::budget::Quantity::{Bytes, Elapsed, Reads, Settled};
-use super::super::figure::Take::{Line, Point};
-use super::super::figure::{counted, measured, rated};
-use super::{BALANCERS, CHANGES, ONCE, Role, SERVICES, row};
+use super::super::budget::Quantity::{Bytes, Elapsed, Propagation, Reads};
+use super::super::figure::Lookup::{Line, Point};
+use super::super::figure::{computed, measured, scaled};
+use super::{BALANCERS, CHANGES_PER_S, Role, SERVICES, SINGLE_POINT, row};
 
 /// Readers in the fleet: two in each of 17 zones.
 const READERS: f64 = 34.0;
 /// Reads of the list a second by a balancer: 2.4 MB at 2,000 bytes a second.
-const LIST_READS: f64 = 1.0 / 1_200.0;
+const LIST_READS_PER_S: f64 = 1.0 / 1_200.0;
 /// A watch waits for 10 s at most.
-const WATCHES: f64 = 0.1;
+const WATCHES_PER_S: f64 = 0.1;
 /// Services of a mean account.
-const MEAN_ACCOUNT: f64 = 6.0;
+const MEAN_ACCOUNT_SERVICES: f64 = 6.0;
 /// Instances that start in a second: 68 failed and 910 replaced ones a day.
-const STARTS: f64 = 978.0 / 86_400.0;
+const STARTS_PER_S: f64 = 978.0 / 86_400.0;
 /// Reads of a starting instance at most: watch, root, list and its account; a balancer asks peers
 /// for the accounts first.
-const START_READS: f64 = 4.0;
+const READS_PER_START: f64 = 4.0;
 
 pub(super) fn roles() -> [Role; 3] {
     [reader(), platform(), goosectl()]
@@ -32,12 +32,17 @@
                 Bytes,
                 "watch and changed subtrees, read whole, on top of a balancer's own",
                 &[
-                    rated("tree", "subtree_bytes", Line(MEAN_ACCOUNT), CHANGES),
-                    rated("tree", "exchange_bytes", ONCE, WATCHES + 2.0 * CHANGES),
+                    scaled("tree", "subtree_bytes", Line(MEAN_ACCOUNT_SERVICES), CHANGES_PER_S),
+                    scaled(
+                        "tree",
+                        "exchange_bytes",
+                        SINGLE_POINT,
+                        WATCHES_PER_S + 2.0 * CHANGES_PER_S,
+                    ),
                 ],
             ),
             row(
-                Settled,
+                Propagation,
                 "one change, until in force on 1,600 balancers",
                 &[measured("control", "change_ms", Point(BALANCERS))],
             ),
@@ -56,22 +61,25 @@
             row(
                 Reads,
                 "watches of 34 readers, waiting and ended by changes",
-                &[counted(READERS * (WATCHES + CHANGES), "34 readers, 10 s, 3,800 changes a day")],
+                &[computed(
+                    READERS * (WATCHES_PER_S + CHANGES_PER_S),
+                    "34 readers, 10 s, 3,800 changes a day",
+                )],
             ),
             row(
                 Reads,
                 "changed subtrees",
-                &[counted(READERS * CHANGES, "34 readers, 3,800 changes a day")],
+                &[computed(READERS * CHANGES_PER_S, "34 readers, 3,800 changes a day")],
             ),
             row(
                 Reads,
                 "instance list",
-                &[counted(BALANCERS * LIST_READS, "1,600 balancers every 20 minutes")],
+                &[computed(BALANCERS * LIST_READS_PER_S, "1,600 balancers every 20 minutes")],
             ),
             row(
                 Reads,
                 "starts of instances",
-                &[counted(STARTS * START_READS, "978 a day, 4 reads each at most")],
+                &[computed(STARTS_PER_S * READS_PER_START, "978 a day, 4 reads each at most")],
             ),
         ],
         proposal: "Nothing misses in the mean.",
--- a/xtask/src/capacity/storms.rs
+++ b/xtask/src/capacity/storms.rs
@@ -1,51 +1,51 @@
 //! Storms: peak and time until calm, and why the extrapolation is sound.
 
-use super::figure::Take::{Line, Point};
-use super::figure::{Term, measured, rated};
+use super::figure::Lookup::{Line, Point};
+use super::figure::{Term, measured, scaled};
 
 /// One storm.
 #[derive(Clone, Debug)]
 pub(super) struct Storm {
     /// What happens.
-    pub(super) what: &'static str,
+    pub(super) name: &'static str,
     /// Peak of control bytes of a node in one second.
     pub(super) peak: Term,
     /// Milliseconds until calm.
-    pub(super) calm: Term,
+    pub(super) recovery: Term,
     /// Why the figure holds at the target.
-    pub(super) why: &'static str,
+    pub(super) rationale: &'static str,
 }
 
 /// Storms that were measured.
 pub(super) fn all() -> Vec<Storm> {
     vec![
         Storm {
-            what: "A zone of 588 agents is lost, seen by balancers",
+            name: "A zone of 588 agents is lost, seen by balancers",
             peak: measured("control", "zone_loss_peak", Line(588.0)),
-            calm: measured("control", "zone_loss_ms", Line(588.0)),
-            why: "Measured with 400 balancers, reports of the agents' own not counted, at 50 to 600 agents. Notices are capped at 16 a message \
+            recovery: measured("control", "zone_loss_ms", Line(588.0)),
+            rationale: "Measured with 400 balancers, reports of the agents' own not counted, at 50 to 600 agents. Notices are capped at 16 a message \
                   and three messages a round whatever the fleet's size; rounds grow with the \
                   logarithm of the balancers, so 1,600 need two more rounds of 200 ms.",
         },
         Storm {
-            what: "A zone returns, its agents without memory, seen by an agent of 3,700 flows",
+            name: "A zone returns, its agents without memory, seen by an agent of 3,700 flows",
             peak: measured("agent", "zone_lost_and_back_peak", Point(3_700.0)),
-            calm: measured("agent", "zone_lost_and_back_ms", Point(3_700.0)),
-            why: "Nothing but the service's own agents takes part, so the fleet's size does not \
+            recovery: measured("agent", "zone_lost_and_back_ms", Point(3_700.0)),
+            rationale: "Nothing but the service's own agents takes part, so the fleet's size does not \
                   enter. Two of six agents come back; the peak is linear in flows.",
         },
         Storm {
-            what: "10 % of instances replaced within a minute, seen by an agent of 3,700 flows",
+            name: "10 % of instances replaced within a minute, seen by an agent of 3,700 flows",
             peak: measured("agent", "replaced_in_a_minute_peak", Point(3_700.0)),
-            calm: measured("agent", "replaced_in_a_minute_ms", Point(3_700.0)),
-            why: "As above: one of a service's ten agents is replaced. Two in the same second in one \
+            recovery: measured("agent", "replaced_in_a_minute_ms", Point(3_700.0)),
+            rationale: "As above: one of a service's ten agents is replaced. Two in the same second in one \
                   service double the peak at a common peer.",
         },
         Storm {
-            what: "200 settings changes at once",
+            name: "200 settings changes at once",
             peak: measured("control", "settings_storm_peak", Point(200.0)),
-            calm: measured("control", "settings_storm_ms", Point(200.0)),
-            why: "Measured with 400 balancers. A balancer's share of rumours does not depend on \
+            recovery: measured("control", "settings_storm_ms", Point(200.0)),
+            rationale: "Measured with 400 balancers. A balancer's share of rumours does not depend on \
                   their number; what one message names is fetched in one exchange.",
         },
     ]
@@ -54,7 +54,7 @@
 /// Times that follow from other figures: what, its terms in milliseconds, and what it means.
 pub(super) const DERIVED: &[(&str, Term, &str)] = &[(
     "Processor time of a balancer for 200 changes, each built on its own",
-    rated("tree", "change_ms", Line(1_900.0), 200.0),
+    scaled("tree", "change_ms", Line(1_900.0), 200.0),
     "More than the storm's 7 s of one core, though in a thread beside forwarding. The daemon looks \
      for changes every 25 ms and builds once for all that came, so fewer builds are made; how many \
      was not measured. A view that keeps the rankings of unchanged accounts would end the matter.",
--- a/xtask/src/capacity/sweep.rs
+++ b/xtask/src/capacity/sweep.rs
@@ -9,9 +9,9 @@
 use loadgen::results::{Results, Series};
 
 /// Name of the result file.
-pub(super) const FILE: &str = "sweep.json";
+pub(super) const RESULT_FILE: &str = "sweep.json";
 /// Marks the line that names the numbers of instances.
-const HEAD: &str = "middle / busiest";
+const HEADER: &str = "middle / busiest";
 
 /// Quantities that are taken, by the bench's words: name of the series, unit, and factor to that unit.
 const QUANTITIES: [(&str, &str, &str, f64); 6] = [
@@ -24,14 +24,14 @@
 ];
 
 /// Reads what the bench has printed into `text`, and writes the result file.
-pub(super) fn take(text: &Path, folder: &Path) -> anyhow::Result<()> {
+pub(super) fn import(text: &Path, folder: &Path) -> anyhow::Result<()> {
     let text = std::fs::read_to_string(text).with_context(|| text.display().to_string())?;
-    results(&text)?.write(&folder.join(FILE))
+    results(&text)?.write(&folder.join(RESULT_FILE))
 }
 
 /// The series of both the middle and the busiest process.
 pub(super) fn results(text: &str) -> anyhow::Result<Results> {
-    let table = text.split(HEAD).nth(1).context("no table of a sweep")?;
+    let table = text.split(HEADER).nth(1).context("no table of a sweep")?;
     let mut lines = table.lines().skip(1);
     let sizes = sizes(lines.next().context("no numbers of instances")?);
     ensure!(sizes.len() >= 2, "fewer than two numbers of instances");
--- a/xtask/src/capacity/tests.rs
+++ b/xtask/src/capacity/tests.rs
@@ -3,15 +3,15 @@
 use loadgen::results::{Results, Series};
 
 use super::budget::Quantity;
-use super::figure::Take::{Line, Point, Slope};
-use super::figure::{Files, Term, counted, measured, rated};
+use super::figure::Lookup::{Line, Point, Slope};
+use super::figure::{ResultFiles, Term, computed, measured, scaled};
 
-fn files() -> Files {
+fn files() -> ResultFiles {
     let series = vec![
         Series::new("bytes", "nodes", "B/s", &[(1.0, 12.0), (2.0, 14.0), (4.0, 18.0)]),
         Series::new("memory", "flows", "B", &[(50.0, 7.0)]),
     ];
-    Files::of(vec![("agent", Results { command: "measure".into(), series })])
+    ResultFiles::from_results(vec![("agent", Results { command: "measure".into(), series })])
 }
 
 fn check(terms: &[Term], expected: Option<f64>) {
@@ -49,7 +49,7 @@
 
 #[test]
 fn figure_sum_of_terms() {
-    let terms = [rated("agent", "bytes", Line(3.0), 0.5), counted(2.0, "counted")];
+    let terms = [scaled("agent", "bytes", Line(3.0), 0.5), computed(2.0, "counted")];
     check(&terms, Some(10.0));
 }
 
