--- a/xtask/src/bench/documents.rs
+++ b/xtask/src/bench/documents.rs
@@ -82,13 +82,13 @@
 /// Settings file of the agent.
 pub(super) fn agent() -> String {
     let secret = derive_account_key(&MASTER_KEY, KEY_ID, AccountId::of(ACCOUNT));
-    let own = format!(
+    let agent_settings = format!(
         "instance: agent-1\naccount: {ACCOUNT}\nservice: {SERVICE}\nupstream: {UPSTREAM}\n\
          upstream_address: \"{UPSTREAM_ADDRESS}\"\nupstream_status_address: \"{}\"\n\
          gateway_address: \"{GATEWAY_ADDRESS}\"\n",
         loopback(5, 9_000),
     );
-    own + &common_settings(AGENT_ADDRESS) + &keys_yaml(&secret)
+    agent_settings + &common_settings(AGENT_ADDRESS) + &keys_yaml(&secret)
 }
 
 fn common_settings(data: SocketAddr) -> String {
--- a/xtask/src/bench/world.rs
+++ b/xtask/src/bench/world.rs
@@ -123,8 +123,8 @@
     let keyring = AccountKeyring::derive(&keys, account).context("no key")?;
     let frames = |opening| {
         let names = (documents::ACCOUNT, documents::SERVICE);
-        let place = (documents::SERVICE_ADDRESS, &documents::FLOW_KEY);
-        sealed_frames(&keyring, names, place, FLOWS, opening)
+        let service = (documents::SERVICE_ADDRESS, &documents::FLOW_KEY);
+        sealed_frames(&keyring, names, service, FLOWS, opening)
     };
     let process = daemon(folder, "agent", &documents::agent())?;
     let control = documents::control_address(AGENT_ADDRESS);
--- a/xtask/src/capacity/budget.rs
+++ b/xtask/src/capacity/budget.rs
@@ -33,7 +33,7 @@
     }
 
     /// Formats a value with its unit.
-    pub(super) fn show(self, value: f64) -> String {
+    pub(super) fn format_value(self, value: f64) -> String {
         match self {
             Self::Bytes => format!("{:.2} KB/s", value / 1e3),
             Self::CpuTime => format!("{:.3} % of a core", value / 1e4),
--- a/xtask/src/capacity/page.rs
+++ b/xtask/src/capacity/page.rs
@@ -57,12 +57,13 @@
     page.push_str("|---|---|---|---|---|\n");
     for row in &role.rows {
         let figure = files.figure(&row.terms)?;
-        let residual = figure.residual_percent.map_or("-".into(), |it| format!("{it:.1} %"));
+        let residual =
+            figure.residual_percent.map_or("-".into(), |percent| format!("{percent:.1} %"));
         let _ = writeln!(
             page,
             "| {} | {} | {} | {residual} | {} |",
             row.mechanism,
-            row.quantity.show(figure.value),
+            row.quantity.format_value(figure.value),
             row.quantity.headroom(figure.value),
             figure.sources.join(" + "),
         );
--- a/xtask/src/capacity/sweep.rs
+++ b/xtask/src/capacity/sweep.rs
@@ -38,10 +38,10 @@
     ensure!(sizes.len() >= 2, "fewer than two numbers of instances");
     let mut series = Vec::new();
     for line in lines {
-        let known = QUANTITIES.iter().find(|(words, ..)| line.trim_start().starts_with(words));
-        let Some((words, name, unit, factor)) = known else { continue };
-        let pairs = pairs(&line.trim_start()[words.len()..]);
-        ensure!(pairs.len() == sizes.len(), "{words}: {} pairs", pairs.len());
+        let known = QUANTITIES.iter().find(|(label, ..)| line.trim_start().starts_with(label));
+        let Some((label, name, unit, factor)) = known else { continue };
+        let pairs = pairs(&line.trim_start()[label.len()..]);
+        ensure!(pairs.len() == sizes.len(), "{label}: {} pairs", pairs.len());
         for (suffix, pick) in [("middle", 0), ("busiest", 1)] {
             let values = pairs.iter().map(|pair| pair[pick] * factor);
             let points: Vec<(f64, f64)> = sizes.iter().copied().zip(values).collect();
--- a/xtask/src/capacity/tests.rs
+++ b/xtask/src/capacity/tests.rs
@@ -73,7 +73,7 @@
 ";
 
 #[test]
-fn sweep_is_read_in_the_budget_s_units() {
+fn sweep_values_use_the_units_of_the_budgets() {
     let results = super::sweep::results(SWEEP).unwrap();
     let point = |name: &str| {
         let series = results.series(name).unwrap();
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn sweep_without_a_quantity_is_refused() {
+fn sweep_without_a_quantity_is_rejected() {
     let cut = SWEEP.replace("balancer: memory MB", "balancer: memory");
     assert!(super::sweep::results(&cut).is_err());
     assert!(super::sweep::results("3 days, 1 at a time").is_err());
