--- a/xtask/src/bench/mod.rs
+++ b/xtask/src/bench/mod.rs
@@ -1,5 +1,5 @@
 //! `cargo xtask bench`: compares the packets per second and core of balancer and agent with a bare
-//! relay. The release binaries run on loopback, all at the same time.
+//! relay. The release binaries run on loopback, all in one run of the command.
 
 mod documents;
 mod plot;
--- a/xtask/src/capacity/mod.rs
+++ b/xtask/src/capacity/mod.rs
@@ -24,7 +24,7 @@
 /// What to do with the page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// Repeat all measurements, then write the page.
+    /// Repeat the measurements that need no daemon, then write the page.
     Measure,
     /// Import the output of the users' sweep from this file, then write the page.
     Sweep(PathBuf),
--- a/xtask/src/days/mod.rs
+++ b/xtask/src/days/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the standard days (scripted scenarios) of the users' sites with the users' bench, on a
+//! Runs the standard days (fixed scenarios) of the users' sites with the users' bench, on a
 //! clone of the last commit.
 
 mod table;
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -24,8 +24,9 @@
           compare the packets per second and core of balancer and agent with a bare relay, on
           loopback; or run an experiment of experiments/ against the same processes
   capacity [--check | --measure | --sweep FILE]
-          write docs/CAPACITY.md from docs/results; --check only compares it, --measure repeats
-          all measurements first, --sweep first imports the output of the users' sweep
+          write docs/CAPACITY.md from docs/results; --check only compares it, --measure first
+          repeats the measurements that need no daemon, --sweep first imports the output of the
+          users' sweep
   codegen [--check]
           write the files generated from schema/ and from the result codes; --check only
           compares them
