--- a/xtask/src/ablate/report.rs
+++ b/xtask/src/ablate/report.rs
@@ -1,4 +1,4 @@
-//! The report: every play as JSON, and a plot of what each mechanism is worth.
+//! The report: every run as JSON, and a plot of the loss of worth without each mechanism.
 
 use std::fmt;
 use std::fmt::Write as _;
@@ -8,47 +8,48 @@
 
 use crate::days::{Day, mean};
 
-/// Height of a bar with its label, and width of one hundredth of worth.
-const LINE_PX: usize = 22;
-const HUNDREDTH_PX: f64 = 60.0;
-/// Where the bars begin.
-const ZERO_PX: f64 = 420.0;
+/// Height of a bar with its label.
+const ROW_HEIGHT_PX: usize = 22;
+/// Width of a bar for each hundredth of worth.
+const PX_PER_HUNDREDTH: f64 = 60.0;
+/// Horizontal position of a loss of zero, where the bars begin.
+const ZERO_X_PX: f64 = 420.0;
 const WIDTH_PX: f64 = 900.0;
 
-/// One play of a site's standard days.
+/// One run of a site's standard days.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Row {
-    /// The site.
+    /// Name of the site.
     pub(super) site: String,
-    /// The mechanism that was off.
+    /// The disabled mechanism, or none for the complete policy.
     pub(super) without: Option<String>,
-    /// Which play it was.
+    /// Number of the run, from 1.
     pub(super) play: u32,
-    /// Its days.
+    /// Scores of the days.
     pub(super) days: Vec<Day>,
 }
 
 impl Row {
-    /// Mean worth of the days with trouble.
+    /// Mean worth of the days with a disturbance.
     fn mean(&self) -> f64 {
-        mean(self.days.iter().filter(|day| day.is_troubled()).map(|day| day.worth))
+        mean(self.days.iter().filter(|day| day.has_disturbance()).map(|day| day.worth))
     }
 }
 
 impl fmt::Display for Row {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let without = self.without.as_deref().unwrap_or("nothing");
         let broken = self.days.iter().filter(|day| day.broken).count();
         let (site, play, mean) = (&self.site, self.play, self.mean());
-        write!(out, "{site}, without {without}, play {play}: {mean:.4}, {broken} broken")?;
-        self.days.iter().try_for_each(|day| write!(out, " {:.3}", day.worth))
+        write!(f, "{site}, without {without}, play {play}: {mean:.4}, {broken} broken")?;
+        self.days.iter().try_for_each(|day| write!(f, " {:.3}", day.worth))
     }
 }
 
-/// All plays.
+/// All runs.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Report {
-    /// In the order of their playing.
+    /// The runs in the order in which they took place.
     pub(super) rows: Vec<Row>,
 }
 
@@ -62,15 +63,15 @@
         Ok(())
     }
 
-    /// Loss of mean worth without each mechanism, by site, in the order of the rows.
+    /// Label and loss of mean worth for each site and disabled mechanism, in the order of the rows.
     fn losses(&self) -> Vec<(String, f64)> {
         let means = |site: &str, without: Option<&str>| {
             let rows =
                 self.rows.iter().filter(|r| r.site == site && r.without.as_deref() == without);
             mean(rows.map(Row::mean))
         };
-        let first_plays = self.rows.iter().filter(|row| row.play == 1);
-        first_plays
+        let first_runs = self.rows.iter().filter(|row| row.play == 1);
+        first_runs
             .filter_map(|row| {
                 let name = row.without.as_deref()?;
                 let loss = means(&row.site, None) - means(&row.site, Some(name));
@@ -81,16 +82,16 @@
 
     fn svg(&self) -> String {
         let losses = self.losses();
-        let height = LINE_PX * (losses.len() + 2);
+        let height = ROW_HEIGHT_PX * (losses.len() + 2);
         let mut svg = format!(
             "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{WIDTH_PX}\" height=\"{height}\" \
              font-family=\"sans-serif\" font-size=\"13\">\n\
              <text x=\"10\" y=\"16\">Loss of mean worth on the days with trouble</text>\n"
         );
         for (index, (label, loss)) in losses.iter().enumerate() {
-            let top = LINE_PX * (index + 1);
-            let length = loss.abs() * 100.0 * HUNDREDTH_PX;
-            let left = if *loss < 0.0 { ZERO_PX - length } else { ZERO_PX };
+            let top = ROW_HEIGHT_PX * (index + 1);
+            let length = loss.abs() * 100.0 * PX_PER_HUNDREDTH;
+            let left = if *loss < 0.0 { ZERO_X_PX - length } else { ZERO_X_PX };
             let colour = if *loss < 0.0 { "#c44" } else { "#48a" };
             let _ = writeln!(
                 svg,
--- a/xtask/src/bench/mod.rs
+++ b/xtask/src/bench/mod.rs
@@ -1,5 +1,5 @@
-//! `cargo xtask bench`: packets a second per core of balancer and agent against a bare relay, the
-//! real release binaries on loopback, in one run.
+//! `cargo xtask bench`: compares the packets per second and core of balancer and agent with a bare
+//! relay. The release binaries run on loopback, all in one run of the command.
 
 mod documents;
 mod plot;
@@ -19,26 +19,26 @@
 use loadgen::traffic::{Flood, flood};
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-use report::{Count, Sample};
+use report::{Sample, Totals};
 use subject::{Kind, Subject};
 use world::World;
 
-/// Runs of each subject.
+/// Number of runs; each yields one sample per subject.
 const RUNS: usize = 5;
-/// Turns in one run. The machine is shared: subjects take short turns, so that a busy moment of
-/// somebody else hits all of them alike.
+/// Turns of each subject in one run. The subjects alternate in short turns, so that other load on a
+/// shared machine affects all of them alike.
 const TURNS: usize = 8;
-/// Length of one turn.
-const TURN: Duration = Duration::from_millis(200);
-/// Time before the first count of a turn, in which queues and caches fill.
-const WARM_UP: Duration = Duration::from_millis(60);
-/// The flood goes on for this long after the count.
-const OVERLAP: Duration = Duration::from_millis(40);
-/// Threads that send. One alone does not always keep a subject busy, and a subject that waits
-/// gets small batches, which cost more for each packet.
-const SENDERS: usize = 2;
-/// Time over which the idle daemons are watched.
-const IDLE: Duration = Duration::from_secs(3);
+/// Measured time of one turn.
+const TURN_DURATION: Duration = Duration::from_millis(200);
+/// Time before the first reading of a turn, in which queues and caches fill.
+const WARM_UP_DURATION: Duration = Duration::from_millis(60);
+/// Time for which packets are still sent after the second reading is due.
+const SEND_OVERLAP: Duration = Duration::from_millis(40);
+/// Threads that send packets. One thread does not always saturate a subject, and a subject that
+/// waits for packets receives smaller batches, which cost more per packet.
+const SENDER_THREADS: usize = 2;
+/// Time over which the CPU usage of the idle daemons is measured.
+const IDLE_DURATION: Duration = Duration::from_secs(3);
 
 /// Runs the bench.
 pub(crate) fn run(parser: &mut lexopt::Parser) -> anyhow::Result<()> {
@@ -54,18 +54,18 @@
         return run_experiment(&experiment, &options.out);
     }
     let world = World::start(&[])?;
-    let idle = report::Idle::measure(&world.subjects, IDLE)?;
+    let idle = report::Idle::measure(&world.subjects, IDLE_DURATION)?;
     let mut samples = Vec::new();
     for run in 1..=RUNS {
-        let mut counts = [Count::default(); KINDS.len()];
+        let mut totals = [Totals::default(); KINDS.len()];
         for _ in 0..TURNS {
             ensure!(!interrupted.load(Ordering::Relaxed), "interrupted");
-            for (subject, count) in world.subjects.iter().zip(&mut counts) {
-                measure(subject, count)?;
+            for (subject, subject_totals) in world.subjects.iter().zip(&mut totals) {
+                measure(subject, subject_totals)?;
             }
         }
-        for (subject, count) in world.subjects.iter().zip(counts) {
-            let sample = Sample::of(subject.kind(), count)?;
+        for (subject, subject_totals) in world.subjects.iter().zip(totals) {
+            let sample = Sample::of(subject.kind(), subject_totals)?;
             eprintln!("bench: run {run}, {}", sample.describe());
             samples.push(sample);
         }
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// The command line.
+/// Options of the command line.
 #[derive(Debug)]
 struct Options {
     out: PathBuf,
@@ -96,7 +96,7 @@
     Ok(options)
 }
 
-/// Runs an experiment against the processes of the bench.
+/// Runs an experiment against the running processes and writes its results.
 fn run_experiment(experiment: &Experiment, out: &Path) -> anyhow::Result<()> {
     let results = loadgen::flows::run(experiment)?;
     let file = out.join(format!("{}.json", experiment.name));
@@ -116,33 +116,34 @@
 }
 
 /// Folder of the release binaries.
-fn programs() -> &'static Path {
+fn release_folder() -> &'static Path {
     Path::new("target/release")
 }
 
-/// Floods one subject and adds what its fast path moved in how much processor time.
-fn measure(subject: &Subject, count: &mut Count) -> anyhow::Result<()> {
+/// Floods one subject for a turn, and adds the packets that its fast path moved and the CPU time
+/// that it used to `totals`.
+fn measure(subject: &Subject, totals: &mut Totals) -> anyhow::Result<()> {
     let run = Flood {
         to: subject.address(),
-        duration: WARM_UP + TURN + OVERLAP,
+        duration: WARM_UP_DURATION + TURN_DURATION + SEND_OVERLAP,
         rate: None,
         packets: u64::MAX,
     };
     std::thread::scope(|scope| {
         let senders: Vec<_> =
-            (0..SENDERS).map(|_| scope.spawn(|| flood(subject.frames(), run))).collect();
-        std::thread::sleep(WARM_UP);
+            (0..SENDER_THREADS).map(|_| scope.spawn(|| flood(subject.frames(), run))).collect();
+        std::thread::sleep(WARM_UP_DURATION);
         let before = subject.reading()?;
-        std::thread::sleep(TURN);
+        std::thread::sleep(TURN_DURATION);
         let after = subject.reading()?;
         for sender in senders {
             let sent = sender.join().ok().context("a sender panicked")??;
-            ensure!(sent > 0, "nothing was sent to the {}", subject.kind().name());
+            ensure!(sent > 0, "no packets were sent to the {}", subject.kind().name());
         }
-        count.add(before, after);
+        totals.add(before, after);
         Ok(())
     })
 }
 
-/// What is compared, in the order of the runs.
+/// Kinds of subjects that are compared, in the order of their turns.
 const KINDS: [Kind; 3] = [Kind::Relay, Kind::Balancer, Kind::Agent];
--- a/xtask/src/capacity/failure.rs
+++ b/xtask/src/capacity/failure.rs
@@ -1,10 +1,10 @@
-//! What breaks first, worked out from the lines of the roles.
+//! Orders the lines of all roles by their headroom, to find the limit that is reached first.
 
 use super::budget::Quantity;
 
-/// A line as it came out.
+/// A line of the page with its computed value.
 #[derive(Clone, Debug)]
-pub(super) struct Spent {
+pub(super) struct CapacityLine {
     /// Role.
     pub(super) role: &'static str,
     /// Mechanism.
@@ -15,15 +15,15 @@
     pub(super) value: f64,
 }
 
-impl Spent {
-    /// Budget over value; below one it does not fit today's target.
+impl CapacityLine {
+    /// Budget divided by value. Below one, the target exceeds the budget.
     pub(super) fn headroom(&self) -> Option<f64> {
         self.quantity.budget().map(|budget| budget / self.value)
     }
 }
 
-/// Limited lines, the tightest first.
-pub(super) fn tightest(mut lines: Vec<Spent>) -> Vec<Spent> {
+/// Lines with a limit, those with the least headroom first.
+pub(super) fn by_headroom(mut lines: Vec<CapacityLine>) -> Vec<CapacityLine> {
     lines.retain(|line| line.headroom().is_some());
     lines.sort_by(|a, b| {
         a.headroom().partial_cmp(&b.headroom()).unwrap_or(std::cmp::Ordering::Equal)
--- a/xtask/src/capacity/figure.rs
+++ b/xtask/src/capacity/figure.rs
@@ -1,25 +1,25 @@
-//! Figures worked out from result files.
+//! Figures computed from result files.
 
 use std::path::Path;
 
 use anyhow::{Context as _, ensure};
 use loadgen::results::{Results, Series};
 
-/// Files that the page draws on.
+/// Names of the result files that the page uses.
 const NAMES: [&str; 6] = ["agent", "bench", "control", "memory", "sweep", "tree"];
 
 /// All result files.
 #[derive(Clone, Debug)]
-pub(super) struct Files {
+pub(super) struct ResultFiles {
     files: Vec<(&'static str, Results)>,
 }
 
-/// How a value is taken from a series.
+/// How a value is derived from a series.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Take {
+pub(super) enum Lookup {
     /// The fitted line at x.
     Line(f64),
-    /// The fitted slope times x, without the intercept.
+    /// The fitted slope multiplied by x, without the intercept.
     Slope(f64),
     /// The measured point at x.
     Point(f64),
@@ -34,16 +34,16 @@
         file: &'static str,
         /// Series in it.
         series: &'static str,
-        /// How the value is taken.
-        take: Take,
-        /// How often it occurs a second, or one.
-        times: f64,
+        /// How the value is derived from the series.
+        lookup: Lookup,
+        /// Factor of the value: occurrences per second, or one.
+        per_second: f64,
     },
-    /// Not measured: counted or assumed, with the reason.
-    Counted {
+    /// Not measured, but counted or assumed.
+    Computed {
         /// Value.
         value: f64,
-        /// Where it comes from.
+        /// Derivation of the value, shown as its source.
         reason: &'static str,
     },
 }
@@ -53,33 +53,33 @@
 pub(super) struct Figure {
     /// The sum.
     pub(super) value: f64,
-    /// Where each term comes from.
+    /// Source of each term.
     pub(super) sources: Vec<String>,
-    /// Largest residual of the lines used, in percent.
+    /// Largest residual of the fitted lines used, in percent.
     pub(super) residual_percent: Option<f64>,
 }
 
-/// A term from a measured series, once.
-pub(super) const fn measured(file: &'static str, series: &'static str, take: Take) -> Term {
-    Term::Measured { file, series, take, times: 1.0 }
+/// A term from a measured series, with the factor one.
+pub(super) const fn measured(file: &'static str, series: &'static str, lookup: Lookup) -> Term {
+    Term::Measured { file, series, lookup, per_second: 1.0 }
 }
 
-/// A term from a measured series that occurs `times` a second.
-pub(super) const fn rated(
+/// A term from a measured series, multiplied by its occurrences per second.
+pub(super) const fn scaled(
     file: &'static str,
     series: &'static str,
-    take: Take,
-    times: f64,
+    lookup: Lookup,
+    per_second: f64,
 ) -> Term {
-    Term::Measured { file, series, take, times }
+    Term::Measured { file, series, lookup, per_second }
 }
 
 /// A term that is not measured.
-pub(super) const fn counted(value: f64, reason: &'static str) -> Term {
-    Term::Counted { value, reason }
+pub(super) const fn computed(value: f64, reason: &'static str) -> Term {
+    Term::Computed { value, reason }
 }
 
-impl Files {
+impl ResultFiles {
     /// Reads all result files.
     pub(super) fn read(folder: &Path) -> anyhow::Result<Self> {
         let read = |name: &'static str| {
@@ -88,18 +88,18 @@
         Ok(Self { files: NAMES.into_iter().map(read).collect::<anyhow::Result<_>>()? })
     }
 
-    /// Files made in a test.
+    /// Result files constructed by a test.
     #[cfg(test)]
-    pub(super) fn of(files: Vec<(&'static str, Results)>) -> Self {
+    pub(super) fn from_results(files: Vec<(&'static str, Results)>) -> Self {
         Self { files }
     }
 
-    /// Command that made a file.
+    /// Name of each file with the command that produced it.
     pub(super) fn commands(&self) -> impl Iterator<Item = (&'static str, &str)> {
         self.files.iter().map(|(name, results)| (*name, &*results.command))
     }
 
-    /// Adds terms up.
+    /// Sums up terms.
     pub(super) fn figure(&self, terms: &[Term]) -> anyhow::Result<Figure> {
         let mut figure = Figure { value: 0.0, sources: Vec::new(), residual_percent: None };
         for term in terms {
@@ -117,15 +117,15 @@
 
     fn add(&self, term: &Term, figure: &mut Figure) -> anyhow::Result<()> {
         match term {
-            Term::Counted { value, reason } => {
+            Term::Computed { value, reason } => {
                 figure.value += value;
                 figure.sources.push((*reason).into());
             }
-            Term::Measured { file, series, take, times } => {
+            Term::Measured { file, series, lookup, per_second } => {
                 let found = self.series(file, series)?;
-                figure.value += value_of(found, *take)? * times;
-                figure.sources.push(format!("{file}.json `{series}` {}", take.words()));
-                if !matches!(take, Take::Point(_)) {
+                figure.value += value_of(found, *lookup)? * per_second;
+                figure.sources.push(format!("{file}.json `{series}` {}", lookup.describe()));
+                if !matches!(lookup, Lookup::Point(_)) {
                     let residual = found.fit.map_or(0.0, |fit| fit.residual_percent);
                     let largest = figure.residual_percent.unwrap_or(0.0).max(residual);
                     figure.residual_percent = Some(largest);
@@ -136,8 +136,8 @@
     }
 }
 
-impl Take {
-    fn words(self) -> String {
+impl Lookup {
+    fn describe(self) -> String {
         match self {
             Self::Line(x) => format!("line at {x}"),
             Self::Slope(x) => format!("slope x {x}"),
@@ -146,12 +146,12 @@
     }
 }
 
-fn value_of(series: &Series, take: Take) -> anyhow::Result<f64> {
-    let fit = || series.fit.with_context(|| format!("{} has no line", series.name));
-    match take {
-        Take::Line(x) => Ok(fit()?.at(x)),
-        Take::Slope(x) => Ok(fit()?.slope * x),
-        Take::Point(x) => {
+fn value_of(series: &Series, lookup: Lookup) -> anyhow::Result<f64> {
+    let fit = || series.fit.with_context(|| format!("{} has no fitted line", series.name));
+    match lookup {
+        Lookup::Line(x) => Ok(fit()?.at(x)),
+        Lookup::Slope(x) => Ok(fit()?.slope * x),
+        Lookup::Point(x) => {
             let point = series.points.iter().find(|point| point.x == x);
             ensure!(point.is_some(), "{} was not measured at {x}", series.name);
             Ok(point.map_or(0.0, |point| point.y))
--- a/xtask/src/codegen.rs
+++ b/xtask/src/codegen.rs
@@ -1,5 +1,5 @@
-//! Writes the files that derive from others: border types from `schema/`, and the page of result
-//! codes from the table in `settings::codes`.
+//! Writes the generated files: Rust types of the settings documents from `schema/`, and the page of
+//! result codes from the table in `settings::codes`.
 
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
@@ -9,10 +9,10 @@
 use settings::codes::{self, Entry};
 use typify::{TypeSpace, TypeSpaceSettings};
 
-/// Documents whose border types are generated: `schema/NAME.json` becomes `generated/NAME.rs`.
+/// Documents whose Rust types are generated: `schema/NAME.json` becomes `generated/NAME.rs`.
 const SCHEMAS: &[&str] = &["account", "agent", "balancer", "root"];
 
-const RESULT_CODES_HEAD: &str = "\
+const RESULT_CODES_HEADER: &str = "\
 # Result codes
 
 Generated from `settings::codes::TABLE` by `cargo xtask codegen`: change it there. Logs, HTTP answers and `goosectl`
@@ -34,7 +34,7 @@
     text: String,
 }
 
-/// Generates everything and writes or compares it.
+/// Generates all files and writes or compares them.
 pub(crate) fn run(mode: Mode) -> anyhow::Result<()> {
     let root = workspace_root();
     let outputs = generate(&root)?;
@@ -53,41 +53,41 @@
     for name in SCHEMAS {
         let source = root.join(format!("schema/{name}.json"));
         let path = root.join(format!("crates/settings/src/generated/{name}.rs"));
-        let text = border_types(&source).with_context(|| source.display().to_string())?;
+        let text = schema_types(&source).with_context(|| source.display().to_string())?;
         outputs.push(Output { path, text });
     }
     outputs.push(Output { path: root.join("docs/result-codes.md"), text: result_codes() });
     Ok(outputs)
 }
 
-/// The page of result codes: one table for each class.
+/// Text of the page of result codes, with one table for each class.
 fn result_codes() -> String {
-    let mut text = String::from(RESULT_CODES_HEAD);
+    let mut text = String::from(RESULT_CODES_HEADER);
     let mut class = None;
-    for Entry { code, name, class: of, text: what, action } in codes::TABLE {
-        if class != Some(*of) {
-            text += &format!("\n## {}\n\n", of.title());
+    for Entry { code, name, class: entry_class, text: description, action } in codes::TABLE {
+        if class != Some(*entry_class) {
+            text += &format!("\n## {}\n\n", entry_class.title());
             text += "| code | name | what has happened | what to do |\n|---|---|---|---|\n";
-            class = Some(*of);
+            class = Some(*entry_class);
         }
-        text += &format!("| {code} | `{name}` | {what} | {action} |\n");
+        text += &format!("| {code} | `{name}` | {description} | {action} |\n");
     }
     text
 }
 
-fn border_types(source: &Path) -> anyhow::Result<String> {
+fn schema_types(source: &Path) -> anyhow::Result<String> {
     let schema: schemars::schema::RootSchema = serde_json::from_slice(&std::fs::read(source)?)?;
     let mut types = TypeSpace::new(TypeSpaceSettings::default().with_struct_builder(false));
     types.add_root_schema(schema)?;
     let file = source.file_name().unwrap_or_default().to_string_lossy();
-    let head =
+    let header =
         format!("//! Border types generated from `schema/{file}` by `cargo xtask codegen`.\n\n");
-    let text = format_rust(&format!("{head}{}", types.to_stream()))?;
-    Ok(without_schema_listings(&text))
+    let text = format_rust(&format!("{header}{}", types.to_stream()))?;
+    Ok(strip_schema_listings(&text))
 }
 
-/// Drops the copies of the schema that typify puts into doc comments: `schema/` has the original.
-fn without_schema_listings(text: &str) -> String {
+/// Removes the copies of the schema that typify puts into doc comments; `schema/` has the original.
+fn strip_schema_listings(text: &str) -> String {
     let mut is_listing = false;
     let mut kept = String::with_capacity(text.len());
     for line in text.lines() {
@@ -101,7 +101,7 @@
     kept
 }
 
-/// Formats by the toolchain's own formatter, so that the result passes `cargo fmt --check`.
+/// Formats with the toolchain's rustfmt, so that the result passes `cargo fmt --check`.
 fn format_rust(text: &str) -> anyhow::Result<String> {
     let mut child = Command::new("rustfmt")
         .args(["--edition", "2024", "--config-path"])
@@ -110,7 +110,7 @@
         .stdout(Stdio::piped())
         .spawn()
         .context("rustfmt")?;
-    child.stdin.take().context("rustfmt: no input")?.write_all(text.as_bytes())?;
+    child.stdin.take().context("rustfmt: no standard input")?.write_all(text.as_bytes())?;
     let output = child.wait_with_output()?;
     ensure!(output.status.success(), "rustfmt: {}", output.status);
     Ok(String::from_utf8(output.stdout)?)
--- a/xtask/src/lab/actions.rs
+++ b/xtask/src/lab/actions.rs
@@ -113,7 +113,7 @@
     pub(super) fn await_exit(&self, id: DaemonId) -> anyhow::Result<()> {
         let exited = || {
             self.with_daemon(id, |daemon| match &mut daemon.process {
-                Some(process) => process.exited(),
+                Some(process) => process.exit_status(),
                 None => None,
             })
         };
