--- a/xtask/src/direct/fleet.rs
+++ b/xtask/src/direct/fleet.rs
@@ -168,7 +168,7 @@
             Action::StoreRefuses => self.store.set_mode(Mode::Refusing),
             Action::StoreWell => self.store.set_mode(Mode::Well),
             Action::KillAll => self.kill_all()?,
-            Action::Calm => self.ledger.calm(),
+            Action::Calm => self.ledger.calm_started(),
             Action::Finish => self.callers.iter().for_each(Callers::begin_no_more),
             Action::End => self.callers = None,
         }
--- a/xtask/src/direct/verdict.rs
+++ b/xtask/src/direct/verdict.rs
@@ -20,7 +20,7 @@
     pub(super) fn of(ledger: &Ledger, store_calls: u64) -> Self {
         let mut counts = ledger.counts();
         counts.push(("store_calls", store_calls));
-        Self { counts, broken: ledger.broken() }
+        Self { counts, broken: ledger.violations() }
     }
 
     /// One line for programs.
