--- a/xtask/src/direct/fleet.rs
+++ b/xtask/src/direct/fleet.rs
@@ -10,7 +10,7 @@
 use platform_standins::fabric::Fabric;
 use platform_standins::ledger::Ledger;
 use platform_standins::store::{Mode, Store};
-use platform_standins::upstream::{Plan, Upstream};
+use platform_standins::upstream::{Upstream, UpstreamConfig};
 use serde_json::json;
 
 use super::scenario::Action;
@@ -229,9 +229,9 @@
     fn start_upstream(&mut self, index: usize) -> anyhow::Result<()> {
         self.upstreams[index] = None;
         self.lives += 1;
-        let plan = Plan {
+        let config = UpstreamConfig {
             service: self.services[index],
-            life: self.lives,
+            incarnation: self.lives,
             app: SocketAddrV4::new(upstream_ip(index), APP),
             outbound: SocketAddrV4::new(upstream_ip(index), OUTBOUND),
             slots: SLOTS,
@@ -240,7 +240,7 @@
             allowed: is_allowed(self.services[index], index),
             cold: self.cold(index),
         };
-        self.upstreams[index] = Some(Upstream::start(plan, self.ledger.clone())?);
+        self.upstreams[index] = Some(Upstream::start(config, self.ledger.clone())?);
         self.list(index, "ready");
         Ok(())
     }
