--- a/xtask/src/direct/fleet.rs
+++ b/xtask/src/direct/fleet.rs
@@ -90,11 +90,11 @@
     }
 
     pub(super) fn start_callers(&mut self, seed: u64) -> anyhow::Result<()> {
-        let target = |port, service, callers, long| Target {
+        let target = |port, service, callers, persistent| Target {
             endpoint: SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), port),
             service,
             callers,
-            long,
+            persistent,
             pause: Duration::from_millis(200),
         };
         let targets = [
@@ -169,7 +169,7 @@
             Action::StoreWell => self.store.set_mode(Mode::Well),
             Action::KillAll => self.kill_all()?,
             Action::Calm => self.ledger.calm_started(),
-            Action::Finish => self.callers.iter().for_each(Callers::begin_no_more),
+            Action::Finish => self.callers.iter().for_each(Callers::stop_new_requests),
             Action::End => self.callers = None,
         }
         Ok(())
