--- a/xtask/src/direct/fleet.rs
+++ b/xtask/src/direct/fleet.rs
@@ -10,7 +10,7 @@
 use platform_standins::fabric::Fabric;
 use platform_standins::ledger::Ledger;
 use platform_standins::store::{Mode, Store};
-use platform_standins::upstream::{Plan, Upstream};
+use platform_standins::upstream::{Upstream, UpstreamConfig};
 use serde_json::json;
 
 use super::scenario::Action;
@@ -95,11 +95,11 @@
     }
 
     pub(super) fn start_callers(&mut self, seed: u64) -> anyhow::Result<()> {
-        let target = |port, service, callers, long| Target {
+        let target = |port, service, callers, persistent| Target {
             endpoint: SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), port),
             service,
             callers,
-            long,
+            persistent,
             pause: Duration::from_millis(200),
         };
         let targets = [
@@ -173,8 +173,8 @@
             Action::StoreRefuses => self.store.set_mode(Mode::Refusing),
             Action::StoreWell => self.store.set_mode(Mode::Well),
             Action::KillAll => self.kill_all()?,
-            Action::Calm => self.ledger.calm(),
-            Action::Finish => self.callers.iter().for_each(Callers::begin_no_more),
+            Action::Calm => self.ledger.calm_started(),
+            Action::Finish => self.callers.iter().for_each(Callers::stop_new_requests),
             Action::End => self.callers = None,
         }
         Ok(())
@@ -234,9 +234,9 @@
     fn start_upstream(&mut self, index: usize) -> anyhow::Result<()> {
         self.upstreams[index] = None;
         self.incarnations += 1;
-        let plan = Plan {
+        let config = UpstreamConfig {
             service: self.services[index],
-            life: self.incarnations,
+            incarnation: self.incarnations,
             app: SocketAddrV4::new(upstream_ip(index), APP_PORT),
             outbound: SocketAddrV4::new(upstream_ip(index), OUTBOUND_PORT),
             slots: UPSTREAM_SLOTS,
@@ -245,7 +245,7 @@
             allowed: is_allowed(self.services[index], index),
             cold: self.warmup(index),
         };
-        self.upstreams[index] = Some(Upstream::start(plan, self.ledger.clone())?);
+        self.upstreams[index] = Some(Upstream::start(config, self.ledger.clone())?);
         self.publish_entry(index, "ready");
         Ok(())
     }
--- a/xtask/src/direct/verdict.rs
+++ b/xtask/src/direct/verdict.rs
@@ -21,7 +21,7 @@
     pub(super) fn of(ledger: &Ledger, store_calls: u64) -> Self {
         let mut counts = ledger.counts();
         counts.push(("store_calls", store_calls));
-        Self { counts, violations: ledger.broken() }
+        Self { counts, violations: ledger.violations() }
     }
 
     /// The counts and violations as one JSON object, for tools.
