--- a/crates/fuzzing/src/direct/world/packets.rs
+++ b/crates/fuzzing/src/direct/world/packets.rs
@@ -122,7 +122,7 @@
             wait_slos: 0,
             urgent: false,
             wants_report,
-            refuses_new_flows: to.turns_away,
+            refuses_new_flows: to.refuses_new_flows,
             limit_per_ks: to.limit_per_ks,
             cold: to.cold,
         };
@@ -136,7 +136,7 @@
                 self.at_upstream(upstream, balancer, packet);
                 self.send_reply(balancer, upstream, Verdict::Unresponsive { for_ms }, packet);
             }
-            Delivery::Foreign { service } => {
+            Delivery::WrongService { service } => {
                 self.send_reply(balancer, upstream, Verdict::WrongService { service }, packet);
             }
             Delivery::NotHeld | Delivery::NotAccepting => {
--- a/crates/steering/src/edge/reach.rs
+++ b/crates/steering/src/edge/reach.rs
@@ -100,12 +100,12 @@
     }
 
     fn is_ping_due(&self, now_ms: Millis) -> bool {
-        let pause_ms = match self.unanswered_pings {
+        let interval_ms = match self.unanswered_pings {
             0 => REPLY_TIMEOUT_MS,
             _ if self.is_unreachable(now_ms) => PING_UNREACHABLE_INTERVAL_MS,
             _ => PING_INTERVAL_MS,
         };
-        now_ms.saturating_sub(self.last_ping_ms) >= pause_ms
+        now_ms.saturating_sub(self.last_ping_ms) >= interval_ms
     }
 
     fn is_unreachable(&self, now_ms: Millis) -> bool {
--- a/crates/steering/src/edge/search.rs
+++ b/crates/steering/src/edge/search.rs
@@ -23,7 +23,7 @@
 /// target. Most flows are at one of the first ranks, and a packet dropped on the way there would be
 /// retransmitted only 200 ms later. Beyond the first ranks, forwarding each packet would amount to
 /// a separate search for each.
-const FORWARDED_WITHIN: u64 = 3;
+const FORWARD_DENIED_MAX_ASKS: u64 = 3;
 
 /// Number of upstreams that are asked one at a time. Nearly all flows are at one of these.
 const SEQUENTIAL_ASKS: u64 = 6;
@@ -282,7 +282,7 @@
         let copied = entry.visits.take_copied(from);
         entry.record_denial(from, now_ms);
         if let Some(target) = entry.target {
-            let forwards = entry.confirmed || entry.visits.asked_count() <= FORWARDED_WITHIN;
+            let forwards = entry.confirmed || entry.visits.asked_count() <= FORWARD_DENIED_MAX_ASKS;
             if forwards && !copied && segment.wants_answer() {
                 self.forward_search(now_ms, view, flow, target, actions);
             }
--- a/crates/steering/src/edge/types.rs
+++ b/crates/steering/src/edge/types.rs
@@ -9,7 +9,7 @@
 /// balancer may be cut off, and flows may be open at upstreams that it does not know. Balancers
 /// that read the configuration service get an update from it every 2.5 s; all others get one from a
 /// reader twice a second.
-const CONFIRMED_MS: Millis = 5_000;
+const CONFIRMATION_TTL_MS: Millis = 5_000;
 
 /// An agent's reply about a packet that it received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 
 impl Trust {
     pub(super) fn proves_absence(self, now_ms: Millis) -> bool {
-        let confirmed = now_ms.saturating_sub(self.confirmed_ms) < CONFIRMED_MS;
+        let confirmed = now_ms.saturating_sub(self.confirmed_ms) < CONFIRMATION_TTL_MS;
         confirmed && now_ms >= self.complete_from_ms
     }
 }
@@ -112,7 +112,7 @@
     /// Whether the flow's requests have priority over others.
     pub urgent: bool,
     /// Whether this balancer knows that the upstream takes no new flows.
-    pub turns_away: bool,
+    pub refuses_new_flows: bool,
     /// Openings that a cold upstream takes in a thousand seconds; zero if they are not limited.
     pub limit_per_ks: u32,
     /// Whether this balancer knows that the upstream is cold.
@@ -137,7 +137,7 @@
             slo_ms: route.map_or(0, |route| route.slo_ms),
             wait_slos: route.map_or(0, |route| route.wait_slos),
             urgent: route.is_some_and(|route| route.urgent),
-            turns_away: upstream.is_some_and(|upstream| view.refuses_new_flows(upstream)),
+            refuses_new_flows: upstream.is_some_and(|upstream| view.refuses_new_flows(upstream)),
             limit_per_ks: view
                 .routes
                 .service(service)
--- a/crates/steering/src/edge/visits.rs
+++ b/crates/steering/src/edge/visits.rs
@@ -21,7 +21,7 @@
     last_sent_ms: Millis,
     /// When it may get another packet if it has not replied.
     retry_at_ms: Millis,
-    pause_ms: Millis,
+    backoff_ms: Millis,
 }
 
 /// Upstreams that got packets of a search, sorted by address.
@@ -78,21 +78,27 @@
     }
 
     fn record(&mut self, now_ms: Millis, address: Ipv4Addr) -> &mut Visit {
-        let (index, pause_ms) = match self.find(address) {
-            Ok(index) => (index, (2 * self.visits[index].pause_ms).min(RETRY_MAX_MS)),
+        let (index, backoff_ms) = match self.find(address) {
+            Ok(index) => (index, (2 * self.visits[index].backoff_ms).min(RETRY_MAX_MS)),
             Err(index) => {
                 let (last_sent_ms, retry_at_ms) = (now_ms, now_ms);
                 let (asked, copied) = (false, false);
-                let visit =
-                    Visit { address, asked, copied, last_sent_ms, retry_at_ms, pause_ms: RETRY_MS };
+                let visit = Visit {
+                    address,
+                    asked,
+                    copied,
+                    last_sent_ms,
+                    retry_at_ms,
+                    backoff_ms: RETRY_MS,
+                };
                 self.visits.insert(index, visit);
                 (index, RETRY_MS)
             }
         };
         let visit = &mut self.visits[index];
         visit.last_sent_ms = now_ms;
-        visit.retry_at_ms = now_ms + pause_ms;
-        visit.pause_ms = pause_ms;
+        visit.retry_at_ms = now_ms + backoff_ms;
+        visit.backoff_ms = backoff_ms;
         visit
     }
 
--- a/crates/steering/src/peers/mod.rs
+++ b/crates/steering/src/peers/mod.rs
@@ -258,13 +258,13 @@
         let recent = |reader: &&Contact| now_ms.saturating_sub(reader.at_ms) < HELLO_TO_READER_MS;
         let readers = self.readers.iter().filter(recent).map(|reader| reader.address);
         let mut targets: Vec<Ipv4Addr> = readers.collect();
-        let pause_ms = match targets.len() {
+        let interval_ms = match targets.len() {
             _ if has_no_view || (is_starting && self.readers.is_empty()) => HELLO_WITHOUT_VIEW_MS,
             0 => HELLO_MS,
             _ if is_starting => HELLO_MS,
             _ => HELLO_STEADY_MS,
         };
-        if self.last_hello_ms > 0 && now_ms.saturating_sub(self.last_hello_ms) < pause_ms {
+        if self.last_hello_ms > 0 && now_ms.saturating_sub(self.last_hello_ms) < interval_ms {
             return Vec::new();
         }
         self.last_hello_ms = now_ms.max(1);
--- a/crates/steering/src/rotation/mod.rs
+++ b/crates/steering/src/rotation/mod.rs
@@ -87,8 +87,8 @@
     ///     received_bytes: second * 1_700_000,
     ///     since_last_packet_ms: 0,
     /// };
-    /// let takes_part = [0, 1, 2, 3].map(|second| rotation.update(second * 1_000, full(second)));
-    /// assert_eq!(takes_part, [true, true, true, false]);
+    /// let in_rotation = [0, 1, 2, 3].map(|second| rotation.update(second * 1_000, full(second)));
+    /// assert_eq!(in_rotation, [true, true, true, false]);
     /// ```
     pub fn update(&mut self, now_ms: Millis, load: Load) -> bool {
         self.lagged |= load.lag_ms >= LAG_MAX_MS;
--- a/crates/steering/src/side/mod.rs
+++ b/crates/steering/src/side/mod.rs
@@ -118,7 +118,7 @@
         self.note_running(now_ms);
         if metadata.service != self.service {
             return PacketOutcome {
-                delivery: Delivery::Foreign { service: self.service },
+                delivery: Delivery::WrongService { service: self.service },
                 report: None,
             };
         }
@@ -137,9 +137,10 @@
         }
         self.note_packet(now_ms, segment, metadata);
         let delivery = self.deliver(now_ms, segment, bytes, &metadata);
-        let silent = matches!(delivery, Delivery::DeliverUnresponsive { .. });
-        let report = if held.is_some() && !silent { self.take_report(segment.flow) } else { None };
-        if report.is_some() || silent {
+        let unresponsive = matches!(delivery, Delivery::DeliverUnresponsive { .. });
+        let report =
+            if held.is_some() && !unresponsive { self.take_report(segment.flow) } else { None };
+        if report.is_some() || unresponsive {
             self.pending_replies.resolve(metadata.balancer);
         } else if metadata.wants_report {
             self.pending_replies.expect(now_ms, metadata.balancer);
--- a/crates/steering/src/side/pace.rs
+++ b/crates/steering/src/side/pace.rs
@@ -14,7 +14,7 @@
 const SLOW_FACTOR: f64 = 2.0;
 /// The upstream counts as recovered when the short-term mean is below this multiple of the
 /// long-term mean.
-const WELL_FACTOR: f64 = 1.25;
+const RECOVERED_FACTOR: f64 = 1.25;
 
 /// Short-term and long-term means of the time from a request to the first packet of its answer.
 #[derive(Clone, Copy, Debug, Default)]
@@ -51,7 +51,7 @@
             let weight = LONG_WEIGHT.max(1.0 / f64::from(self.answers));
             self.long_ms += (service_time_ms - self.long_ms) * weight;
         }
-        let factor = if self.slow { WELL_FACTOR } else { SLOW_FACTOR };
+        let factor = if self.slow { RECOVERED_FACTOR } else { SLOW_FACTOR };
         let slow = self.short_ms > self.long_ms * factor;
         if self.answers < ANSWERS_MIN || slow == self.slow {
             return None;
--- a/crates/steering/src/side/types.rs
+++ b/crates/steering/src/side/types.rs
@@ -44,7 +44,7 @@
         for_ms: Millis,
     },
     /// Returns it to the balancer: it is addressed to another service.
-    Foreign {
+    WrongService {
         /// The service that the upstream runs.
         service: ServiceStamp,
     },
--- a/crates/steering/src/timeouts/mod.rs
+++ b/crates/steering/src/timeouts/mod.rs
@@ -23,8 +23,8 @@
 impl Timeouts {
     /// Starts at a different position for each caller, so that of many callers at least one makes a
     /// short call at any moment.
-    pub fn staggered(caller: Ipv4Addr) -> Self {
-        Self { calls: caller.to_bits() % LONG_EVERY }
+    pub fn staggered(balancer: Ipv4Addr) -> Self {
+        Self { calls: balancer.to_bits() % LONG_EVERY }
     }
 
     /// The next timeout. Callers that have a view are not in a hurry and use the long one.
--- a/crates/steering/tests/common/mod.rs
+++ b/crates/steering/tests/common/mod.rs
@@ -76,7 +76,7 @@
 }
 
 /// The packet with which a caller closes its side of a flow.
-pub(crate) fn ending(number: u16, sequence: u32) -> Segment {
+pub(crate) fn closing(number: u16, sequence: u32) -> Segment {
     Segment { data_bytes: 0, last: true, ..data(number, sequence) }
 }
 
--- a/crates/steering/tests/edge_search.rs
+++ b/crates/steering/tests/edge_search.rs
@@ -5,7 +5,7 @@
 use std::net::Ipv4Addr;
 
 use common::{
-    READY, all_ready_view, data, ending, flow, hops_to, opening, packet, target, tick, verdict,
+    READY, all_ready_view, closing, data, flow, hops_to, opening, packet, target, tick, verdict,
     view_of,
 };
 use rstest::rstest;
@@ -252,7 +252,7 @@
 #[test]
 fn closing_flow_is_searched_for_beyond_a_dead_upstream() {
     let (mut edge, view) = (Edge::default(), all_ready_view());
-    let segment = ending(1, 105);
+    let segment = closing(1, 105);
     let dead = target(&packet(&mut edge, 0, &view, &segment)[0]).unwrap();
     let sent = search(&mut edge, &view, &segment, &[dead], 1_000);
     let mut asked: Vec<Ipv4Addr> = sent.into_iter().map(|(_, to)| to).collect();
@@ -336,7 +336,7 @@
     for now_ms in 1_000..4_000 {
         let mut actions = Vec::new();
         if [1_000, 1_200, 1_600, 2_400].contains(&now_ms) {
-            actions.extend(packet(&mut edge, now_ms, &view, &ending(1, 5)));
+            actions.extend(packet(&mut edge, now_ms, &view, &closing(1, 5)));
         }
         if now_ms % 20 == 0 {
             actions.extend(tick(&mut edge, now_ms, &view));
@@ -345,7 +345,7 @@
             reached.push(to);
             if to != unresponsive {
                 let denied = Verdict::Denied;
-                actions.extend(verdict(&mut edge, now_ms, &view, to, denied, &ending(1, 5)));
+                actions.extend(verdict(&mut edge, now_ms, &view, to, denied, &closing(1, 5)));
             }
         }
     }
--- a/crates/steering/tests/edge_size.rs
+++ b/crates/steering/tests/edge_size.rs
@@ -269,14 +269,14 @@
     }
     let dead = known[0].1;
     let at_dead: Vec<u16> = known.iter().filter(|(_, to)| *to == dead).map(|(n, _)| *n).collect();
-    let (lost, living) = (&at_dead[1..], at_dead[0]);
+    let (lost, open_elsewhere) = (&at_dead[1..], at_dead[0]);
     let mut reset_callers: Vec<u16> = Vec::new();
     let mut replies: Vec<(Ipv4Addr, Segment)> = Vec::new();
     for now_ms in (2..4_000).step_by(2) {
         edge.set_trust(Trust { confirmed_ms: now_ms, complete_from_ms: 0 });
         let mut actions: Vec<(Segment, Action)> = Vec::new();
         for (from, segment) in std::mem::take(&mut replies) {
-            let is_holder = from != dead && segment.flow == data(living, 0).flow;
+            let is_holder = from != dead && segment.flow == data(open_elsewhere, 0).flow;
             let reply = if is_holder { held } else { Verdict::Denied };
             let next = verdict(&mut edge, now_ms, &view, from, reply, &segment);
             actions.extend(next.into_iter().map(|action| (segment, action)));
--- a/crates/steering/tests/membership.rs
+++ b/crates/steering/tests/membership.rs
@@ -169,7 +169,7 @@
 /// How long the list may still be incomplete, as reported to other balancers: without an outage,
 /// after an outage that this balancer saw end, or during one.
 #[rstest]
-#[case::calm(10_000, 9_000, false, 0)]
+#[case::no_outage(10_000, 9_000, false, 0)]
 #[case::after_an_outage(10_000, 11_500, false, 1_500)]
 #[case::in_an_outage(10_000, 0, true, OUTAGE_LINGER_MS)]
 #[case::in_the_next_outage(10_000, 10_200, true, OUTAGE_LINGER_MS)]
--- a/crates/steering/tests/side.rs
+++ b/crates/steering/tests/side.rs
@@ -303,7 +303,7 @@
     let received = agent.on_packet(0, &opening(1, 0), &[], metadata);
     assert_eq!(
         received,
-        PacketOutcome { delivery: Delivery::Foreign { service: SERVICE }, report: None }
+        PacketOutcome { delivery: Delivery::WrongService { service: SERVICE }, report: None }
     );
     assert_eq!(agent.flow_count(), 0);
 }
--- a/crates/steering/tests/side_words.rs
+++ b/crates/steering/tests/side_words.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::agent::{BALANCER, answer, deliver, metadata, open_flow, opening_answer};
-use common::{SERVICE, data, ending, opening};
+use common::{SERVICE, closing, data, opening};
 use rstest::rstest;
 use steering::flow::Segment;
 use steering::side::{AgentCore, Answer, Delivery, ForwardMetadata};
@@ -123,7 +123,7 @@
     let mut agent = AgentCore::new(SERVICE);
     deliver(&mut agent, 0, &opening(1, 0), 7);
     agent.on_answer(1, Answer { sequence: 1_000, ..opening_answer(1) });
-    let segment = Segment { acknowledged: 900_000, ..ending(1, 1) };
+    let segment = Segment { acknowledged: 900_000, ..closing(1, 1) };
     let received =
         agent.on_packet(3, &segment, &[], ForwardMetadata { wants_report: true, ..metadata(7) });
     assert_eq!((received.delivery, received.report), (Delivery::Deliver, None));
@@ -181,6 +181,6 @@
     agent.on_answer(3, Answer { sequence: 15_401, last: true, ..answer(1) });
     deliver(&mut agent, 4, &Segment { data_bytes: 0, acknowledged: 8_001, ..data(1, 101) }, 7);
     agent.on_answer(5, Answer { sequence: 8_001, ..answer(1) });
-    let segment = Segment { acknowledged: 15_902, ..ending(1, 101) };
+    let segment = Segment { acknowledged: 15_902, ..closing(1, 101) };
     assert_eq!(deliver(&mut agent, 6, &segment, 7), Delivery::Deliver);
 }
--- a/crates/steering/tests/zones.rs
+++ b/crates/steering/tests/zones.rs
@@ -139,7 +139,7 @@
     let view = view_in(&[only], &[B]);
     let actions = packet(&mut Edge::default(), 0, &view, &data(1, 5));
     let Action::Forward { to, .. } = actions[0] else { panic!("{actions:?}") };
-    assert_eq!(to.turns_away, expected);
+    assert_eq!(to.refuses_new_flows, expected);
 }
 
 fn view_of_regions(allowed: &[RegionStamp]) -> View {
