--- a/crates/steering/src/edge/candidates.rs
+++ b/crates/steering/src/edge/candidates.rs
@@ -37,8 +37,8 @@
             return Self { current, former, ..Self::default() };
         }
         let known = [&current[..], &former[..]].concat();
-        let neighbors = view.routes.routes_at(*flow.endpoint.ip()).iter();
-        let suspected = excluding(neighbors.flat_map(|route| route.services()), &known);
+        let same_address = view.routes.routes_at(*flow.endpoint.ip()).iter();
+        let suspected = excluding(same_address.flat_map(|route| route.services()), &known);
         let unrouted = excluding(view.routes.unrouted().iter().copied(), &known);
         Self { current, former, suspected, unrouted }
     }
--- a/crates/steering/src/side/mod.rs
+++ b/crates/steering/src/side/mod.rs
@@ -34,19 +34,19 @@
 const UNRESPONSIVE_OPENINGS: u32 = 2;
 /// After a pause of this process of this length or more, missing answers prove nothing about the
 /// upstream.
-const PAUSE_MS: Millis = 80;
+const PAUSE_THRESHOLD_MS: Millis = 80;
 /// Maximum number of flows in the table. An upstream holds 2,000.
 const FLOWS_MAX: usize = 16_384;
 /// A running upstream keeps a flow for longer than this after its last packet on it. Idle flows are
 /// closed after many seconds.
 const FLOW_KEPT_MIN_MS: Millis = 1_000;
 /// A flow without packets for this long is removed from the table.
-const FLOW_IDLE_MS: Millis = 20_000;
+const FLOW_IDLE_TIMEOUT_MS: Millis = 20_000;
 /// A request counts as in progress for at most this long, so that requests whose answers were lost
 /// do not stay counted.
 const BUSY_MAX_MS: Millis = 3_000;
 /// Interval between two sweeps of the flow table.
-const SWEEP_MS: Millis = 1_000;
+const SWEEP_INTERVAL_MS: Millis = 1_000;
 /// Requests passed to the upstream beyond its slots, so that a free slot never waits for its next
 /// request.
 const REQUESTS_BEYOND_SLOTS: u32 = 1;
@@ -78,7 +78,7 @@
     unanswered: u32,
     unanswered_since_ms: Millis,
     last_running_ms: Millis,
-    swept_ms: Millis,
+    last_sweep_ms: Millis,
 }
 
 impl AgentCore {
@@ -102,7 +102,7 @@
             unanswered: 0,
             unanswered_since_ms: 0,
             last_running_ms: 0,
-            swept_ms: 0,
+            last_sweep_ms: 0,
         }
     }
 
@@ -315,12 +315,12 @@
     /// Notes that the process is running. After a pause of the process, the upstream's answers may
     /// still be unread, and the elapsed time proves nothing about the upstream.
     fn note_running(&mut self, now_ms: Millis) {
-        if now_ms.saturating_sub(self.last_running_ms) >= PAUSE_MS {
+        if now_ms.saturating_sub(self.last_running_ms) >= PAUSE_THRESHOLD_MS {
             self.unanswered = 0;
         }
         self.last_running_ms = now_ms;
         self.admission.start_counting(now_ms);
-        if now_ms.saturating_sub(self.swept_ms) >= SWEEP_MS {
+        if now_ms.saturating_sub(self.last_sweep_ms) >= SWEEP_INTERVAL_MS {
             self.sweep(now_ms);
         }
     }
@@ -328,9 +328,9 @@
     /// Removes idle flows, and requests whose answers were lost. If these stayed counted, other
     /// requests would be queued beside an idle upstream.
     fn sweep(&mut self, now_ms: Millis) {
-        self.swept_ms = now_ms;
+        self.last_sweep_ms = now_ms;
         self.queue.drop_abandoned(now_ms);
-        self.flows.retain(|_, flow| now_ms.saturating_sub(flow.seen_ms) < FLOW_IDLE_MS);
+        self.flows.retain(|_, flow| now_ms.saturating_sub(flow.seen_ms) < FLOW_IDLE_TIMEOUT_MS);
         for flow in self.flows.values_mut() {
             if flow.busy_since_ms.is_some_and(|since| now_ms.saturating_sub(since) >= BUSY_MAX_MS) {
                 flow.busy_since_ms = None;
--- a/crates/steering/tests/edge_long_answers.rs
+++ b/crates/steering/tests/edge_long_answers.rs
@@ -198,7 +198,7 @@
 #[case::largest_service(400, 109, 54)]
 #[case::fleet(400, 543, 270)]
 #[case::twice_the_fleet(800, 1_086, 540)]
-fn flows_taken_over_from_a_neighbor_are_all_found(
+fn flows_taken_over_from_a_neighbour_are_all_found(
     #[case] flows: u16,
     #[case] ready: u16,
     #[case] gone: u16,
