--- a/crates/steering/src/edge/mod.rs
+++ b/crates/steering/src/edge/mod.rs
@@ -105,7 +105,7 @@
         self.note_requests(now_ms, view, segment.flow, &actions[before..]);
     }
 
-    /// Sets how far the list of upstreams can be trusted from now on.
+    /// Sets how far the list of upstreams can be trusted to be complete.
     pub fn set_trust(&mut self, trust: Trust) {
         self.trust = trust;
     }
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Retransmits packets that nobody has answered, to other upstreams first, and removes expired
-    /// flows. Each action is paired with the packet that it applies to.
+    /// Retransmits packets that no upstream has answered, to other upstreams first, and removes
+    /// expired flows. Each action is paired with the packet that it applies to.
     pub fn on_tick(&mut self, now_ms: Millis, view: &View, actions: &mut Vec<(Arc<[u8]>, Action)>) {
         self.detect_pause(now_ms);
         let repeats = self.policy.repeats && !self.is_lagging(now_ms);
--- a/crates/steering/src/edge/reach.rs
+++ b/crates/steering/src/edge/reach.rs
@@ -7,8 +7,8 @@
 //!
 //! A running agent replies within 100 ms to every packet that asks for a reply, even if its
 //! upstream is dead or busy for long. A missing reply on one flow is therefore evidence for all
-//! flows: an agent that owes replies is pinged; an unresponsive one gets only a single packet from
-//! time to time instead of those of every flow, and after a while counts as unreachable.
+//! flows: an agent with missing replies is pinged; an unresponsive one gets only a single packet
+//! from time to time instead of those of every flow, and after a while counts as unreachable.
 
 use std::net::Ipv4Addr;
 
@@ -38,7 +38,7 @@
 /// Unanswered pings that count as much as that many flows: agents answer pings at once, whatever
 /// their upstream does.
 const UNANSWERED_PINGS_MIN: u32 = 3;
-/// Interval between two pings to an agent that owes a reply, and to an unreachable one.
+/// Interval between two pings to an agent with missing replies, and to an unreachable one.
 const PING_INTERVAL_MS: Millis = 100;
 const PING_UNREACHABLE_INTERVAL_MS: Millis = 400;
 /// Maximum number of pings for each tick. Ticks come every 20 ms; a hundred pings a second cost a
@@ -202,8 +202,8 @@
         for_ms.is_some_and(|for_ms| for_ms >= UNRESPONSIVE_AFTER_MS)
     }
 
-    /// Whether the agent at `address` has been unresponsive for so long that its upstream serves
-    /// nobody.
+    /// Whether the agent at `address` has been unresponsive for so long that its upstream counts as
+    /// unable to serve any flow.
     pub(super) fn is_unreachable(&self, now_ms: Millis, address: Ipv4Addr) -> bool {
         self.agent(address).is_some_and(|agent| agent.is_unreachable(now_ms))
     }
--- a/crates/steering/src/edge/search.rs
+++ b/crates/steering/src/edge/search.rs
@@ -19,10 +19,10 @@
 
 /// Maximum number of upstreams that get a copy of a retransmitted packet at once.
 const COPIES_MAX: usize = 3;
-/// Number of asked upstreams up to which every denied packet of a flow is forwarded to the current
-/// target. Most flows are at one of the first ranks, and a packet dropped on the way there would be
-/// retransmitted only 200 ms later. Beyond the first ranks, forwarding each packet would amount to
-/// a separate search for each.
+/// As long as a search has asked no more upstreams than this, every denied packet of the flow is
+/// forwarded to the current target. Most flows are at one of the first ranks, and a packet dropped
+/// on the way there would be retransmitted only 200 ms later. Beyond the first ranks, forwarding
+/// each packet would amount to a separate search for each.
 const FORWARD_DENIED_MAX_ASKS: u64 = 3;
 
 /// Number of upstreams that are asked one at a time. Nearly all flows are at one of these.
@@ -190,8 +190,8 @@
             Step::Wait => actions.push(Action::Drop { reason: Reason::Unknown }),
             Step::Absent => return self.reset_if_proven_lost(now_ms, view, flow, actions),
         }
-        // Copies are useless once the flow's upstream is known: it is slow, or has died with the
-        // flow.
+        // Copies are useless once the flow's upstream is known: it is slow, or has failed and lost
+        // the flow.
         let confirmed = self.flows.get(flow).is_some_and(|entry| entry.confirmed);
         if repeated && !confirmed && !lagging {
             self.send_copies(now_ms, view, flow, actions);
--- a/crates/steering/src/edge/types.rs
+++ b/crates/steering/src/edge/types.rs
@@ -5,7 +5,7 @@
 use crate::flow::{FlowKey, Millis};
 use crate::view::{ServiceStamp, View};
 
-/// What is missing from a view that has not been confirmed for this long proves nothing: this
+/// A view that has not been confirmed for this long does not prove that a flow is lost: this
 /// balancer may be cut off, and flows may be open at upstreams that it does not know. Balancers
 /// that read the configuration service get an update from it every 2.5 s; all others get one from a
 /// reader twice a second.
@@ -30,7 +30,7 @@
         /// The service that the upstream runs.
         service: ServiceStamp,
     },
-    /// The upstream is cold and has taken as many openings as its limit allows.
+    /// The upstream is cold and has reached its limit of openings.
     RateLimited {
         /// How long to send it no further opening.
         for_ms: Millis,
@@ -103,17 +103,18 @@
     pub address: Ipv4Addr,
     /// The service whose upstream may receive the packet.
     pub service: ServiceStamp,
-    /// Requests that the upstream processes at a time; zero if not known.
+    /// Requests that the upstream processes concurrently; zero if not known.
     pub slots: u8,
     /// Time within which the flow's caller expects an answer; zero if not known.
     pub slo_ms: u32,
-    /// How many times that long the caller waits, one of [`crate::view::WAIT_STEPS_SLOS`].
+    /// How many multiples of `slo_ms` the caller waits before giving up, one of
+    /// [`crate::view::WAIT_STEPS_SLOS`].
     pub wait_slos: u8,
-    /// Whether the flow's requests have priority over others.
+    /// Whether the flow's requests take precedence over others.
     pub urgent: bool,
-    /// Whether this balancer knows that the upstream takes no new flows.
+    /// Whether this balancer knows that the upstream accepts no new flows.
     pub refuses_new_flows: bool,
-    /// Openings that a cold upstream takes in a thousand seconds; zero if they are not limited.
+    /// Openings per 1,000 seconds that a cold upstream can handle; zero if they are not limited.
     pub limit_per_ks: u32,
     /// Whether this balancer knows that the upstream is cold.
     pub cold: bool,
@@ -147,7 +148,7 @@
     }
 }
 
-/// What the caller of the core is to do with a packet.
+/// What the process that runs the balancer core is to do with a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send the current packet to the agent at `to`.
--- a/crates/steering/src/leave/mod.rs
+++ b/crates/steering/src/leave/mod.rs
@@ -1,4 +1,4 @@
-//! Decides when a balancer that was told to stop may exit.
+//! Decides when a balancer may exit after a stop request.
 
 use crate::flow::Millis;
 
@@ -12,7 +12,7 @@
 /// Maximum time until exit. Instances are killed six seconds after the stop request.
 const SHUTDOWN_MAX_MS: Millis = 4_500;
 
-/// What has happened since a balancer was told to stop.
+/// What has happened since a balancer received a stop request.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownProgress {
     /// Time since the stop request.
--- a/crates/steering/src/membership/mod.rs
+++ b/crates/steering/src/membership/mod.rs
@@ -32,7 +32,7 @@
     /// Name of the upstream, which it may keep across restarts.
     pub id: Arc<str>,
     /// Start of this incarnation of the upstream by its own clock, in milliseconds; zero if the
-    /// upstream does not state it. Serves only to tell incarnations of one name apart.
+    /// upstream does not state it. Serves only to distinguish incarnations of one name.
     pub born_ms: u64,
     /// Address of its instance.
     pub address: Ipv4Addr,
@@ -237,8 +237,8 @@
     ///
     /// An address belongs to one upstream at a time: the one that started last, otherwise one that
     /// is listed, otherwise the one that arrived last. An entry of a service that the configuration
-    /// does not contain was written by someone else. It describes no upstream, and must not hide
-    /// the upstream that has the address.
+    /// does not contain comes from another writer. It describes no upstream, and must not hide the
+    /// upstream that has the address.
     pub fn view_since(&self, routes: Arc<RouteTable>, history: Arc<History>) -> View {
         let belongs_to_service = |member: &&Member| {
             let service = member.upstream.service;
--- a/crates/steering/src/peers/mod.rs
+++ b/crates/steering/src/peers/mod.rs
@@ -29,8 +29,8 @@
 /// Time after its start in which a balancer that has received no beacon sends hellos as often as
 /// one without a view.
 ///
-/// When all balancers start at once, the first hellos are lost. During an outage, when nobody
-/// reads, frequent hellos would load the configured instances.
+/// When all balancers start at once, the first hellos are lost. During an outage, when no balancer
+/// acts as a reader, frequent hellos would load the configured instances.
 const STARTUP_MS: Millis = 3_000;
 /// Interval between two hellos of a balancer without a view: callers are waiting for it.
 const HELLO_WITHOUT_VIEW_MS: Millis = 100;
@@ -43,14 +43,14 @@
 /// start. If they got hellos for longer than they read, the number of hellos would grow with the
 /// number of pairs of balancers.
 const HELLO_TO_READER_MS: Millis = 2 * HELLO_MS;
-/// A balancer that was not heard from for this long gets no more messages.
+/// A balancer from which no message was received for this long gets no more messages.
 const PEER_TIMEOUT_MS: Millis = 10_000;
 /// A primary reader that has not reached the configuration service for this long does not count as
 /// a reader, even if no call has failed. This is twice the wait of its watch.
 const PRIMARY_STORE_TIMEOUT_MS: Millis = 2_000;
 /// The same for a secondary reader, whose watch waits for five seconds. It only counts beside a
-/// primary: once that stops responding, the bound above applies, and a hanging secondary keeps
-/// nobody from reading.
+/// primary: once that stops responding, the bound above applies, and a hanging secondary does not
+/// keep other balancers from reading.
 const SECONDARY_STORE_TIMEOUT_MS: Millis = 7_000;
 /// Balancers that take over at the same moment from readers that stopped responding, highest rank
 /// first. If all of them did, calls would grow with the size of the fleet, and beacons with its
--- a/crates/steering/src/policy/mod.rs
+++ b/crates/steering/src/policy/mod.rs
@@ -19,21 +19,21 @@
     /// Among upstreams with the same load, one in the balancer's own availability zone is
     /// preferred.
     pub zone_affinity: bool,
-    /// Agents that reply to nobody get few packets, and count as unreachable after a while.
+    /// Agents that do not reply at all get few packets, and count as unreachable after a while.
     pub reach: bool,
-    /// Agents that owe a reply are probed.
+    /// Agents with missing replies are pinged.
     pub pings: bool,
     /// Upstreams that were unresponsive are passed over.
     pub suspicion: bool,
-    /// Unanswered packets are sent once more.
+    /// Unanswered packets are retransmitted.
     pub repeats: bool,
-    /// Repeated packets go to several upstreams.
+    /// Retransmitted packets go to several upstreams.
     pub copies: bool,
-    /// The number of packets that a balancer sends on its own account is limited.
+    /// The packets that a balancer sends beyond those of its callers are limited.
     pub budget: bool,
-    /// Nothing is repeated while the process lags behind.
+    /// Nothing is retransmitted while the process lags behind.
     pub lag: bool,
-    /// A balancer that cannot keep up leaves the rotation.
+    /// An overloaded balancer leaves the rotation.
     pub rotation: bool,
     /// Bodies are dropped before a balancer's link is full.
     pub link: bool,
--- a/crates/steering/src/rotation/mod.rs
+++ b/crates/steering/src/rotation/mod.rs
@@ -14,7 +14,7 @@
 /// Share of its link above which a balancer leaves, in percent. Bodies come in bursts, and a link
 /// that is two thirds full on average is overfull in every other half second.
 const LINK_PERCENT_MAX: u64 = 70;
-/// With this much lag, requests are late or repeated: callers repeat data after 200 ms.
+/// With this much lag, requests are late or retransmitted: callers retransmit data after 200 ms.
 const LAG_MAX_MS: Millis = 100;
 /// Window over which traffic is measured, longer than a burst of a few bodies.
 const WINDOW_MS: Millis = 1_000;
--- a/crates/steering/src/side/pending_replies.rs
+++ b/crates/steering/src/side/pending_replies.rs
@@ -1,7 +1,7 @@
 //! Balancers that wait for a reply.
 //!
-//! An agent that has just started does not know the flows that its upstream is working on. A short
-//! reply tells the balancer that the agent is running.
+//! An agent that has just started does not know the flows on which its upstream is processing
+//! requests. A short reply notifies the balancer that the agent is running.
 
 use std::net::Ipv4Addr;
 
--- a/crates/steering/src/side/votes.rs
+++ b/crates/steering/src/side/votes.rs
@@ -1,5 +1,5 @@
-//! The latest vote of each balancer on a question that a balancer with an outdated view answers
-//! wrongly.
+//! The latest vote of each balancer on a yes-or-no question about the upstream. One balancer's vote
+//! may be wrong, because its view is outdated.
 
 use std::net::Ipv4Addr;
 
--- a/crates/steering/src/timeouts/mod.rs
+++ b/crates/steering/src/timeouts/mod.rs
@@ -10,24 +10,25 @@
 /// One timeout out of this many is a long one.
 const LONG_EVERY: u32 = 3;
 
-/// Timeouts of one caller.
+/// Timeouts of one balancer's calls.
 ///
-/// Without any view, a caller cannot tell an outage from slowness. With long timeouts alone, it
-/// would notice half a second late that the service is back. With short ones alone, it would never
-/// get an answer from a slow service. Therefore short timeouts alternate with a long one.
+/// Without any view, a balancer cannot distinguish an outage from slowness. With long timeouts
+/// alone, it would notice half a second late that the service is back. With short ones alone, it
+/// would never get an answer from a slow service. Therefore short timeouts alternate with a long
+/// one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Timeouts {
     calls: u32,
 }
 
 impl Timeouts {
-    /// Starts at a different position for each caller, so that of many callers at least one makes a
-    /// short call at any moment.
+    /// Starts at a different position for each balancer, so that of many balancers at least one
+    /// makes a short call at any moment.
     pub fn staggered(balancer: Ipv4Addr) -> Self {
         Self { calls: balancer.to_bits() % LONG_EVERY }
     }
 
-    /// The next timeout. Callers that have a view are not in a hurry and use the long one.
+    /// The next timeout. Balancers that have a view are not in a hurry and use the long one.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/steering/src/view/mod.rs
+++ b/crates/steering/src/view/mod.rs
@@ -130,7 +130,7 @@
     pub warm_at_ms: Millis,
     /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Start of its incarnation by its own clock. Serves only to tell incarnations apart.
+    /// Start of its incarnation by its own clock. Serves only to distinguish incarnations.
     pub born_ms: u64,
 }
 
--- a/crates/steering/tests/edge_openings.rs
+++ b/crates/steering/tests/edge_openings.rs
@@ -111,7 +111,7 @@
 }
 
 /// An opening never goes to an upstream that is draining, is gone or has denied it. If all have
-/// denied it, the caller is told at once instead of retransmitting the opening for 1.4 s.
+/// denied it, the caller gets a reset at once instead of retransmitting the opening for 1.4 s.
 #[rstest]
 #[case::draining(&[Standing::Draining, READY], &[2])]
 #[case::gone(&[Standing::Missing { since_ms: 0, drained: true }, READY], &[2])]
--- a/crates/steering/tests/edge_proof.rs
+++ b/crates/steering/tests/edge_proof.rs
@@ -13,7 +13,7 @@
 use steering::view::{Standing, View};
 
 /// All upstreams have crashed and restarted, and every one denies the flow. Without a reset, the
-/// caller would retransmit its request until its timeout; after a reset it can send it anew at
+/// caller would retransmit its request until its timeout; after a reset it can send it again at
 /// once.
 #[test]
 fn flow_denied_by_all_upstreams_is_reset() {
--- a/crates/steering/tests/edge_size.rs
+++ b/crates/steering/tests/edge_size.rs
@@ -151,7 +151,7 @@
 }
 
 /// Four upstreams died with their instances and are still listed. All others deny the flow. Callers
-/// whose requests may be sent twice get a reset soon, and send them anew elsewhere.
+/// whose requests may be sent twice get a reset soon, and send them again on new flows.
 #[test]
 fn dead_upstreams_do_not_block_the_reset() {
     let outcome = simulation(40, 3, &dead(4)).run(&view_of(&[READY; UPSTREAMS]));
@@ -207,7 +207,7 @@
 }
 
 /// The same with requests that must not be sent twice. After a reset, their callers do not send
-/// them anew, and a dead upstream may come back with the answer. Meanwhile each search must send a
+/// them again, and a dead upstream may come back with the answer. Meanwhile each search must send a
 /// bounded number of packets.
 #[test]
 fn dead_upstreams_block_the_reset_of_requests_that_must_not_be_repeated() {
--- a/crates/steering/tests/leave.rs
+++ b/crates/steering/tests/leave.rs
@@ -1,4 +1,4 @@
-//! Tests of when a balancer that was told to stop may exit.
+//! Tests of when a balancer may exit after a stop request.
 
 use rstest::rstest;
 use steering::flow::Millis;
--- a/crates/steering/tests/membership.rs
+++ b/crates/steering/tests/membership.rs
@@ -116,8 +116,8 @@
 }
 
 /// Another writer has published an entry for a service that does not exist, with the address of an
-/// upstream. Taken for the new owner of the address, it would hide the upstream, and its callers'
-/// packets would find no holder.
+/// upstream. If it counted as the new owner of the address, it would hide the upstream, whose
+/// callers' packets would find no holder.
 #[rstest]
 #[case::unknown_service(ServiceStamp(9), ServiceStamp(1))]
 #[case::known_service(ServiceStamp(2), ServiceStamp(2))]
--- a/crates/steering/tests/side.rs
+++ b/crates/steering/tests/side.rs
@@ -114,9 +114,9 @@
 
 /// A balancer without flow state searches for a flow and tries a busy upstream that does not hold
 /// it. If the packet were queued here for a slot, each busy upstream would delay the search by some
-/// hundred milliseconds, the caller's packets would go astray for seconds, and they would fill the
-/// queue. The same applies to an agent that has just started: after a complete power failure,
-/// balancers search for every open flow at once, and no agent knows any of them.
+/// hundred milliseconds, the caller's packets would not reach the holder for seconds, and they
+/// would fill the queue. The same applies to an agent that has just started: after a complete power
+/// failure, balancers search for every open flow at once, and no agent knows any of them.
 #[rstest]
 #[case::just_started(1_000, false, false)]
 #[case::running_for_long(25_000, false, false)]
@@ -373,8 +373,7 @@
     assert_eq!(changes, expected);
 }
 
-/// The agent is told to stop while requests are queued. They go to the upstream, which keeps
-/// running.
+/// The agent has to stop while requests are queued. They go to the upstream, which keeps running.
 #[test]
 fn take_any_queued_on_exit() {
     let mut agent = busy_agent(0);
--- a/crates/steering/tests/zones.rs
+++ b/crates/steering/tests/zones.rs
@@ -43,8 +43,8 @@
     (asked, actions)
 }
 
-/// While a zone is closed, new flows go to other zones. If no upstream is left, the caller is told
-/// at once.
+/// While a zone is closed, new flows go to other zones. If no upstream is left, the caller gets a
+/// reset at once.
 #[rstest]
 #[case::none(&[(A, READY), (B, READY)], &[], &[1, 2], Reason::Refused)]
 #[case::one(&[(A, READY), (B, READY)], &[A], &[2], Reason::Refused)]
@@ -125,14 +125,15 @@
     assert_eq!(target(&repeated[0]).map(|to| to.octets()[3]), Some(2));
 }
 
-/// Agents check openings once more by what balancers state with each packet.
+/// Balancers state with each packet whether the upstream accepts new flows, and agents check
+/// openings against that.
 #[rstest]
 #[case::ready((A, READY), false)]
 #[case::closed((B, READY), true)]
 #[case::draining((A, Standing::Draining), true)]
 #[case::drained((A, Standing::Missing { since_ms: 0, drained: true }), true)]
 #[case::lapsed((A, LAPSED), false)]
-fn forwarded_packets_state_whether_the_upstream_takes_new_flows(
+fn forwarded_packets_state_whether_the_upstream_refuses_new_flows(
     #[case] only: (ZoneStamp, Standing),
     #[case] expected: bool,
 ) {
@@ -176,8 +177,8 @@
     View::new(routes, view.upstreams().iter().map(cold).collect())
 }
 
-/// A cold upstream that has taken as many openings as it can bear gets no more for as long as its
-/// agent states. If this applies to all upstreams, the caller is told at once.
+/// A cold upstream that has reached its limit of openings gets no more for as long as its agent
+/// states. If this applies to all upstreams, the caller gets a reset at once.
 #[test]
 fn rate_limited_upstream_gets_no_openings() {
     let view = limited_view(5_000, 2_000);
