--- a/crates/agent/src/plane/carry.rs
+++ b/crates/agent/src/plane/carry.rs
@@ -134,7 +134,7 @@
         let identity = &self.config.identity;
         Header {
             hops,
-            passed: forwarding,
+            forwarding,
             account: identity.account,
             service: identity.service,
             flow,
--- a/crates/agent/src/plane/mod.rs
+++ b/crates/agent/src/plane/mod.rs
@@ -209,13 +209,13 @@
                     sequence: inner.sequence(),
                     view: header.version,
                     hops: header.hops,
-                    forwarding: header.passed,
+                    forwarding: header.forwarding,
                 };
                 match self.agent.handle_packet(now, &packet, &mut self.actions) {
                     Verdict::Deliver => self.queue_delivery(content, slot, sender),
                     verdict => self.apply_verdict(verdict, content, &header, bytes),
                 }
-                Some(header.passed)
+                Some(header.forwarding)
             }
         }
     }
--- a/crates/agent/src/plane/tests.rs
+++ b/crates/agent/src/plane/tests.rs
@@ -163,7 +163,7 @@
     fn send(&self, sender: UpstreamId, flow: FlowId, content: Content, body: &[u8]) {
         let header = Header {
             hops: 0,
-            passed: Forwarding::Direct,
+            forwarding: Forwarding::Direct,
             account: AccountId::of("cascadia"),
             service: service(),
             flow,
@@ -273,7 +273,7 @@
     let harness = harness(WhenInDoubt::Admit, true);
     harness.send_packet(flow_of("peer"), &tcp("S"));
     let (header, packet) = harness.packet_to_peer();
-    assert_eq!((header.hops, header.passed), (1, Forwarding::Redirected));
+    assert_eq!((header.hops, header.forwarding), (1, Forwarding::Redirected));
     assert_eq!((header.flow, header.sender), (flow_of("peer"), SenderId(upstream("own").0)));
     assert_eq!(packet, tcp("S"));
 }
--- a/crates/agent/tests/gate.rs
+++ b/crates/agent/tests/gate.rs
@@ -75,7 +75,7 @@
 fn header(spec: &Spec) -> Header {
     Header {
         hops: 0,
-        passed: Forwarding::Direct,
+        forwarding: Forwarding::Direct,
         account: AccountId::of(spec.account),
         service: ServiceId::of(spec.account, spec.service),
         flow: spec.flow,
@@ -114,7 +114,7 @@
 #[case::names_other_account(Spec { account: "bajio", ..spec() }, Some(codes::FOREIGN_ACCOUNT))]
 #[case::names_other_service(Spec { service: "manifest", ..spec() }, Some(codes::WRONG_SERVICE))]
 #[case::address_of_other_service(Spec { port: 9_443, ..spec() }, Some(codes::WRONG_SERVICE))]
-#[case::address_of_nobody(Spec { port: 22, ..spec() }, Some(codes::NO_SERVICE))]
+#[case::address_without_service(Spec { port: 22, ..spec() }, Some(codes::NO_SERVICE))]
 #[case::ports_not_covered(Spec { covered: Some(20), ..spec() }, Some(codes::BAD_MAC))]
 fn check_packet(#[case] spec: Spec, #[case] expected: Option<Code>) {
     assert_eq!(code_of(&packet_datagram(&spec)), expected);
--- a/crates/agent/tests/hold.rs
+++ b/crates/agent/tests/hold.rs
@@ -9,7 +9,7 @@
 fn held(byte: u8) -> Held {
     let header = Header {
         hops: 0,
-        passed: Forwarding::Direct,
+        forwarding: Forwarding::Direct,
         account: AccountId(1),
         service: ServiceId(2),
         flow: FlowId(3),
--- a/crates/balancer/src/forward.rs
+++ b/crates/balancer/src/forward.rs
@@ -63,7 +63,7 @@
     let entry = snapshot.service(key);
     let header = Header {
         hops: 0,
-        passed: Forwarding::Direct,
+        forwarding: Forwarding::Direct,
         account: entry.account,
         service: entry.service,
         flow,
--- a/crates/balancer/src/http.rs
+++ b/crates/balancer/src/http.rs
@@ -13,7 +13,7 @@
 
 /// Reply of `/explain?service=ID&flow=ID`.
 #[derive(Debug, Serialize)]
-struct Explanation {
+struct ExplainResponse {
     instance: Arc<str>,
     /// Settings version of the service's account.
     version: u64,
@@ -43,7 +43,7 @@
     let Some(key) = snapshot.find_by_id(ServiceId(service)) else {
         return Reply::error(404, "no such service here");
     };
-    Reply::json(&Explanation {
+    Reply::json(&ExplainResponse {
         instance: instance.clone(),
         version: snapshot.service(key).version.0,
         home: snapshot.home(key, FlowId(flow)),
--- a/crates/balancer/tests/forward.rs
+++ b/crates/balancer/tests/forward.rs
@@ -135,7 +135,10 @@
     let header = keyring.open(received.private, payload).unwrap().header;
     assert_eq!(header.service, ServiceId::of("cascadia", service));
     assert_eq!(header.flow, inner::parse(&packet).unwrap().flow_id(&[1; 16]));
-    assert_eq!((header.version, header.hops, header.passed), (Version(7), 0, Forwarding::Direct));
+    assert_eq!(
+        (header.version, header.hops, header.forwarding),
+        (Version(7), 0, Forwarding::Direct)
+    );
 }
 
 /// Two balancers with the same settings and liveness send a flow to the same agent. They pass over
--- a/crates/balancer/tests/notices.rs
+++ b/crates/balancer/tests/notices.rs
@@ -52,7 +52,7 @@
 fn datagram(sealed_by: &str, claimed: &str, control_type: u8) -> Vec<u8> {
     let header = Header {
         hops: 0,
-        passed: Forwarding::Direct,
+        forwarding: Forwarding::Direct,
         account: AccountId::of(claimed),
         service: ServiceId::of("cascadia", "shelf"),
         flow: FlowId(0),
--- a/crates/loadgen/src/cost/service.rs
+++ b/crates/loadgen/src/cost/service.rs
@@ -334,7 +334,7 @@
 fn control_header(service: ServiceId, from: UpstreamId) -> Header {
     Header {
         hops: 0,
-        passed: Forwarding::Direct,
+        forwarding: Forwarding::Direct,
         account: AccountId(1),
         service,
         flow: FlowId(0),
--- a/crates/loadgen/src/traffic/frames.rs
+++ b/crates/loadgen/src/traffic/frames.rs
@@ -110,7 +110,7 @@
         let inner = inner::parse(&packet)?;
         let header = Header {
             hops: 0,
-            passed: Forwarding::Direct,
+            forwarding: Forwarding::Direct,
             account: AccountId::of(account),
             service: ServiceId::of(account, service),
             flow: inner.flow_id(flow_key),
--- a/crates/shell/tests/peers.rs
+++ b/crates/shell/tests/peers.rs
@@ -16,11 +16,11 @@
 use wire::exchange::{Digest, DigestEntry, Kind, Question};
 use wire::sealed::{AccountKeyring, KeyId};
 
-const MASTERS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
+const MASTER_KEYS: [(KeyId, [u8; 32]); 1] = [(KeyId(1), [7; 32])];
 
 /// Returns the keyrings of a balancer, which can derive those of all accounts.
 fn keyrings() -> Keyrings {
-    Arc::new(|account| AccountKeyring::derive(&MASTERS, AccountId::of(account)))
+    Arc::new(|account| AccountKeyring::derive(&MASTER_KEYS, AccountId::of(account)))
 }
 
 fn reader(store: &Arc<Store>, peers: Vec<SocketAddr>) -> PeerReader {
--- a/crates/telemetry/tests/log_bounds.rs
+++ b/crates/telemetry/tests/log_bounds.rs
@@ -25,7 +25,7 @@
 /// A reader of standard output that stops reading must not block the process, which would stop
 /// forwarding packets. Lines are dropped instead. If a line blocked, this test would not end.
 #[test]
-fn blocked_output_blocks_nobody() {
+fn blocked_output_does_not_block() {
     let (release, blocked) = channel();
     let queued = QueuedAppender::new(Blocked(blocked)).unwrap();
     let lines = 10 * QUEUE_LINES_MAX;
--- a/crates/wire/benches/sealed.rs
+++ b/crates/wire/benches/sealed.rs
@@ -20,7 +20,7 @@
 fn header() -> Header {
     Header {
         hops: 0,
-        passed: Forwarding::Direct,
+        forwarding: Forwarding::Direct,
         account: AccountId(1),
         service: ServiceId(2),
         flow: FlowId(3),
--- a/crates/wire/src/sealed/control.rs
+++ b/crates/wire/src/sealed/control.rs
@@ -24,7 +24,7 @@
     ) -> Self {
         Self {
             hops: 0,
-            passed: Forwarding::Direct,
+            forwarding: Forwarding::Direct,
             account,
             service,
             flow: FlowId(0),
--- a/crates/wire/src/sealed/mod.rs
+++ b/crates/wire/src/sealed/mod.rs
@@ -76,7 +76,7 @@
     /// Number of agents that handled the packet before.
     pub hops: u8,
     /// Why the packet was passed on to the receiver.
-    pub passed: Forwarding,
+    pub forwarding: Forwarding,
     /// Account that owns the service.
     pub account: AccountId,
     /// Service.
@@ -103,7 +103,7 @@
     /// use wire::sealed::{Header, SenderId};
     /// let header = Header {
     ///     hops: 0,
-    ///     passed: Forwarding::Direct,
+    ///     forwarding: Forwarding::Direct,
     ///     account: AccountId::of("cascadia"),
     ///     service: ServiceId::of("cascadia", "shelf"),
     ///     flow: FlowId(7),
@@ -186,7 +186,7 @@
     format: u8,
     key_id: u8,
     hops: u8,
-    passed: u8,
+    forwarding: u8,
     covered: u8,
     zero: [u8; 3],
     account: U64,
@@ -207,12 +207,12 @@
 /// assert_ne!(one, other);
 /// ```
 pub fn derive_account_key(
-    master: &[u8; 32],
+    master_key: &[u8; 32],
     key_id: KeyId,
     account: AccountId,
 ) -> [u8; ACCOUNT_KEY_BYTES] {
     let mut hasher = blake3::Hasher::new_derive_key(KEY_CONTEXT);
-    hasher.update(master);
+    hasher.update(master_key);
     hasher.update(&[key_id.0]);
     hasher.update(&account.0.to_be_bytes());
     *hasher.finalize().as_bytes()
@@ -263,14 +263,14 @@
     /// ```
     /// use decision::keys::AccountId;
     /// use wire::sealed::{AccountKeyring, KeyId};
-    /// let masters = [(KeyId(1), [7; 32])];
-    /// assert!(AccountKeyring::derive(&masters, AccountId::of("cascadia")).is_some());
+    /// let master_keys = [(KeyId(1), [7; 32])];
+    /// assert!(AccountKeyring::derive(&master_keys, AccountId::of("cascadia")).is_some());
     /// ```
-    pub fn derive(masters: &[(KeyId, [u8; 32])], account: AccountId) -> Option<Self> {
+    pub fn derive(master_keys: &[(KeyId, [u8; 32])], account: AccountId) -> Option<Self> {
         let mut keys = [(KeyId(0), [0; ACCOUNT_KEY_BYTES]); KEYS_MAX];
-        let count = masters.len().min(KEYS_MAX);
-        for (key, (id, master)) in keys.iter_mut().zip(masters) {
-            *key = (*id, derive_account_key(master, *id, account));
+        let count = master_keys.len().min(KEYS_MAX);
+        for (key, (id, master_key)) in keys.iter_mut().zip(master_keys) {
+            *key = (*id, derive_account_key(master_key, *id, account));
         }
         Self::new(&keys[..count])
     }
@@ -286,7 +286,7 @@
     /// let ring = AccountKeyring::new(&[(KeyId(1), [9; 32])]).unwrap();
     /// let header = Header {
     ///     hops: 0,
-    ///     passed: Forwarding::Direct,
+    ///     forwarding: Forwarding::Direct,
     ///     account: AccountId(1),
     ///     service: ServiceId(2),
     ///     flow: FlowId(3),
@@ -318,7 +318,7 @@
             format,
             key_id: key.id.0,
             hops: header.hops,
-            passed: passed_to_byte(header.passed),
+            forwarding: forwarding_to_byte(header.forwarding),
             covered,
             zero: [0; 3],
             account: header.account.0.into(),
@@ -350,8 +350,8 @@
         if !constant_time_eq(&mac(key, layout, covered), &layout.mac) {
             return Err(SealError::BadMac);
         }
-        let passed = passed_from_byte(layout.passed).ok_or(SealError::Field)?;
-        Ok(Opened { header: header_from_layout(layout, passed), covered: covered.len() })
+        let forwarding = forwarding_from_byte(layout.forwarding).ok_or(SealError::Field)?;
+        Ok(Opened { header: header_from_layout(layout, forwarding), covered: covered.len() })
     }
 
     fn find(&self, id: u8) -> Result<&MacKey, SealError> {
@@ -360,10 +360,10 @@
     }
 }
 
-fn header_from_layout(layout: &Layout, passed: Forwarding) -> Header {
+fn header_from_layout(layout: &Layout, forwarding: Forwarding) -> Header {
     Header {
         hops: layout.hops,
-        passed,
+        forwarding,
         account: AccountId(layout.account.get()),
         service: ServiceId(layout.service.get()),
         flow: FlowId(layout.flow.get()),
@@ -394,8 +394,8 @@
     std::hint::black_box(difference) == 0
 }
 
-fn passed_to_byte(passed: Forwarding) -> u8 {
-    match passed {
+fn forwarding_to_byte(forwarding: Forwarding) -> u8 {
+    match forwarding {
         Forwarding::Direct => 0,
         Forwarding::Redirected => 1,
         Forwarding::Assigned => 2,
@@ -403,7 +403,7 @@
     }
 }
 
-fn passed_from_byte(byte: u8) -> Option<Forwarding> {
+fn forwarding_from_byte(byte: u8) -> Option<Forwarding> {
     match byte {
         0 => Some(Forwarding::Direct),
         1 => Some(Forwarding::Redirected),
--- a/crates/wire/tests/sealed.rs
+++ b/crates/wire/tests/sealed.rs
@@ -18,7 +18,7 @@
 fn header() -> Header {
     Header {
         hops: 1,
-        passed: Forwarding::Assigned,
+        forwarding: Forwarding::Assigned,
         account: AccountId(0x0102_0304_0506_0708),
         service: ServiceId(0x1112_1314_1516_1718),
         flow: FlowId(0x2122_2324_2526_2728),
@@ -81,7 +81,7 @@
 #[case::format_of_control(0, 2, SealError::Format(2))]
 #[case::key_id(1, 2, SealError::UnknownKey(2))]
 #[case::hops(2, 0, SealError::BadMac)]
-#[case::passed(3, 0, SealError::BadMac)]
+#[case::forwarding(3, 0, SealError::BadMac)]
 #[case::covered_less(4, 0, SealError::BadMac)]
 #[case::covered_beyond_payload(4, 33, SealError::Truncated)]
 #[case::reserved(5, 1, SealError::BadMac)]
@@ -154,7 +154,7 @@
     ) {
         let header = Header {
             hops,
-            passed: Forwarding::Direct,
+            forwarding: Forwarding::Direct,
             account: AccountId(account),
             service: ServiceId(service),
             flow: FlowId(flow),
