--- a/crates/fuzzing/src/mutants.rs
+++ b/crates/fuzzing/src/mutants.rs
@@ -65,8 +65,8 @@
         let episode = campaign::draw(seed);
         let (outcome, _) = campaign::play(&episode, defects, false);
         steps += outcome.steps;
-        let meant = outcome.violation.filter(|broken| broken.promise.starts_with(case.promise));
-        if let Some(violation) = meant.filter(|_| is_kept(&episode)) {
+        let expected = outcome.violation.filter(|broken| broken.promise.starts_with(case.promise));
+        if let Some(violation) = expected.filter(|_| keeps_promises(&episode)) {
             return Some(Detection { steps, seed, promise: violation.promise });
         }
         if steps > steps_max {
@@ -76,7 +76,7 @@
     None
 }
 
-fn is_kept(episode: &Episode) -> bool {
+fn keeps_promises(episode: &Episode) -> bool {
     let (outcome, _) = campaign::play(episode, Defects::default(), false);
     outcome.violation.is_none()
 }
--- a/crates/fuzzing/src/world/agents.rs
+++ b/crates/fuzzing/src/world/agents.rs
@@ -235,7 +235,7 @@
 
     fn process_packet(&mut self, host: usize, packet: Packet, caller_packet: CallerPacket) {
         let now_ms = self.now_ms;
-        if caller_packet.is_dead(now_ms) {
+        if caller_packet.is_expired(now_ms) {
             return;
         }
         let Some(shell) = &mut self.hosts[host].agent else { return };
--- a/crates/fuzzing/src/world/balancers.rs
+++ b/crates/fuzzing/src/world/balancers.rs
@@ -71,7 +71,7 @@
     }
 
     pub(super) fn forward(&mut self, balancer: usize, caller_packet: CallerPacket) {
-        if caller_packet.is_dead(self.now_ms) {
+        if caller_packet.is_expired(self.now_ms) {
             return;
         }
         let request = caller_packet.inner.request();
--- a/crates/fuzzing/src/world/faults.rs
+++ b/crates/fuzzing/src/world/faults.rs
@@ -121,12 +121,12 @@
         }
     }
 
-    fn running(&self) -> Vec<usize> {
+    fn hosts_with_agent(&self) -> Vec<usize> {
         (0..self.hosts.len()).filter(|host| self.hosts[*host].agent.is_some()).collect()
     }
 
     fn redeploy(&mut self, pick: u8, gap_ms: u64) {
-        let Some(&host) = pick_of(&self.running(), pick) else { return };
+        let Some(&host) = pick_of(&self.hosts_with_agent(), pick) else { return };
         let Some(incarnation) = self.hosts[host].agent.as_ref().map(|shell| shell.incarnation)
         else {
             return;
@@ -146,7 +146,7 @@
     }
 
     fn crash_agent(&mut self, pick: u8, gap_ms: u64) {
-        let Some(&host) = pick_of(&self.running(), pick) else { return };
+        let Some(&host) = pick_of(&self.hosts_with_agent(), pick) else { return };
         self.note(|| format!("host {host}: agent dies"));
         self.record_loss(host, true);
         self.hosts[host].agent = None;
@@ -154,7 +154,7 @@
     }
 
     fn crash_host(&mut self, pick: u8, gap_ms: u64) {
-        let Some(&host) = pick_of(&self.running(), pick) else { return };
+        let Some(&host) = pick_of(&self.hosts_with_agent(), pick) else { return };
         let occupant = self.hosts[host].occupant;
         self.record_loss(host, true);
         self.kill(host);
@@ -221,28 +221,28 @@
 
     fn replace_balancer(&mut self, pick: u8, behind: u8) {
         let balancer = usize::from(pick) % self.balancers.len();
-        let versions = self.older(behind);
+        let versions = self.older_versions(behind);
         let view = self.fleet.view(versions);
         self.balancers[balancer] = Balancer::new(versions, view);
     }
 
-    fn older(&self, behind: u8) -> super::fleet::Versions {
+    fn older_versions(&self, behind: u8) -> super::fleet::Versions {
         self.fleet.newest().map(|version| version.saturating_sub(behind.into()).max(1))
     }
 
     fn stale_read(&mut self, pick: u8, behind: u8) {
-        let Some(&host) = pick_of(&self.running(), pick) else { return };
-        let view = self.fleet.view(self.older(behind));
+        let Some(&host) = pick_of(&self.hosts_with_agent(), pick) else { return };
+        let view = self.fleet.view(self.older_versions(behind));
         self.at_agent(host, Incoming::View(view));
     }
 
     fn override_report(&mut self, pick: u8, report: Report) {
-        let Some(&host) = pick_of(&self.running(), pick) else { return };
+        let Some(&host) = pick_of(&self.hosts_with_agent(), pick) else { return };
         self.at_agent(host, Incoming::Report(report));
     }
 
     fn hint(&mut self, pick: u8, peer: u8, alive: bool) {
-        let Some(&host) = pick_of(&self.running(), pick) else { return };
+        let Some(&host) = pick_of(&self.hosts_with_agent(), pick) else { return };
         let Some((service, _)) = self.hosts[host].occupant else { return };
         let Some(listed) = pick_of(self.fleet.listed(service), peer) else { return };
         let peer = SERVICES[service].upstream(listed.name);
--- a/crates/fuzzing/src/world/losses.rs
+++ b/crates/fuzzing/src/world/losses.rs
@@ -13,7 +13,7 @@
 use crate::step::Step;
 
 /// Number of concurrent crashes that an open flow must survive.
-const SURVIVED_DEATHS: usize = 2;
+const SURVIVED_CRASHES: usize = 2;
 /// Time within which peers send a restarted agent the flows that it and others hold.
 const REPAIR_MS: u64 = 10_000;
 
@@ -21,7 +21,7 @@
 struct Loss {
     service: usize,
     host: usize,
-    died: bool,
+    crashed: bool,
     until_ms: u64,
 }
 
@@ -50,15 +50,15 @@
         }
     }
 
-    fn add(&mut self, now_ms: u64, service: usize, host: usize, died: bool) {
+    fn add(&mut self, now_ms: u64, service: usize, host: usize, crashed: bool) {
         let until_ms = now_ms.max(self.repairs_delayed_until_ms) + REPAIR_MS;
         self.losses.retain(|loss| loss.until_ms > now_ms);
-        self.losses.push(Loss { service, host, died, until_ms });
+        self.losses.push(Loss { service, host, crashed, until_ms });
     }
 
     /// Hosts of a service with an unrepaired loss: by crashes only, or by any cause.
-    fn hosts(&self, service: usize, deaths_only: bool) -> Vec<usize> {
-        let counts = |loss: &&Loss| loss.service == service && (loss.died || !deaths_only);
+    fn hosts(&self, service: usize, crashes_only: bool) -> Vec<usize> {
+        let counts = |loss: &&Loss| loss.service == service && (loss.crashed || !crashes_only);
         let mut hosts: Vec<usize> =
             self.losses.iter().filter(counts).map(|loss| loss.host).collect();
         hosts.sort_unstable();
@@ -68,20 +68,20 @@
 }
 
 impl World {
-    /// Records that an agent lost its state, by a crash (`died`) or by an orderly restart.
-    pub(super) fn record_loss(&mut self, host: usize, died: bool) {
+    /// Records that an agent lost its state, by a crash (`crashed`) or by an orderly restart.
+    pub(super) fn record_loss(&mut self, host: usize, crashed: bool) {
         let Some((service, _)) = self.hosts[host].occupant else { return };
-        self.losses.add(self.now_ms, service, host, died);
-        let dead = self.losses.hosts(service, true);
-        let lost = self.losses.hosts(service, false);
+        self.losses.add(self.now_ms, service, host, crashed);
+        let crashed_hosts = self.losses.hosts(service, true);
+        let lost_hosts = self.losses.hosts(service, false);
         let listed = self.fleet.listed(service).iter();
         let all = listed
             .filter(|listed| listed.state != UpstreamState::Retired)
-            .all(|listed| lost.contains(&listed.host));
+            .all(|listed| lost_hosts.contains(&listed.host));
         if all {
-            self.excuse(&lost);
-        } else if dead.len() > SURVIVED_DEATHS {
-            self.excuse(&dead);
+            self.excuse(&lost_hosts);
+        } else if crashed_hosts.len() > SURVIVED_CRASHES {
+            self.excuse(&crashed_hosts);
         }
     }
 
--- a/crates/fuzzing/src/world/mod.rs
+++ b/crates/fuzzing/src/world/mod.rs
@@ -96,7 +96,7 @@
 }
 
 impl CallerPacket {
-    fn is_dead(&self, now_ms: u64) -> bool {
+    fn is_expired(&self, now_ms: u64) -> bool {
         self.sent_ms + PACKET_LIFETIME_MS < now_ms
     }
 }
