--- a/crates/fuzzing/src/direct/world/changes.rs
+++ b/crates/fuzzing/src/direct/world/changes.rs
@@ -18,8 +18,8 @@
 
 /// Time after which the address of an upstream that has left is reused.
 const ADDRESS_REUSE_MS: u64 = 2_000;
-/// The same in worlds with long answers, where nothing waits for the instance: longer than the
-/// upstream's entry lingers.
+/// The same in worlds with long answers, where nothing depends on an early restart: longer than
+/// balancers keep a drained upstream whose entry is missing (`DRAINED_LINGER_MS`).
 const LATE_ADDRESS_REUSE_MS: u64 = 7_000;
 
 /// When a service is scaled in, one of this many upstreams leaves.
@@ -308,8 +308,8 @@
         self.schedule(reuse_ms + 1, Event::StartUpstream(upstream));
     }
 
-    /// Removes entries of running upstreams, which come back within two seconds. Balancers notice
-    /// the outage behind it, because they can't reach the configuration service.
+    /// Removes entries of running upstreams, which come back within two seconds. Balancers detect
+    /// the outage that causes this, because they can't reach the configuration service.
     fn lapse(&mut self) {
         for upstream in 0..self.size.upstreams {
             if self.upstreams[upstream].incarnation > 0 && self.rng.random_bool(0.5) {
@@ -417,14 +417,14 @@
         learner.history = history;
     }
 
-    /// Merges what balancers in touch know of services that routes have left.
+    /// Merges what the balancers that can be reached know of services that routes have left.
     pub(super) fn learn_history(&self, history: &mut History, current_until_ms: u64) {
         if self.mutant == Some(Mutant::HistoryNotLearnt) {
             *history = History::default();
             return;
         }
-        let in_touch = |peer: &&Balancer| peer.up && peer.cut_until_ms <= self.now_ms;
-        for peer in self.balancers.iter().filter(in_touch) {
+        let connected = |peer: &&Balancer| peer.up && peer.cut_until_ms <= self.now_ms;
+        for peer in self.balancers.iter().filter(connected) {
             if history.is_behind(self.now_ms, peer.history.summary(self.now_ms)) {
                 let contents = peer.history.contents(self.now_ms, peer.routes.version);
                 history.merge(self.now_ms, current_until_ms, &self.routes, &contents);
--- a/crates/fuzzing/src/direct/world/layout.rs
+++ b/crates/fuzzing/src/direct/world/layout.rs
@@ -18,8 +18,8 @@
     /// Whether routes change their services.
     pub(super) moving_routes: bool,
     /// Whether all changes are planned and answers come in parts that callers acknowledge. The
-    /// address of an upstream that has left is reused only long after, so that many of the
-    /// upstreams that are asked for a flow have just left.
+    /// address of an upstream that has left is reused only several seconds later, so that
+    /// balancers often ask for a flow at upstreams that have just left.
     pub(super) long_answers: bool,
 }
 
--- a/crates/fuzzing/src/direct/world/mod.rs
+++ b/crates/fuzzing/src/direct/world/mod.rs
@@ -41,8 +41,8 @@
 const CHANGE_INTERVAL_MS: u64 = 400;
 /// Time for the world to recover from a disturbance. Until then a flow may not be found.
 const SETTLE_MS: u64 = 5_000;
-/// Time after which a change of the list is in effect at every balancer in touch: an upstream that
-/// is draining, or whose availability zone is closed, receives no more openings.
+/// Time after which a change of the list is in effect at every balancer that is not cut off: an
+/// upstream that is draining, or whose availability zone is closed, receives no more openings.
 const PROPAGATION_MS: u64 = 3_000;
 /// Index of the service whose cold upstreams have a limit.
 const LIMITED_SERVICE: usize = 0;
@@ -126,7 +126,7 @@
     paused_until_ms: u64,
     complete_from_ms: u64,
     confirmed_ms: u64,
-    /// When it started, if no other balancer could then tell it what happened before.
+    /// When it started, if no other balancer could then report what had happened before.
     started_alone_ms: Option<u64>,
 }
 
@@ -262,22 +262,23 @@
         }
     }
 
-    /// Whether no balancer in touch has run for longer than missing entries take to come back.
+    /// Whether no running balancer that can be reached has been up for longer than missing entries
+    /// take to come back.
     fn no_peer_has_history(&self) -> bool {
         !self.balancers.iter().any(|balancer| {
-            let in_touch = balancer.up && balancer.cut_until_ms <= self.now_ms;
+            let connected = balancer.up && balancer.cut_until_ms <= self.now_ms;
             let alone =
                 balancer.started_alone_ms.is_some_and(|since| self.now_ms - since < SETTLE_MS);
-            in_touch && !alone
+            connected && !alone
         })
     }
 
     /// Returns from when on a starting balancer's list counts as complete, as the other balancers
     /// report within its first moments.
     fn peers_complete_from_ms(&self) -> u64 {
-        let in_touch = |balancer: &&Balancer| balancer.up && balancer.cut_until_ms <= self.now_ms;
+        let connected = |balancer: &&Balancer| balancer.up && balancer.cut_until_ms <= self.now_ms;
         let others =
-            self.balancers.iter().filter(in_touch).map(|balancer| balancer.complete_from_ms);
+            self.balancers.iter().filter(connected).map(|balancer| balancer.complete_from_ms);
         others.max().unwrap_or(0).max(self.now_ms + PEER_QUERY_MS)
     }
 
--- a/crates/fuzzing/src/direct/world/packets.rs
+++ b/crates/fuzzing/src/direct/world/packets.rs
@@ -89,7 +89,7 @@
         let Balancer { cut_until_ms, started_alone_ms, .. } = self.balancers[balancer];
         // If all balancers lost their state at once, within seconds of an outage of the
         // configuration service, none can know which entries are missing. The platform's rules
-        // count a process as in touch four seconds after its start.
+        // count a process as connected only from four seconds after its start.
         let informed = started_alone_ms.is_none_or(|since| self.now_ms - since >= SETTLE_MS);
         let reachable = self.callers[caller].holder.is_some_and(|(at, _)| self.is_reachable(at));
         if cut_until_ms <= self.now_ms && informed && reachable && self.is_held(caller) {
@@ -298,18 +298,18 @@
             return;
         }
         let Balancer { cut_until_ms, paused_until_ms, .. } = self.balancers[balancer];
-        let in_touch = cut_until_ms.max(paused_until_ms) + SETTLE_MS <= self.now_ms;
+        let up_to_date = cut_until_ms.max(paused_until_ms) + SETTLE_MS <= self.now_ms;
         let long_since =
             |since: Option<u64>| since.is_some_and(|at| self.now_ms - at > PROPAGATION_MS);
         let leaving = long_since(target.draining_since_ms);
         let closed = long_since(self.closed_since_ms[zone_of(upstream)]);
-        if in_touch && routed_until_ms.saturating_add(PROPAGATION_MS) < self.now_ms {
+        if up_to_date && routed_until_ms.saturating_add(PROPAGATION_MS) < self.now_ms {
             self.record_violation(Violation::OpeningAtFormerService);
         }
-        if in_touch && leaving {
+        if up_to_date && leaving {
             self.record_violation(Violation::OpeningOnLeaving);
         }
-        if in_touch && closed {
+        if up_to_date && closed {
             self.record_violation(Violation::OpeningInClosedZone);
         }
         if !self.is_allowed(upstream, flow.endpoint) {
--- a/crates/fuzzing/src/lib.rs
+++ b/crates/fuzzing/src/lib.rs
@@ -5,6 +5,9 @@
 //! callers, and passes everything that is externally visible to the [`oracle::Oracle`]. Any step
 //! can be deleted from a sequence without invalidating the rest, so every failing sequence can be
 //! shrunk.
+//!
+//! The above covers balancers that forward packets through agents. [`direct`] fuzzes the
+//! direct-return path in a simulation of its own.
 
 pub mod campaign;
 pub mod command;
--- a/crates/fuzzing/src/world/callers.rs
+++ b/crates/fuzzing/src/world/callers.rs
@@ -69,14 +69,14 @@
     Opening,
     /// The flow is open.
     Open {
-        /// Connection that it knows.
+        /// Connection that the upstream's reply identified.
         token: Token,
         /// Whether a packet that the caller sent is not acknowledged yet.
         unacknowledged: bool,
     },
     /// Has sent a FIN.
     Closing {
-        /// Connection that it knows.
+        /// Connection that the upstream's reply identified.
         token: Token,
     },
 }
--- a/crates/fuzzing/src/world/faults.rs
+++ b/crates/fuzzing/src/world/faults.rs
@@ -198,8 +198,8 @@
     }
 
     /// Shuts down a retired upstream. If it has flows again, retries after the grace period. If it
-    /// has been restored in the settings, only its agent, which was already told to leave, is
-    /// restarted, at once.
+    /// has been restored in the settings, only its agent, which has already been asked to
+    /// terminate, is restarted, at once.
     pub(super) fn stop_host(&mut self, host: usize, incarnation: IncarnationId) {
         let target = &self.hosts[host];
         let same = target.agent.as_ref().is_some_and(|shell| shell.incarnation == incarnation);
--- a/crates/fuzzing/src/world/verdicts.rs
+++ b/crates/fuzzing/src/world/verdicts.rs
@@ -118,8 +118,8 @@
         self.transmit_over(hash, || QueuedEvent::AtCaller { caller, reply });
     }
 
-    /// Reports a broken flow if the upstream still has the connection that the caller is told is
-    /// reset.
+    /// Reports a broken flow if the caller receives a reset for a connection that the upstream
+    /// still has.
     fn check_reset(&mut self, caller: usize, token: Token) {
         let known = match self.callers[caller].phase {
             Phase::Open { token, .. } | Phase::Closing { token } => token,
--- a/crates/fuzzing/tests/known_red.rs
+++ b/crates/fuzzing/tests/known_red.rs
@@ -1,6 +1,6 @@
 //! Episodes that violate a promise because of a fault that is not fixed yet, one function for each
-//! kind of fault. `KNOWN-RED.txt` lists them; the gate skips them and prints them. They are to be
-//! fixed first.
+//! kind of fault. `KNOWN-RED.txt` lists them; `cargo xtask gate` prints them and skips them.
+//! They are to be fixed before other work.
 
 use fuzzing::campaign;
 use fuzzing::direct::{self, Size};
@@ -33,10 +33,10 @@
     check(seed);
 }
 
-/// An upstream that has been draining for over three seconds receives an opening. Either its
-/// restarted agent was told that it holds the opening's flow, and delivers the copy. Or it won the
-/// claim before the drain, its upstream still had an older connection on the same ports, and the
-/// caller sends the same opening again.
+/// An upstream that has been draining for over three seconds receives an opening. Either a
+/// peer has reported to the restarted agent that it holds the opening's flow, and the agent
+/// delivers the copy. Or the agent won the claim before the drain, its upstream still had an older
+/// connection on the same ports, and the caller sends the same opening again.
 #[rstest]
 #[case::relearned_in_doubt(90417031)]
 #[case::relearned_in_doubt_again(1444)]
--- a/crates/fuzzing/tests/mended.rs
+++ b/crates/fuzzing/tests/mended.rs
@@ -15,7 +15,7 @@
 /// - A holder's agent came back after both agents that knew its flow had restarted.
 /// - Packets of a new flow were sent to the agent where an older flow on the same ports was
 ///   closing, while the holder was unresponsive.
-/// - An agent that had been told to terminate stayed beside an upstream that was wanted again.
+/// - An agent that had been asked to terminate stayed beside an upstream that was restored.
 /// - A refused opening was reported to its restarted holder as the holder's own.
 /// - A restarted agent counted a membership whose members were gone, and which its peers knew to be
 ///   no longer needed: no opening that the agent proposed was answered.
@@ -24,13 +24,13 @@
 ///   counted it and was filled by such flows.
 /// - An agent accepted messages for a previous agent at its address.
 /// - A restarted agent counted answered datagrams as open flows and was full.
-/// - An agent that resumed after a pause took the next connection on the ports of a reset one for
+/// - An agent that resumed after a pause treated the next connection on the ports of a reset one as
 ///   the old one.
-/// - An agent with incomplete knowledge of its own flows withheld what it had been told of another
-///   agent's flow.
+/// - An agent with incomplete knowledge of its own flows withheld what peers had reported about
+///   another agent's flow.
 /// - An agent that had asked its peers about a stray packet forwarded the next opening before the
 ///   query was answered.
-/// - Restarted agents counted flows that had ended unseen, and were full of them.
+/// - Restarted agents counted flows whose end no agent had seen, and were full of them.
 #[rstest]
 #[case::dead_flows_fill_the_upstream(181)]
 #[case::witnesses_restart(645)]
--- a/crates/goosectl/src/commands/flows/report.rs
+++ b/crates/goosectl/src/commands/flows/report.rs
@@ -50,7 +50,7 @@
     pub(super) fn text(&self, out: &mut dyn Write) -> io::Result<()> {
         output::write_notes(out, self.notes)?;
         if self.answers.is_empty() {
-            return writeln!(out, "{NOT_FOUND}: no agent fits");
+            return writeln!(out, "{NOT_FOUND}: no agent matches");
         }
         let mut agents = Table::new(["AGENT", "ACCOUNT", "SERVICE", "UPSTREAM", "OPEN"]);
         let mut flows = Table::new(["FLOW", "STATE", "AGENT"]);
--- a/crates/goosectl/src/commands/settings/mod.rs
+++ b/crates/goosectl/src/commands/settings/mod.rs
@@ -29,7 +29,7 @@
 
 Shows the version of each account's settings that each instance has in force. An instance lags if
 another one, or the platform with --published, has a newer version. SINCE is when the first instance
-accepted a newer version; it is unknown once the instances' time lines have dropped that event.
+accepted a newer version; it is unknown once the instances' timelines have dropped that event.
 
 Options:
   --account NAME     show only this account
--- a/crates/goosectl/src/commands/timeline/files.rs
+++ b/crates/goosectl/src/commands/timeline/files.rs
@@ -1,4 +1,4 @@
-//! Reads time lines that were saved in a folder.
+//! Reads timelines that were saved in a folder.
 
 use std::fmt::Display;
 use std::fs;
@@ -13,9 +13,9 @@
 
 const SUFFIX: &str = ".timeline.json";
 
-/// Reads the time lines in a folder, and the names of upstreams from the agents' settings in it.
+/// Reads the timelines in a folder, and the names of upstreams from the agents' settings in it.
 ///
-/// Errors: [`codes::FILE_UNREADABLE`] if the folder has no time line or one cannot be decoded.
+/// Errors: [`codes::FILE_UNREADABLE`] if the folder has no timeline or one cannot be decoded.
 pub(super) fn read(folder: &Path) -> Result<(Vec<Vec<Event>>, Names), Failure> {
     let (mut lists, mut names) = (Vec::new(), Names::default());
     for path in files(folder)? {
--- a/crates/goosectl/src/commands/timeline/html.rs
+++ b/crates/goosectl/src/commands/timeline/html.rs
@@ -49,12 +49,12 @@
 fn head(kinds: &[&str]) -> String {
     let mut page = format!(
         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
-         <title>gooseberrysill time line</title>\n<style>\n{STYLE}"
+         <title>gooseberrysill timeline</title>\n<style>\n{STYLE}"
     );
     for index in 0..kinds.len() {
         let _ = writeln!(page, "#b{index}:not(:checked) ~ svg .k{index} {{ display: none; }}");
     }
-    page.push_str("</style></head><body>\n<h1>gooseberrysill time line</h1>\n");
+    page.push_str("</style></head><body>\n<h1>gooseberrysill timeline</h1>\n");
     page
 }
 
--- a/crates/goosectl/tests/fleet.rs
+++ b/crates/goosectl/tests/fleet.rs
@@ -140,7 +140,7 @@
 #[rstest]
 #[case::all("flows", Exit::Success, &["1 open flow(s), 2 flow(s) listed"])]
 #[case::by_upstream("flows --upstream shelf-2", Exit::Success, &["0 open flow(s), 1 flow(s) listed"])]
-#[case::by_service("flows --service manifest", Exit::Findings, &["E5007: no agent fits"])]
+#[case::by_service("flows --service manifest", Exit::Findings, &["E5007: no agent matches"])]
 #[case::by_account("flows --account cascadia", Exit::Success, &["0000000000000001 open agent-1", "0000000000000002 finishing agent-2"])]
 fn flows_listed(#[case] line: &str, #[case] exit: Exit, #[case] expected: &[&str]) {
     let fleet = Fleet::new(
--- a/crates/standins/src/protocol/mod.rs
+++ b/crates/standins/src/protocol/mod.rs
@@ -29,9 +29,10 @@
 /// Request of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// A restock confirmation or pattern adjustment, which is not idempotent.
+    /// A short request that is not idempotent, such as a restock confirmation or a pattern
+    /// adjustment.
     Confirm(RequestId),
-    /// A packing sheet or swatch image.
+    /// A request for a body of a given length, such as a packing sheet or a swatch image.
     Fetch {
         /// Number of the request, from which the body is derived.
         id: RequestId,
--- a/crates/standins/src/stack/mod.rs
+++ b/crates/standins/src/stack/mod.rs
@@ -15,8 +15,8 @@
 
 use device::QueueDevice;
 
-/// Size of the buffer of each direction. Longer content, such as a swatch image, passes through it
-/// in parts.
+/// Size of the buffer of each direction. Longer content, such as the body of a fetch, passes
+/// through it in parts.
 const BUFFER_BYTES: usize = 16 * 1024;
 /// The connection is aborted when the peer acknowledges nothing for this long. Longer than any
 /// outage in the lab.
--- a/crates/standins/src/upstream/status.rs
+++ b/crates/standins/src/upstream/status.rs
@@ -42,7 +42,7 @@
     Frozen,
     /// The status shows this number of open flows.
     OpenFlows(u32),
-    /// The status says unhealthy, although requests are served normally.
+    /// The status is unhealthy, although requests are served normally.
     Unhealthy,
 }
 
