--- a/xtask/src/direct/fleet.rs
+++ b/xtask/src/direct/fleet.rs
@@ -57,7 +57,7 @@
     upstreams: Vec<Option<Upstream>>,
     services: Vec<&'static str>,
     warmup_ends: Vec<Option<Instant>>,
-    incarnations: u64,
+    last_incarnation: u64,
     log_count: u32,
 }
 
@@ -83,7 +83,7 @@
             upstreams: SERVICES.iter().map(|_| None).collect(),
             services: SERVICES.to_vec(),
             warmup_ends: vec![None; SERVICES.len()],
-            incarnations: 0,
+            last_incarnation: 0,
             log_count: 0,
         };
         for index in 0..SERVICES.len() {
@@ -233,17 +233,17 @@
 
     fn start_upstream(&mut self, index: usize) -> anyhow::Result<()> {
         self.upstreams[index] = None;
-        self.incarnations += 1;
+        self.last_incarnation += 1;
         let config = UpstreamConfig {
             service: self.services[index],
-            incarnation: self.incarnations,
+            incarnation: self.last_incarnation,
             app: SocketAddrV4::new(upstream_ip(index), APP_PORT),
             outbound: SocketAddrV4::new(upstream_ip(index), OUTBOUND_PORT),
             slots: UPSTREAM_SLOTS,
-            work: WORK_DURATION,
+            work_duration: WORK_DURATION,
             zone: ZONES[zone_of(index)],
-            allowed: is_allowed(self.services[index], index),
-            cold: self.warmup(index),
+            region_allowed: is_region_allowed(self.services[index], index),
+            cold_limit: self.begin_warmup(index),
         };
         self.upstreams[index] = Some(Upstream::start(config, self.ledger.clone())?);
         self.publish_entry(index, "ready");
@@ -252,7 +252,7 @@
 
     /// Sets the end of the warm-up of an upstream that starts now. Returns it with the limit in
     /// openings per second, if the upstream's service has one.
-    fn warmup(&mut self, index: usize) -> Option<(Instant, f64)> {
+    fn begin_warmup(&mut self, index: usize) -> Option<(Instant, f64)> {
         let until = self.callers.as_ref().map(|_| Instant::now() + WARMUP);
         self.warmup_ends[index] = until;
         let (service, limit) = WARMUP_LIMITED;
@@ -286,7 +286,7 @@
     index % ZONES.len()
 }
 
-fn is_allowed(service: &str, index: usize) -> bool {
+fn is_region_allowed(service: &str, index: usize) -> bool {
     let (region_bound, region) = REGION_BOUND;
     service != region_bound || REGIONS[zone_of(index)] == region
 }
--- a/xtask/src/lab/documents.rs
+++ b/xtask/src/lab/documents.rs
@@ -56,13 +56,13 @@
         let _ = writeln!(yaml, "    zone_spill_percent: {ZONE_SPILL_PERCENT}\n    upstreams:");
         let rows = fleet.upstreams.iter();
         for row in rows.filter(|row| (row.account, row.service) == (account, index)) {
-            upstream(&mut yaml, row);
+            push_upstream(&mut yaml, row);
         }
     }
     yaml
 }
 
-fn upstream(yaml: &mut String, row: &Upstream) {
+fn push_upstream(yaml: &mut String, row: &Upstream) {
     let state = match row.published {
         Published::Absent => return,
         Published::Active => "active",
@@ -87,8 +87,8 @@
     let mut yaml = format!("instance: {}\nzone: {}\nregion: {region}\n", row.daemon.name, row.zone);
     let _ = writeln!(yaml, "data_address: \"{}\"", row.daemon.endpoints.data);
     let _ = writeln!(yaml, "control_address: \"{}\"", row.daemon.endpoints.control);
-    shared(&mut yaml, net, fleet, row.daemon.endpoints.control, secrets);
-    key(&mut yaml, &secrets.master);
+    push_common_settings(&mut yaml, net, fleet, row.daemon.endpoints.control, secrets);
+    push_key(&mut yaml, &secrets.master);
     yaml
 }
 
@@ -104,13 +104,13 @@
     let _ = writeln!(yaml, "upstream_address: \"{}\"", row.upstream.endpoints.data);
     let _ = writeln!(yaml, "upstream_status_address: \"{}\"", row.upstream.endpoints.control);
     let _ = writeln!(yaml, "gateway_address: \"{}\"", net.gateway());
-    shared(&mut yaml, net, fleet, row.agent.endpoints.control, secrets);
+    push_common_settings(&mut yaml, net, fleet, row.agent.endpoints.control, secrets);
     let account = AccountId::of(plan.name);
-    key(&mut yaml, &derive_account_key(&secrets.master, KeyId(KEY_ID), account));
+    push_key(&mut yaml, &derive_account_key(&secrets.master, KeyId(KEY_ID), account));
     yaml
 }
 
-fn shared(
+fn push_common_settings(
     yaml: &mut String,
     net: Net,
     fleet: &Fleet,
@@ -125,7 +125,7 @@
     let _ = writeln!(yaml, "receive_threads: 1\nshutdown_grace_ms: {SHUTDOWN_GRACE_MS}");
 }
 
-fn key(yaml: &mut String, secret: &[u8]) {
+fn push_key(yaml: &mut String, secret: &[u8]) {
     let _ = writeln!(yaml, "keys:\n  - id: {KEY_ID}\n    secret_hex: \"{}\"", hex(secret));
 }
 
--- a/xtask/src/lab/observer.rs
+++ b/xtask/src/lab/observer.rs
@@ -20,11 +20,11 @@
 /// Number of threads that poll daemons for their settings in force.
 const POLLERS: usize = 4;
 /// Pause between two polling rounds; it limits the precision of `settings_in_force_ms`.
-const POLL_PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum time for which a paused daemon delays a polling round.
 const POLL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Pause between two samples of the upstreams' load.
-const LOAD_PAUSE: Duration = Duration::from_millis(500);
+const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum time for a settings change to reach every daemon at the end of a run.
 const CONVERGENCE_TIMEOUT_MS: u64 = 5_000;
 
@@ -78,7 +78,7 @@
             lab.record(|journal, _| journal.lagging = lagging);
             return;
         }
-        std::thread::sleep(POLL_PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -107,7 +107,7 @@
                 record_versions(lab, target, status, &mut highest);
             }
         }
-        std::thread::sleep(POLL_PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -156,7 +156,7 @@
                 lab.record(|journal, _| journal.loads.push(Load { service, open }));
             }
         }
-        std::thread::sleep(LOAD_PAUSE);
+        std::thread::sleep(LOAD_SAMPLE_INTERVAL);
     }
 }
 
--- a/xtask/src/lab/verdict/tests.rs
+++ b/xtask/src/lab/verdict/tests.rs
@@ -137,7 +137,7 @@
 #[rstest]
 #[case::within_grace(4_000, None, 0)]
 #[case::after_grace(4_001, None, 1)]
-#[case::after_it_came_back(4_001, Some(4_001), 0)]
+#[case::after_the_drain(4_001, Some(4_001), 0)]
 fn opening_to_leaving(#[case] at_ms: u64, #[case] until_ms: Option<u64>, #[case] expected: u64) {
     let mut evidence = evidence();
     let drain = Drain { upstream: "shelf-1".to_owned(), from_ms: 1_000, until_ms };
