--- a/xtask/src/ablate/mod.rs
+++ b/xtask/src/ablate/mod.rs
@@ -1,4 +1,5 @@
-//! `cargo xtask ablate`: scores the users' standard days with each mechanism disabled in turn.
+//! `cargo xtask ablate`: scores the users' standard days (fixed scenarios) with each mechanism
+//! disabled in turn.
 //!
 //! Works on a clone of the last commit under `target/`, so that the working tree does not change.
 //! The users' bench, given by its path, builds the programs and runs the days; its table is parsed.
--- a/xtask/src/capacity/budget.rs
+++ b/xtask/src/capacity/budget.rs
@@ -1,4 +1,5 @@
-//! Limits on a node's resource usage for control, as the users set them.
+//! Quantities of the capacity page, and the users' limits on what a node may spend on its control
+//! plane.
 
 /// A quantity of the capacity page, most of them limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/xtask/src/direct/fleet.rs
+++ b/xtask/src/direct/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes and stand-ins of a run.
+//! The processes and stand-ins of a run: starts and stops them, and applies changes and faults.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -31,9 +31,9 @@
 const WARMUP_LIMITED: (&str, f64) = ("shelf", 20.0);
 /// Warm-up time of an upstream that starts after the callers.
 const WARMUP: Duration = Duration::from_secs(2);
-/// Requests that an upstream serves at the same time.
+/// Number of requests that an upstream runs at the same time.
 const UPSTREAM_SLOTS: usize = 7;
-/// Time that an upstream works on a request.
+/// Time that a request takes at an upstream.
 const WORK_DURATION: Duration = Duration::from_millis(20);
 // Ports, the same on all addresses.
 const DATAGRAM_PORT: u16 = 18_172;
@@ -57,6 +57,7 @@
     upstreams: Vec<Option<Upstream>>,
     services: Vec<&'static str>,
     warmup_ends: Vec<Option<Instant>>,
+    /// Number of the upstream incarnation that was started last.
     last_incarnation: u64,
     log_count: u32,
 }
--- a/xtask/src/direct/mod.rs
+++ b/xtask/src/direct/mod.rs
@@ -16,10 +16,10 @@
 
 /// Time after the start within which all balancers must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause between two checks of a condition that is waited for.
+/// Interval between two checks of a condition that is waited for.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Builds the programs and runs the lab. The error lists the violated guarantees.
+/// Builds the programs and runs the lab. The error lists the failed checks.
 pub(crate) fn run(seed: u64, out: Option<PathBuf>) -> anyhow::Result<()> {
     let programs = process::build(&["--package", "platform", "--bins"])?.join("debug");
     let folder = || std::env::temp_dir().join(format!("gooseberrysill-{}", std::process::id()));
@@ -51,6 +51,6 @@
     } else {
         std::fs::remove_dir_all(&out)?;
     }
-    ensure!(!has_failed, "guarantees violated: {}", failures.join("; "));
+    ensure!(!has_failed, "checks failed: {}", failures.join("; "));
     Ok(())
 }
--- a/xtask/src/direct/scenario.rs
+++ b/xtask/src/direct/scenario.rs
@@ -5,7 +5,7 @@
 /// A change or fault. Numbers are indices of balancers, upstreams or availability zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Action {
-    /// Tells a balancer to shut down; it is started again once it has exited.
+    /// Sends SIGTERM to a balancer; it is started again once it has exited.
     RollBalancer(usize),
     /// Kills a balancer and starts it again.
     KillBalancer(usize),
@@ -72,7 +72,7 @@
     at(7_500, Action::KillAgent(4)),
     at(8_500, Action::Retire(1)),
     // An address is reassigned to another service during an outage of the configuration service, so
-    // no balancer can learn of it.
+    // no balancer receives the change.
     at(10_000, Action::StoreSilent),
     at(10_300, Action::Retire(0)),
     at(10_500, Action::Reuse(0)),
--- a/xtask/src/direct/verdict.rs
+++ b/xtask/src/direct/verdict.rs
@@ -1,4 +1,4 @@
-//! Checks whether a run has met its guarantees.
+//! Evaluates a run by the ledger of callers and upstreams, not by the product's own counters.
 
 use platform_standins::ledger::{Counts, Ledger};
 
--- a/xtask/src/lab/actions.rs
+++ b/xtask/src/lab/actions.rs
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// Starts the agent of the upstream at this index. `await_ready` lists it.
+    /// Starts the agent of the upstream at this index. `await_ready` adds it to the instance list.
     pub(super) fn start_agent(&self, index: usize) -> anyhow::Result<()> {
         let mut fleet = lock(&self.fleet);
         let settings = documents::agent(self.net, &fleet, &fleet.upstreams[index], &self.secrets);
@@ -88,7 +88,7 @@
         self.start_daemon("gooseberrysill-agent", daemon, &settings)
     }
 
-    /// Starts the balancer at this index. `await_ready` lists it.
+    /// Starts the balancer at this index. `await_ready` adds it to the instance list.
     pub(super) fn start_balancer(&self, index: usize) -> anyhow::Result<()> {
         let mut fleet = lock(&self.fleet);
         let row = &fleet.balancers[index];
--- a/xtask/src/lab/observer.rs
+++ b/xtask/src/lab/observer.rs
@@ -19,11 +19,11 @@
 
 /// Number of threads that poll daemons for their settings in force.
 const POLLERS: usize = 4;
-/// Pause between two polling rounds; it limits the precision of `settings_in_force_ms`.
+/// Interval between two polling rounds; it limits the precision of `settings_in_force_ms`.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum time for which a paused daemon delays a polling round.
 const POLL_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause between two samples of the upstreams' load.
+/// Interval between two samples of the upstreams' load.
 const LOAD_SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum time for a settings change to reach every daemon at the end of a run.
 const CONVERGENCE_TIMEOUT_MS: u64 = 5_000;
--- a/xtask/src/lab/options.rs
+++ b/xtask/src/lab/options.rs
@@ -13,10 +13,10 @@
 traffic, and checks the ledgers of callers and upstreams. Stops everything that it started.
 
 Options:
-  --direct         the two programs of the direct-return path, over stand-ins of the users'
-                   platform, for half a minute; takes --seed and --out only
+  --direct         run the two programs of the direct-return path instead, against stand-ins of
+                   the users' platform, for half a minute; takes --seed and --out only
   --quick          the small size and the scenario `quick`: at most 45 s after the build
-  --seed N         determines targets, spraying, losses and request times (default 1)
+  --seed N         determines targets, packet spraying, losses and request times (default 1)
   --scenario NAME  quick, full, planned, faults, calm or wire (default full)
   --out DIR        keep logs, ledgers, timelines and report there; DIR must be new or empty
   --release        run the release build (default: the dev build, at opt-level 1)
--- a/xtask/src/lab/scenario.rs
+++ b/xtask/src/lab/scenario.rs
@@ -66,7 +66,7 @@
     /// Sends SIGKILL to an upstream, but not to its agent, and starts a new one after the given
     /// time. The upstream's flows are lost because of the lab and counted separately.
     KillUpstream(Target, u64),
-    /// The configuration service is down for the given time.
+    /// The configuration service (the stand-in `platform`) is down for the given time.
     PlatformDown(u64),
     /// Readers of the configuration service see no changes for the given time.
     PlatformStale(u64),
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -18,7 +18,7 @@
 Usage: cargo xtask COMMAND [OPTIONS]
 
 Commands:
-  ablate  score the users' standard days with each mechanism disabled in turn;
+  ablate  score the users' standard days (fixed scenarios) with each mechanism disabled in turn;
           `cargo xtask ablate --help`
   bench [--experiment FILE] [--out FOLDER]
           compare the packets per second and core of balancer and agent with a bare relay, on
--- a/xtask/src/process.rs
+++ b/xtask/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes of the lab. Each is killed when its `Process` is dropped.
+//! Child processes of both labs. Each is killed when its `Process` is dropped.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
