--- a/xtask/src/direct/fleet.rs
+++ b/xtask/src/direct/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes and stand-ins of a run.
+//! The processes and stand-ins of a run: starts and stops them, and applies changes and faults.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -31,9 +31,9 @@
 const WARMUP_LIMITED: (&str, f64) = ("shelf", 20.0);
 /// Warm-up time of an upstream that starts after the callers.
 const WARMUP: Duration = Duration::from_secs(2);
-/// Requests that an upstream serves at the same time.
+/// Number of requests that an upstream runs at the same time.
 const UPSTREAM_SLOTS: usize = 7;
-/// Time that an upstream works on a request.
+/// Time that a request takes at an upstream.
 const WORK_DURATION: Duration = Duration::from_millis(20);
 // Ports, the same on all addresses.
 const DATAGRAM_PORT: u16 = 18_172;
@@ -57,7 +57,8 @@
     upstreams: Vec<Option<Upstream>>,
     services: Vec<&'static str>,
     warmup_ends: Vec<Option<Instant>>,
-    incarnations: u64,
+    /// Number of the upstream incarnation that was started last.
+    last_incarnation: u64,
     log_count: u32,
 }
 
@@ -83,7 +84,7 @@
             upstreams: SERVICES.iter().map(|_| None).collect(),
             services: SERVICES.to_vec(),
             warmup_ends: vec![None; SERVICES.len()],
-            incarnations: 0,
+            last_incarnation: 0,
             log_count: 0,
         };
         for index in 0..SERVICES.len() {
@@ -233,17 +234,17 @@
 
     fn start_upstream(&mut self, index: usize) -> anyhow::Result<()> {
         self.upstreams[index] = None;
-        self.incarnations += 1;
+        self.last_incarnation += 1;
         let config = UpstreamConfig {
             service: self.services[index],
-            incarnation: self.incarnations,
+            incarnation: self.last_incarnation,
             app: SocketAddrV4::new(upstream_ip(index), APP_PORT),
             outbound: SocketAddrV4::new(upstream_ip(index), OUTBOUND_PORT),
             slots: UPSTREAM_SLOTS,
-            work: WORK_DURATION,
+            work_duration: WORK_DURATION,
             zone: ZONES[zone_of(index)],
-            allowed: is_allowed(self.services[index], index),
-            cold: self.warmup(index),
+            region_allowed: is_region_allowed(self.services[index], index),
+            cold_limit: self.begin_warmup(index),
         };
         self.upstreams[index] = Some(Upstream::start(config, self.ledger.clone())?);
         self.publish_entry(index, "ready");
@@ -252,7 +253,7 @@
 
     /// Sets the end of the warm-up of an upstream that starts now. Returns it with the limit in
     /// openings per second, if the upstream's service has one.
-    fn warmup(&mut self, index: usize) -> Option<(Instant, f64)> {
+    fn begin_warmup(&mut self, index: usize) -> Option<(Instant, f64)> {
         let until = self.callers.as_ref().map(|_| Instant::now() + WARMUP);
         self.warmup_ends[index] = until;
         let (service, limit) = WARMUP_LIMITED;
@@ -286,7 +287,7 @@
     index % ZONES.len()
 }
 
-fn is_allowed(service: &str, index: usize) -> bool {
+fn is_region_allowed(service: &str, index: usize) -> bool {
     let (region_bound, region) = REGION_BOUND;
     service != region_bound || REGIONS[zone_of(index)] == region
 }
