--- a/crates/steering/src/rotation/mod.rs
+++ b/crates/steering/src/rotation/mod.rs
@@ -14,7 +14,7 @@
 /// Share of its link above which a balancer leaves, in percent. Bodies come in bursts, and a link
 /// that is two thirds full on average is overfull in every other half second.
 const LINK_PERCENT_MAX: u64 = 70;
-/// With this much lag, requests are late or repeated: callers repeat data after 200 ms.
+/// With this much lag, requests are late or retransmitted: callers retransmit data after 200 ms.
 const LAG_MAX_MS: Millis = 100;
 /// Window over which traffic is measured, longer than a burst of a few bodies.
 const WINDOW_MS: Millis = 1_000;
@@ -87,8 +87,8 @@
     ///     received_bytes: second * 1_700_000,
     ///     since_last_packet_ms: 0,
     /// };
-    /// let takes_part = [0, 1, 2, 3].map(|second| rotation.update(second * 1_000, full(second)));
-    /// assert_eq!(takes_part, [true, true, true, false]);
+    /// let in_rotation = [0, 1, 2, 3].map(|second| rotation.update(second * 1_000, full(second)));
+    /// assert_eq!(in_rotation, [true, true, true, false]);
     /// ```
     pub fn update(&mut self, now_ms: Millis, load: Load) -> bool {
         self.lagged |= load.lag_ms >= LAG_MAX_MS;
--- a/crates/steering/tests/membership.rs
+++ b/crates/steering/tests/membership.rs
@@ -116,8 +116,8 @@
 }
 
 /// Another writer has published an entry for a service that does not exist, with the address of an
-/// upstream. Taken for the new owner of the address, it would hide the upstream, and its callers'
-/// packets would find no holder.
+/// upstream. If it counted as the new owner of the address, it would hide the upstream, whose
+/// callers' packets would find no holder.
 #[rstest]
 #[case::unknown_service(ServiceStamp(9), ServiceStamp(1))]
 #[case::known_service(ServiceStamp(2), ServiceStamp(2))]
@@ -169,7 +169,7 @@
 /// How long the list may still be incomplete, as reported to other balancers: without an outage,
 /// after an outage that this balancer saw end, or during one.
 #[rstest]
-#[case::calm(10_000, 9_000, false, 0)]
+#[case::no_outage(10_000, 9_000, false, 0)]
 #[case::after_an_outage(10_000, 11_500, false, 1_500)]
 #[case::in_an_outage(10_000, 0, true, OUTAGE_LINGER_MS)]
 #[case::in_the_next_outage(10_000, 10_200, true, OUTAGE_LINGER_MS)]
--- a/xtask/src/bench/subject.rs
+++ b/xtask/src/bench/subject.rs
@@ -1,4 +1,4 @@
-//! What is measured: the relay, a balancer, an agent.
+//! The measured processes: the relay, a balancer and an agent.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,9 +9,9 @@
 
 use super::process::Process;
 
-/// Longest wait for a daemon to become ready.
-const READY: Duration = Duration::from_secs(15);
-const STEP: Duration = Duration::from_millis(50);
+/// Time within which a daemon must become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Kind of a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,17 +34,17 @@
     pub(super) frames: Frames,
 }
 
-/// Counts at one moment.
+/// Counters of a subject at one moment.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Reading {
     /// Packets moved since the start.
     pub(super) packets: u64,
-    /// Processor time of the thread that moves them.
-    pub(super) processor: Duration,
+    /// CPU time of the thread that moves them.
+    pub(super) cpu_time: Duration,
 }
 
 impl Kind {
-    /// Name in results.
+    /// Name in results and messages.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Relay => "relay",
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Thread that moves packets.
-    fn thread(self) -> &'static str {
+    /// Name of the thread that moves packets.
+    fn packet_thread(self) -> &'static str {
         match self {
             Self::Relay => "relay",
             Self::Balancer => "receive-0",
@@ -62,7 +62,8 @@
         }
     }
 
-    fn counter(self) -> &'static str {
+    /// Status counter of moved packets; the relay has no status.
+    fn packet_counter(self) -> &'static str {
         match self {
             Self::Relay => "",
             Self::Balancer => "packets_forwarded_total",
@@ -84,34 +85,41 @@
         &self.frames
     }
 
-    /// Counts now. The processor time is read first for all kinds alike.
+    /// Reads the current counters. The CPU time is read first for all kinds, so that the readings
+    /// are comparable.
     pub(super) fn reading(&self) -> anyhow::Result<Reading> {
-        let processor = self.process.processor_time(Some(self.kind.thread()))?;
+        let cpu_time = self.process.cpu_time(Some(self.kind.packet_thread()))?;
         let packets = match self.kind {
-            Kind::Relay => self.process.ask()?.parse()?,
-            Kind::Balancer | Kind::Agent => self.counter(self.kind.counter())?,
+            Kind::Relay => self.process.query()?.parse()?,
+            Kind::Balancer | Kind::Agent => self.counter(self.kind.packet_counter())?,
         };
-        Ok(Reading { packets, processor })
+        Ok(Reading { packets, cpu_time })
     }
 
-    /// A counter of the daemon's status.
+    /// Reads a counter from the daemon's status.
     pub(super) fn counter(&self, name: &str) -> anyhow::Result<u64> {
         let status = self.status()?;
         status["counters"][name].as_u64().with_context(|| format!("no counter {name}"))
     }
 
-    /// Waits until the daemon is ready and `done` holds for its status.
-    pub(super) fn wait(&self, done: impl Fn(&serde_json::Value) -> bool) -> anyhow::Result<()> {
+    /// Waits until the daemon is ready and its status satisfies `condition`.
+    pub(super) fn wait_until_ready(
+        &self,
+        condition: impl Fn(&serde_json::Value) -> bool,
+    ) -> anyhow::Result<()> {
         let start = Instant::now();
         loop {
             match self.status() {
-                Ok(status) if status["ready"] == true && done(&status) => return Ok(()),
+                Ok(status) if status["ready"] == true && condition(&status) => return Ok(()),
                 answer => {
                     let name = self.kind.name();
-                    ensure!(start.elapsed() < READY, "{name} did not become ready: {answer:?}");
+                    ensure!(
+                        start.elapsed() < READY_TIMEOUT,
+                        "{name} did not become ready: {answer:?}"
+                    );
                 }
             }
-            std::thread::sleep(STEP);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
--- a/xtask/src/capacity/mod.rs
+++ b/xtask/src/capacity/mod.rs
@@ -1,5 +1,5 @@
-//! `cargo xtask capacity`: writes `docs/CAPACITY.md` from the committed result files, and nothing
-//! else, so that the page cannot drift from what was measured.
+//! `cargo xtask capacity`: generates `docs/CAPACITY.md` from the committed result files only, so
+//! that the page cannot deviate from the measurements.
 
 mod budget;
 mod failure;
@@ -16,7 +16,7 @@
 
 use anyhow::{Context as _, ensure};
 
-use figure::Files;
+use figure::ResultFiles;
 
 const PAGE: &str = "docs/CAPACITY.md";
 const RESULTS: &str = "docs/results";
@@ -24,13 +24,13 @@
 /// What to do with the page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// Measure all slopes anew, then write the page.
+    /// Repeat the measurements that need no daemon, then write the page.
     Measure,
-    /// Take over what the users' sweep has printed, then write the page.
+    /// Import the output of the users' sweep from this file, then write the page.
     Sweep(PathBuf),
     /// Write the page.
     Write,
-    /// Compare the page.
+    /// Fail if the committed page differs from the generated one.
     Check,
 }
 
@@ -45,14 +45,14 @@
     }
 }
 
-/// Writes or compares the page.
+/// Updates the result files if the mode asks for it, then writes or compares the page.
 pub(crate) fn run(mode: Mode) -> anyhow::Result<()> {
     match &mode {
         Mode::Measure => measure::run(Path::new(RESULTS))?,
-        Mode::Sweep(text) => sweep::take(text, Path::new(RESULTS))?,
+        Mode::Sweep(text) => sweep::import(text, Path::new(RESULTS))?,
         Mode::Write | Mode::Check => {}
     }
-    let page = page::render(&Files::read(Path::new(RESULTS))?)?;
+    let page = page::render(&ResultFiles::read(Path::new(RESULTS))?)?;
     if mode != Mode::Check {
         return std::fs::write(PAGE, page).context(PAGE);
     }
--- a/xtask/src/capacity/tests.rs
+++ b/xtask/src/capacity/tests.rs
@@ -1,17 +1,17 @@
-//! Tests of the figures behind the page.
+//! Tests of the figures, the budgets and the import of the sweep.
 
 use loadgen::results::{Results, Series};
 
 use super::budget::Quantity;
-use super::figure::Take::{Line, Point, Slope};
-use super::figure::{Files, Term, counted, measured, rated};
+use super::figure::Lookup::{Line, Point, Slope};
+use super::figure::{ResultFiles, Term, computed, measured, scaled};
 
-fn files() -> Files {
+fn files() -> ResultFiles {
     let series = vec![
         Series::new("bytes", "nodes", "B/s", &[(1.0, 12.0), (2.0, 14.0), (4.0, 18.0)]),
         Series::new("memory", "flows", "B", &[(50.0, 7.0)]),
     ];
-    Files::of(vec![("agent", Results { command: "measure".into(), series })])
+    ResultFiles::from_results(vec![("agent", Results { command: "measure".into(), series })])
 }
 
 fn check(terms: &[Term], expected: Option<f64>) {
@@ -49,7 +49,7 @@
 
 #[test]
 fn figure_sum_of_terms() {
-    let terms = [rated("agent", "bytes", Line(3.0), 0.5), counted(2.0, "counted")];
+    let terms = [scaled("agent", "bytes", Line(3.0), 0.5), computed(2.0, "counted")];
     check(&terms, Some(10.0));
 }
 
@@ -73,7 +73,7 @@
 ";
 
 #[test]
-fn sweep_is_read_in_the_budget_s_units() {
+fn sweep_values_use_the_units_of_the_budgets() {
     let results = super::sweep::results(SWEEP).unwrap();
     let point = |name: &str| {
         let series = results.series(name).unwrap();
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn sweep_without_a_quantity_is_refused() {
+fn sweep_without_a_quantity_is_rejected() {
     let cut = SWEEP.replace("balancer: memory MB", "balancer: memory");
     assert!(super::sweep::results(&cut).is_err());
     assert!(super::sweep::results("3 days, 1 at a time").is_err());
--- a/xtask/src/lab/driver.rs
+++ b/xtask/src/lab/driver.rs
@@ -169,10 +169,10 @@
     }
     let begun = clock::now();
     for mut process in processes {
-        while process.exited().is_none() && clock::now().since(begun) < 1_000 {
+        while process.exit_status().is_none() && clock::now().since(begun) < 1_000 {
             lab.sleep(super::POLL_INTERVAL_MS)?;
         }
-        if process.exited().is_none() {
+        if process.exit_status().is_none() {
             lab.log_progress(&format!("{} did not exit in time and is killed", process.name()));
         }
     }
--- a/xtask/src/regress/mod.rs
+++ b/xtask/src/regress/mod.rs
@@ -1,8 +1,8 @@
-//! Whether the users' deployments are served as well as before.
+//! `cargo xtask regress`: compares the scores of the users' deployments with committed baselines.
 //!
-//! A committed file names the sites and what they have reached. Each is played once on a clone of
-//! the last commit; a site whose mean has fallen by more than plays of the same code differ, or on
-//! which a rule is broken, fails the command.
+//! The baseline file names the sites and the mean that each has reached. Each site is run once on a
+//! clone of the last commit. The command fails if the mean of a site has fallen by more than runs
+//! of the same code differ, or if a rule is violated on one of its days.
 
 #[cfg(test)]
 mod tests;
@@ -20,23 +20,23 @@
 
 Options:
   --bench PATH    the users' bench
-  --sites FOLDER  where the site files lie that docs/results/regress.json names
+  --sites FOLDER  folder of the site files that docs/results/regress.json names
   --only TEXT     only sites whose name contains this
-  --jobs N        days that are played at the same time, 4 unless given
-  --write         write what was reached into docs/results/regress.json
+  --jobs N        days that run at the same time, default 4
+  --write         write the new means to docs/results/regress.json
 ";
 
-/// What the sites have reached.
-const REACHED: &str = "docs/results/regress.json";
-/// Where the clone lies.
-const COPY: &str = "target/regress";
-/// A mean may fall by this much: plays of the same code differ by up to 0.005, and the users call
-/// less than 0.03 noise.
-const FALL_MAX: f64 = 0.03;
+/// File with the baseline of each site.
+const BASELINE_FILE: &str = "docs/results/regress.json";
+/// Folder of the clone.
+const CLONE_FOLDER: &str = "target/regress";
+/// Largest accepted drop of a site's mean. Runs of the same code differ by up to 0.005, and the
+/// users treat differences below 0.03 as noise.
+const MEAN_DROP_MAX: f64 = 0.03;
 
-/// A site and the mean worth of its standard days with trouble.
+/// A site and the mean worth of its standard days with a disturbance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Reached {
+struct Baseline {
     site: String,
     mean: f64,
 }
@@ -50,28 +50,29 @@
     write: bool,
 }
 
-/// Plays all sites and compares.
+/// Runs all selected sites and compares their means with the baselines.
 pub(crate) fn run(parser: &mut lexopt::Parser) -> anyhow::Result<()> {
     let Some(options) = parse(parser)? else {
         print!("{HELP}");
         return Ok(());
     };
-    let mut reached: Vec<Reached> =
-        serde_json::from_str(&std::fs::read_to_string(REACHED).context(REACHED)?)?;
-    days::clone_to(Path::new(COPY))?;
-    let mut faults = Vec::new();
-    for known in reached.iter_mut().filter(|known| known.site.contains(&options.only)) {
-        let site = options.sites.join(&known.site);
-        let why = format!("regression run: {}", known.site);
-        let days = days::score(&options.bench, Path::new(COPY), &site, options.jobs, &why)?;
+    let mut baselines: Vec<Baseline> =
+        serde_json::from_str(&std::fs::read_to_string(BASELINE_FILE).context(BASELINE_FILE)?)?;
+    days::clone_to(Path::new(CLONE_FOLDER))?;
+    let mut regressions = Vec::new();
+    for baseline in baselines.iter_mut().filter(|baseline| baseline.site.contains(&options.only)) {
+        let site = options.sites.join(&baseline.site);
+        let reason = format!("regression run: {}", baseline.site);
+        let days =
+            days::score(&options.bench, Path::new(CLONE_FOLDER), &site, options.jobs, &reason)?;
         println!("{}", serde_json::to_string(&days)?);
-        faults.extend(compare(known, &days));
-        known.mean = mean_of(&days);
+        regressions.extend(compare(baseline, &days));
+        baseline.mean = mean_worth(&days);
     }
     if options.write {
-        std::fs::write(REACHED, serde_json::to_string_pretty(&reached)? + "\n")?;
+        std::fs::write(BASELINE_FILE, serde_json::to_string_pretty(&baselines)? + "\n")?;
     }
-    ensure!(faults.is_empty(), "{}", faults.join("; "));
+    ensure!(regressions.is_empty(), "{}", regressions.join("; "));
     Ok(())
 }
 
@@ -79,8 +80,8 @@
     let mut options = Options { jobs: 4, ..Options::default() };
     while let Some(argument) = parser.next()? {
         match argument {
-            lexopt::Arg::Long("bench") => options.bench = days::absolute(parser.value()?)?,
-            lexopt::Arg::Long("sites") => options.sites = days::absolute(parser.value()?)?,
+            lexopt::Arg::Long("bench") => options.bench = days::canonical_path(parser.value()?)?,
+            lexopt::Arg::Long("sites") => options.sites = days::canonical_path(parser.value()?)?,
             lexopt::Arg::Long("only") => options.only = parser.value()?.string()?,
             lexopt::Arg::Long("jobs") => options.jobs = parser.value()?.parse()?,
             lexopt::Arg::Long("write") => options.write = true,
@@ -93,18 +94,20 @@
     Ok(Some(options))
 }
 
-/// What is wrong with these days, in words.
-fn compare(known: &Reached, days: &[Day]) -> Vec<String> {
+/// Describes each regression of these days from the baseline.
+fn compare(baseline: &Baseline, days: &[Day]) -> Vec<String> {
     let broken = days.iter().filter(|day| day.broken);
-    let mut faults: Vec<String> =
-        broken.map(|day| format!("{}: a rule is broken on {}", known.site, day.name)).collect();
-    let mean = mean_of(days);
-    if known.mean - mean > FALL_MAX {
-        faults.push(format!("{}: mean {mean:.4}, {:.4} before", known.site, known.mean));
+    let mut regressions: Vec<String> = broken
+        .map(|day| format!("{}: a rule was violated on {}", baseline.site, day.name))
+        .collect();
+    let mean = mean_worth(days);
+    if baseline.mean - mean > MEAN_DROP_MAX {
+        regressions
+            .push(format!("{}: mean {mean:.4}, baseline {:.4}", baseline.site, baseline.mean));
     }
-    faults
+    regressions
 }
 
-fn mean_of(days: &[Day]) -> f64 {
-    mean(days.iter().filter(|day| day.is_troubled()).map(|day| day.worth))
+fn mean_worth(days: &[Day]) -> f64 {
+    mean(days.iter().filter(|day| day.has_disturbance()).map(|day| day.worth))
 }
