--- a/crates/steering/src/side/mod.rs
+++ b/crates/steering/src/side/mod.rs
@@ -3,12 +3,12 @@
 
 mod admission;
 mod flow;
-mod pace;
 mod pending_replies;
 mod queue;
+mod service_time;
+mod slowdown;
 mod types;
 mod votes;
-mod work;
 
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -18,13 +18,13 @@
 use crate::view::ServiceStamp;
 use admission::{Admission, Refusal};
 use flow::{Flow, Opening, opening_age_ms};
-pub use pace::{SlowdownChange, SlowdownDetector};
 use pending_replies::PendingReplies;
 use queue::{Queue, Times};
+use service_time::ServiceTime;
+pub use slowdown::{SlowdownChange, SlowdownDetector};
 pub use types::{
     Answer, AnswerOutcome, Delivery, ForwardMetadata, PacketOutcome, Released, Report,
 };
-use work::ServiceTime;
 
 /// An upstream that has left packets unanswered for this long, and has sent no other packet, counts
 /// as unresponsive. A running upstream answers or returns a packet within a millisecond.
