--- a/crates/balancer/src/spreading/mod.rs
+++ b/crates/balancer/src/spreading/mod.rs
@@ -7,7 +7,7 @@
 
 mod fetch;
 pub mod link;
-mod tell;
+mod notify;
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -26,7 +26,7 @@
 
 pub(crate) use fetch::{Fetch, Fetcher};
 use link::Link;
-pub(crate) use tell::AgentNotifier;
+pub(crate) use notify::AgentNotifier;
 
 /// State of the gossip thread that other threads read.
 #[derive(Debug)]
