--- a/crates/goosectl/src/commands/drain_watch/mod.rs
+++ b/crates/goosectl/src/commands/drain_watch/mod.rs
@@ -1,7 +1,7 @@
 //! `goosectl drain-watch`: waits until an upstream can be removed.
 
 mod arguments;
-mod look;
+mod poll;
 mod progress;
 #[cfg(test)]
 mod tests;
@@ -17,7 +17,7 @@
 use crate::fleet::{Fleet, OPTIONS_HELP};
 use crate::output;
 use arguments::Arguments;
-use look::Watched;
+use poll::Watched;
 use progress::{Flows, Progress, Sample, Verdict};
 
 /// Entry in the command table.
--- a/crates/goosectl/src/commands/logs/mod.rs
+++ b/crates/goosectl/src/commands/logs/mod.rs
@@ -1,7 +1,7 @@
 //! Reads the JSON lines that processes log, for `explain --logs` and `timeline --logs`.
 
 mod parse;
-mod walk;
+mod select;
 
 use std::ffi::OsString;
 use std::fs::File;
@@ -51,7 +51,7 @@
         return Err(Failure::usage("give an id and at least one file with --logs"));
     };
     let lines = read(&files)?;
-    let found = walk::lines_of_request(&lines, &id);
+    let found = select::lines_of_request(&lines, &id);
     if found.is_empty() {
         let text = format!("no line names {id}; rate-limited lines are missing, see `suppressed`");
         return Err(Failure::new(codes::NOT_FOUND, Exit::Findings, text));
@@ -68,10 +68,10 @@
         return Err(Failure::usage("give at least one file with --logs"));
     };
     let lines = read(&files)?;
-    for line in walk::lines_of_processes(&lines) {
+    for line in select::lines_of_processes(&lines) {
         writeln!(out, "{}", line.text())?;
     }
-    for (event, count) in walk::count_flow_events(&lines) {
+    for (event, count) in select::count_flow_events(&lines) {
         writeln!(out, "flows: {event} {count}")?;
     }
     Ok(Exit::Success)
@@ -110,6 +110,6 @@
             lines.extend(parse::line(&text));
         }
     }
-    walk::sort(&mut lines);
+    select::sort(&mut lines);
     Ok(lines)
 }
