--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -7,7 +7,7 @@
 //! line, a column and a path.
 
 pub mod account;
-mod book;
+mod active;
 pub mod codes;
 mod document;
 mod fault;
@@ -18,7 +18,7 @@
 pub mod root;
 mod step;
 
-pub use book::{ActiveSettings, Outcome};
+pub use active::{ActiveSettings, Outcome};
 pub use codes::Code;
 pub use document::MAX_SUBTREE_BYTES;
 pub use fault::Fault;
