--- a/crates/agent/src/plane/mod.rs
+++ b/crates/agent/src/plane/mod.rs
@@ -2,10 +2,10 @@
 
 mod carry;
 mod leave;
-mod notes;
 mod requests;
 #[cfg(test)]
 mod tests;
+mod timeline;
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -255,7 +255,7 @@
             }
             Action::Report(member) => self.report_peer(member),
             Action::Record(entry) => {
-                notes::record(&self.config.timeline, &self.config.account, entry);
+                timeline::record(&self.config.timeline, &self.config.account, entry);
             }
         }
     }
