--- a/xtask/src/capacity/roles/agent.rs
+++ b/xtask/src/capacity/roles/agent.rs
@@ -21,8 +21,8 @@
     };
     Role {
         name: "Agent",
-        state: "The flows of its upstream (the truth), redirects for two ranks' flows, claims of \
-                the last two minutes, its peers. All but its own flows is soft state.",
+        state: "The flows of its upstream (authoritative), redirects for two ranks' flows, claims of \
+                the last two minutes, its peers. Everything except its own flows is soft state.",
         rows: vec![
             row(
                 Bytes,
@@ -31,7 +31,7 @@
             ),
             row(
                 Bytes,
-                "mean agent, `refuse`: the same and a claim at all peers for each opening",
+                "mean agent, `refuse`: the same, and a claim sent to all peers for each opening",
                 &mean("new_flows_refuse_bytes", "open_flows_bytes"),
             ),
             row(
@@ -41,12 +41,12 @@
             ),
             row(
                 Bytes,
-                "fullest agent (50,000 flows), no new ones: refresh every 10 min",
+                "agent with the most flows (50,000), no new flows: refresh every 10 min",
                 &[measured("agent", "open_flows_bytes", Line(MAX_FLOWS))],
             ),
             row(
                 Bytes,
-                "settings: one account's digest asked and answered every 2 s over HTTP",
+                "settings: one account's digest requested and answered every 2 s over HTTP",
                 &[scaled("tree", "exchange_bytes", SINGLE_POINT, COMPARISONS_PER_S)],
             ),
             row(
@@ -71,7 +71,7 @@
             ),
             row(
                 CpuTime,
-                "fullest agent (50,000 flows), no new ones",
+                "agent with the most flows (50,000), no new flows",
                 &[measured("agent", "open_flows_processor", Line(MAX_FLOWS))],
             ),
             row(
@@ -81,19 +81,19 @@
             ),
             row(
                 Memory,
-                "whole process, fullest agent (50,000 flows, no peers)",
+                "whole process, agent with the most flows (50,000, no peers)",
                 &[measured("bench", "agent_memory", Point(MAX_FLOWS))],
             ),
             row(
                 Memory,
-                "tables of the fullest agent, redirects of such peers included",
+                "tables of the agent with the most flows, redirects of equally loaded peers included",
                 &[measured("memory", "agent_bytes", Line(MAX_FLOWS))],
             ),
         ],
-        proposal: "`admit`: a period of announcements of 1 s instead of 250 ms (trial: 6.6 KB/s \
-                   at 12 openings/s). `refuse`: ask as many witnesses as a majority needs, the rest \
-                   after 80 ms; beyond that a lease for the home of a bucket, so that an opening \
-                   needs no message. Fullest agent: refresh by a digest of each bucket, and the \
-                   flows only where it differs.",
+        proposal: "`admit`: an announcement interval of 1 s instead of 250 ms (trial: 6.6 KB/s \
+                   at 12 openings/s). `refuse`: query only as many witnesses as a majority needs, the \
+                   rest after 80 ms; as a further step, a lease for the home of a bucket, so that \
+                   an opening needs no message. Agent with the most flows: refresh with a digest \
+                   of each bucket, and send flows only where the digests differ.",
     }
 }
--- a/xtask/src/capacity/roles/balancer.rs
+++ b/xtask/src/capacity/roles/balancer.rs
@@ -15,7 +15,7 @@
         name: "Balancer",
         state: "Texts and checked specs of 300 subtrees, one view with the ranking of 64 buckets of \
                 1,900 services, 300 account keys, 300 versions, the ids of 1,600 balancers, the \
-                agents that are down, the platform's list. Nothing about flows.",
+                agents that are down, the platform's list. No flow state.",
         rows: vec![
             row(
                 Bytes,
@@ -24,12 +24,12 @@
             ),
             row(
                 Bytes,
-                "rumours (3 peers, 2 rounds) and fetched deltas of 3,800 changes a day",
+                "notices (3 peers, 2 rounds) and fetched deltas of 3,800 changes a day",
                 &[scaled("control", "change_bytes", Line(BALANCERS), CHANGES_PER_S)],
             ),
             row(
                 Bytes,
-                "full digests over HTTP, one asked and one answered every 30 s",
+                "full digests over HTTP, one requested and one answered every 30 s",
                 &[
                     scaled("tree", "digest_bytes", Line(SERVICES), COMPARISONS_PER_S),
                     scaled("tree", "exchange_bytes", SINGLE_POINT, COMPARISONS_PER_S),
@@ -37,22 +37,22 @@
             ),
             row(
                 Bytes,
-                "instance list, read whole at 2,000 bytes a second: every 20 minutes",
+                "instance list, read completely at 2,000 bytes a second: every 20 minutes",
                 &[scaled("tree", "list_bytes", Line(SERVICES), LIST_READS_PER_S)],
             ),
             row(
                 Messages,
                 "digests, sent and received",
-                &[computed(2.0, "a question and an answer every 2 s, in both directions")],
+                &[computed(2.0, "a request and a reply every 2 s, in both directions")],
             ),
             row(
                 CpuTime,
-                "digests and rumours",
+                "digests and notices",
                 &[measured("control", "idle_processor", Line(BALANCERS))],
             ),
             row(
                 CpuTime,
-                "parse, check and rebuild of the whole view on each change",
+                "parsing, checking and rebuilding the whole view on each change",
                 &[scaled("tree", "change_ms", Line(SERVICES), CHANGES_PER_S * US_PER_MS)],
             ),
             row(
@@ -65,7 +65,7 @@
             ),
             row(
                 CpuTime,
-                "whole process, idle, reading for its zone, settings and list of target size",
+                "whole process, idle, settings reader of its zone, settings and list of target size",
                 &[measured("bench", "balancer_idle_processor", Point(SERVICES))],
             ),
             row(
@@ -79,8 +79,8 @@
                 &[measured("bench", "balancer_memory", Point(SERVICES))],
             ),
         ],
-        proposal: "Nothing misses in the mean. The list can only be read whole, so it is read the \
-                   more rarely the longer it is: agents are known from the settings, and that one \
-                   is down from its peers; a new balancer brings itself up to date by comparing.",
+        proposal: "No mean value exceeds its budget. The list can only be read completely, so a longer \
+                   list is read less often. Agents are known from the settings, their failures \
+                   from reports of their peers, and a new balancer catches up through digests.",
     }
 }
--- a/xtask/src/capacity/roles/direct.rs
+++ b/xtask/src/capacity/roles/direct.rs
@@ -17,13 +17,13 @@
 fn balancer() -> Role {
     Role {
         name: "Direct path: balancer",
-        state: "Routes, the list of upstreams, other balancers, and a table of flows that is a shortcut. Measured with \
-                the callers' packets in it: these grow with the share of the traffic, the rest with the fleet. The line \
-                goes through the busiest process at 30, 100 and 300 instances, a reader.",
+        state: "Routes, the list of upstreams, other balancers, and a table of flows that serves as a cache. Measured \
+                including the callers' packets: these grow with the share of the traffic, the rest with the fleet. The line \
+                is fitted to the busiest process at 30, 100 and 300 instances, which is a reader.",
         rows: vec![
             row(
                 Bytes,
-                "busiest: beacons of a reader to each balancer, with the changes of the list; callers' packets",
+                "busiest: beacons of a reader to each balancer, with changes of the list of upstreams; callers' packets",
                 &[measured("sweep", "balancer_bytes_busiest", Line(TARGET_INSTANCES))],
             ),
             row(
@@ -38,24 +38,24 @@
             ),
             row(
                 Bytes,
-                "middle, at 300 instances: hellos, beacons heard; callers' packets",
+                "middle, at 300 instances: hellos, received beacons; callers' packets",
                 &[measured("sweep", "balancer_bytes_middle", Point(MAX_MEASURED_INSTANCES))],
             ),
         ],
-        proposal: "A reader tells every balancer by itself. Passing beacons and changes on within each availability zone \
-                   (one crossing a zone and change) divides its part by the number of balancers in a zone; answers to \
-                   hellos (1.2 KB at this size) need a bound on how many a reader gives a second.",
+        proposal: "A reader notifies every balancer itself. Forwarding beacons and changes within each availability zone (one \
+                   cross-zone message per zone and change) divides its traffic by the number of balancers in a zone; replies to \
+                   hellos (1.2 KB at this size) need a limit on how many a reader sends a second.",
     }
 }
 
 fn agent() -> Role {
     Role {
         name: "Direct path: agent",
-        state: "The flows of its own upstream, and nothing about the fleet: its part falls with the share of the traffic.",
+        state: "The flows of its own upstream, and nothing about the fleet: its load falls with its share of the traffic.",
         rows: vec![
             row(
                 Bytes,
-                "busiest, at 300 instances: callers' packets, words to balancers",
+                "busiest, at 300 instances: callers' packets, reports to balancers",
                 &[measured("sweep", "agent_bytes_busiest", Point(MAX_MEASURED_INSTANCES))],
             ),
             row(
@@ -69,7 +69,7 @@
                 &[measured("sweep", "agent_memory_busiest", Line(TARGET_INSTANCES))],
             ),
         ],
-        proposal: "The traffic of the sweep is the same at each size, so an agent's share of it falls with the fleet and \
-                   no line is carried on. At the target an agent has 3,700 flows and 12 new ones a second.",
+        proposal: "The traffic of the sweep is the same at each size, so an agent's share of it falls as the fleet grows \
+                   and no line is extrapolated. At the target an agent has 3,700 flows and 12 new ones a second.",
     }
 }
--- a/xtask/src/capacity/roles/others.rs
+++ b/xtask/src/capacity/roles/others.rs
@@ -26,12 +26,12 @@
 
 fn reader() -> Role {
     Role {
-        name: "Settings reader (a balancer that rendezvous hashing picks, two a zone)",
-        state: "As a balancer; nobody is elected, a reader that goes is replaced by the next rank.",
+        name: "Settings reader (a balancer selected by rendezvous hashing, two a zone)",
+        state: "As a balancer. There is no election: a reader that leaves is replaced by the balancer of the next rank.",
         rows: vec![
             row(
                 Bytes,
-                "watch and changed subtrees, read whole, on top of a balancer's own",
+                "watch and changed subtrees, read completely, in addition to a balancer's own traffic",
                 &[
                     scaled("tree", "subtree_bytes", Line(MEAN_ACCOUNT_SERVICES), CHANGES_PER_S),
                     scaled(
@@ -44,24 +44,24 @@
             ),
             row(
                 Propagation,
-                "one change, until in force on 1,600 balancers",
+                "one change, time until in force on 1,600 balancers",
                 &[measured("control", "change_ms", Point(BALANCERS))],
             ),
         ],
-        proposal: "Nothing misses in the mean.",
+        proposal: "No mean value exceeds its budget.",
     }
 }
 
 fn platform() -> Role {
     Role {
-        name: "What the platform sees in reads",
-        state: "Read only. Reads grow with zones, changes and starts; only the list's grow with \
-                balancers. Agents read at their start and when nobody has confirmed their settings \
+        name: "Reads served by the platform",
+        state: "Read only. Reads grow with zones, changes and starts; only reads of the list grow with \
+                balancers. Agents read at their start and when no peer has confirmed their settings \
                 for two to four minutes.",
         rows: vec![
             row(
                 Reads,
-                "watches of 34 readers, waiting and ended by changes",
+                "watches of 34 readers, ended by timeouts and by changes",
                 &[computed(
                     READERS * (WATCHES_PER_S + CHANGES_PER_S),
                     "34 readers, 10 s, 3,800 changes a day",
@@ -83,20 +83,20 @@
                 &[computed(STARTS_PER_S * READS_PER_START, "978 a day, 4 reads each at most")],
             ),
         ],
-        proposal: "Nothing misses in the mean.",
+        proposal: "No mean value exceeds its budget.",
     }
 }
 
 fn goosectl() -> Role {
     Role {
         name: "goosectl (an operator's shell, runs for seconds)",
-        state: "None. `check` reads one subtree; other commands ask daemons, one exchange each.",
+        state: "None. `check` reads one subtree; other commands ask daemons, with one exchange each.",
         rows: vec![row(
             Elapsed,
-            "processor time of `check` of a subtree: at most a balancer's whole change",
+            "processor time of `check` of a subtree: at most that of a balancer's whole change",
             &[measured("tree", "change_ms", Line(SERVICES))],
         )],
-        proposal: "Not a node, so nothing is limited. Asking all 11,600 nodes (`status`) was not \
+        proposal: "Not a node, so no limits apply. Querying all 11,600 nodes (`status`) was not \
                    measured.",
     }
 }
--- a/xtask/src/capacity/storms.rs
+++ b/xtask/src/capacity/storms.rs
@@ -24,16 +24,16 @@
             name: "A zone of 588 agents is lost, seen by balancers",
             peak: measured("control", "zone_loss_peak", Line(588.0)),
             recovery: measured("control", "zone_loss_ms", Line(588.0)),
-            rationale: "Measured with 400 balancers, reports of the agents' own not counted, at 50 to 600 agents. Notices are capped at 16 a message \
-                  and three messages a round whatever the fleet's size; rounds grow with the \
+            rationale: "Measured with 400 balancers, without the agents' own reports, at 50 to 600 agents. Notices are capped at 16 a message \
+                  and three messages a round, independent of the fleet's size; rounds grow with the \
                   logarithm of the balancers, so 1,600 need two more rounds of 200 ms.",
         },
         Storm {
-            name: "A zone returns, its agents without memory, seen by an agent of 3,700 flows",
+            name: "A zone returns, its agents with empty tables, seen by an agent of 3,700 flows",
             peak: measured("agent", "zone_lost_and_back_peak", Point(3_700.0)),
             recovery: measured("agent", "zone_lost_and_back_ms", Point(3_700.0)),
-            rationale: "Nothing but the service's own agents takes part, so the fleet's size does not \
-                  enter. Two of six agents come back; the peak is linear in flows.",
+            rationale: "Only the service's own agents take part, so the fleet's size does not \
+                  matter. Two of six agents come back; the peak is linear in flows.",
         },
         Storm {
             name: "10 % of instances replaced within a minute, seen by an agent of 3,700 flows",
@@ -46,33 +46,33 @@
             name: "200 settings changes at once",
             peak: measured("control", "settings_storm_peak", Point(200.0)),
             recovery: measured("control", "settings_storm_ms", Point(200.0)),
-            rationale: "Measured with 400 balancers. A balancer's share of rumours does not depend on \
-                  their number; what one message names is fetched in one exchange.",
+            rationale: "Measured with 400 balancers. A balancer's share of the notices does not depend on \
+                  the number of balancers; all versions named in one message are fetched in one exchange.",
         },
     ]
 }
 
 /// Times computed from other figures: name, term in milliseconds, and meaning.
 pub(super) const DERIVED: &[(&str, Term, &str)] = &[(
-    "Processor time of a balancer for 200 changes, each built on its own",
+    "Processor time of a balancer for 200 changes, each built separately",
     scaled("tree", "change_ms", Line(1_900.0), 200.0),
-    "More than the storm's 7 s of one core, though in a thread beside forwarding. The daemon looks \
-     for changes every 25 ms and builds once for all that came, so fewer builds are made; how many \
-     was not measured. A view that keeps the rankings of unchanged accounts would end the matter.",
+    "More than the storm's 7 s of one core, though in a thread beside forwarding. The daemon \
+     checks for changes every 25 ms and builds once for all received changes, so there are fewer \
+     builds; how many was not measured. Reusing the rankings of unchanged accounts would remove the excess.",
 )];
 
 /// Storms that were not measured, each with its name and an explanation.
 pub(super) const NOT_MEASURED: &[(&str, &str)] = &[
     (
         "The configuration service is back after an hour",
-        "Not measured. For balancers it is a storm of the 158 changes that a mean hour brings \
+        "Not measured. For balancers it is a storm of the 158 changes of a mean hour \
          (3,800 / 24), so at most the storm of 200 above. But after two to four minutes without a \
-         confirmation every node tries to read by itself: when the service is back, up to 11,600 \
-         watches and as many subtrees (counted) come within the backoff's time, 12 s at 2,000 \
-         reads/s. Nodes keep their settings meanwhile; a change of that moment may MISS 7 s.",
+         confirmation every node tries to read the service itself: when the service is back, up to 11,600 \
+         watches and as many subtree reads (counted) arrive within the backoff's time, 12 s at 2,000 \
+         reads/s. Nodes keep their settings meanwhile; a change made at that time may MISS 7 s.",
     ),
     (
-        "Regions cut off from each other for minutes, and healed",
-        "Not measured. Digests find the differences after healing; a mean minute has 2.6 changes.",
+        "Regions disconnected from each other for minutes, then reconnected",
+        "Not measured. Digests find the differences after reconnection; a mean minute has 2.6 changes.",
     ),
 ];
--- a/xtask/src/codegen.rs
+++ b/xtask/src/codegen.rs
@@ -16,7 +16,7 @@
 # Result codes
 
 Generated from `settings::codes::TABLE` by `cargo xtask codegen`: change it there. Logs, HTTP answers and `goosectl`
-name faults and refusals by these codes; a number never gets a second meaning.
+identify errors and refusals by these codes. The number of a code is never reused for another meaning.
 ";
 
 /// What `cargo xtask codegen` does with the generated text.
@@ -81,7 +81,7 @@
     types.add_root_schema(schema)?;
     let file = source.file_name().unwrap_or_default().to_string_lossy();
     let header =
-        format!("//! Border types generated from `schema/{file}` by `cargo xtask codegen`.\n\n");
+        format!("//! Document types generated from `schema/{file}` by `cargo xtask codegen`.\n\n");
     let text = format_rust(&format!("{header}{}", types.to_stream()))?;
     Ok(strip_schema_listings(&text))
 }
