--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -48,7 +48,7 @@
     pub keyring: AccountKeyring,
 }
 
-/// The newest snapshot. A thread compares [`PublishedSnapshot::generation`] with its own once per
+/// The newest snapshot. A thread compares `PublishedSnapshot::generation` with its own once per
 /// batch and takes the lock only after a change.
 #[derive(Debug, Default)]
 pub struct PublishedSnapshot {
