--- a/crates/settings/src/account/change.rs
+++ b/crates/settings/src/account/change.rs
@@ -49,11 +49,11 @@
         check_removals(step, service, successor, &at, faults);
     }
     for service in &new.services {
-        let former = old.services.iter().find(|candidate| candidate.name == service.name);
+        let previous = old.services.iter().find(|candidate| candidate.name == service.name);
         let at = list.named(&service.name).field("upstreams");
         for upstream in &service.upstreams {
-            let former = former.and_then(|former| find(&former.upstreams, &upstream.name));
-            check_upstream(step, former, upstream, &at.named(&upstream.name), faults);
+            let previous = previous.and_then(|previous| find(&previous.upstreams, &upstream.name));
+            check_upstream(step, previous, upstream, &at.named(&upstream.name), faults);
         }
     }
 }
@@ -118,11 +118,11 @@
         (None, Some(retired)) if !step.covers(retired) => {
             format!("`{}` was not retired in {}", new.name, retired.0)
         }
-        (Some(former), None) => {
-            format!("`{}` was retired in {} and cannot return so", new.name, former.0)
+        (Some(previous), None) => {
+            format!("`{}` was retired in {} and cannot return so", new.name, previous.0)
         }
-        (Some(former), Some(retired)) if former != retired => {
-            format!("`retired` was {} and is now {}", former.0, retired.0)
+        (Some(previous), Some(retired)) if previous != retired => {
+            format!("`retired` was {} and is now {}", previous.0, retired.0)
         }
         _ => return,
     };
--- a/crates/settings/src/account/check.rs
+++ b/crates/settings/src/account/check.rs
@@ -12,7 +12,7 @@
 use crate::document::Cursor;
 use crate::fault::Fault;
 use crate::fields;
-use crate::generated::account as border;
+use crate::generated::account as raw;
 use crate::root::{Ownership, Root};
 
 /// What was seen so far while a subtree is checked.
@@ -23,7 +23,7 @@
     /// Sorted, with the service of each.
     endpoints: Vec<(Endpoint, Arc<str>)>,
     /// Sorted addresses of agents and upstreams.
-    machine_addresses: Vec<SocketAddr>,
+    process_addresses: Vec<SocketAddr>,
 }
 
 impl<'a> Checker<'a> {
@@ -31,26 +31,26 @@
     /// address counts as owned.
     pub(super) fn new(root: Option<&'a Root>, name: &'a str) -> Self {
         let version = Version(0);
-        Self { root, name, version, endpoints: Vec::new(), machine_addresses: Vec::new() }
+        Self { root, name, version, endpoints: Vec::new(), process_addresses: Vec::new() }
     }
 
     /// Checks the whole subtree.
     pub(super) fn account(
         mut self,
-        border: &border::AccountDocument,
+        raw: &raw::AccountDocument,
         at: &Cursor<'_>,
         faults: &mut Vec<Fault>,
     ) -> AccountSpec {
-        let name = fields::name(&border.account, &at.field("account"), faults);
+        let name = fields::name(&raw.account, &at.field("account"), faults);
         self.check_owner(&name, &at.field("account"), faults);
-        self.version = Version(border.version.get());
+        self.version = Version(raw.version.get());
         let list = at.field("services");
-        let mut services: Vec<ServiceSpec> = Vec::with_capacity(border.services.len());
-        for (index, service) in border.services.iter().enumerate() {
+        let mut services: Vec<ServiceSpec> = Vec::with_capacity(raw.services.len());
+        for (index, service) in raw.services.iter().enumerate() {
             let at = list.element(index);
             let service = self.service(service, &at, faults);
-            let is_taken = services.iter().any(|earlier| earlier.name == service.name);
-            check_unique(is_taken, &service.name, &at.field("name"), faults);
+            let is_duplicate = services.iter().any(|earlier| earlier.name == service.name);
+            check_unique(is_duplicate, &service.name, &at.field("name"), faults);
             services.push(service);
         }
         AccountSpec { name, version: self.version, services }
@@ -69,26 +69,26 @@
 
     fn service(
         &mut self,
-        border: &border::Service,
+        raw: &raw::Service,
         at: &Cursor<'_>,
         faults: &mut Vec<Fault>,
     ) -> ServiceSpec {
-        let name = fields::name(&border.name, &at.field("name"), faults);
-        let endpoints = self.endpoints(&name, &border.addresses, &at.field("addresses"), faults);
+        let name = fields::name(&raw.name, &at.field("name"), faults);
+        let endpoints = self.endpoints(&name, &raw.addresses, &at.field("addresses"), faults);
         let list = at.field("upstreams");
-        let mut upstreams: Vec<UpstreamSpec> = Vec::with_capacity(border.upstreams.len());
-        for (index, upstream) in border.upstreams.iter().enumerate() {
+        let mut upstreams: Vec<UpstreamSpec> = Vec::with_capacity(raw.upstreams.len());
+        for (index, upstream) in raw.upstreams.iter().enumerate() {
             let at = list.element(index);
             let upstream = self.upstream(upstream, &at, faults);
-            let is_taken = upstreams.iter().any(|earlier| earlier.name == upstream.name);
-            check_unique(is_taken, &upstream.name, &at.field("name"), faults);
+            let is_duplicate = upstreams.iter().any(|earlier| earlier.name == upstream.name);
+            check_unique(is_duplicate, &upstream.name, &at.field("name"), faults);
             upstreams.push(upstream);
         }
         ServiceSpec {
             name,
             endpoints,
-            when_in_doubt: when_in_doubt(border.when_in_doubt),
-            zone_spill_percent: border.zone_spill_percent,
+            when_in_doubt: when_in_doubt(raw.when_in_doubt),
+            zone_spill_percent: raw.zone_spill_percent,
             upstreams,
         }
     }
@@ -107,8 +107,9 @@
             self.check_ownership(endpoint, &at, faults);
             match self.endpoints.binary_search_by_key(&endpoint, |(known, _)| *known) {
                 Ok(index) => {
-                    let holder = &self.endpoints[index].1;
-                    let text = format!("`{text}` is already an address of service `{holder}`");
+                    let other_service = &self.endpoints[index].1;
+                    let text =
+                        format!("`{text}` is already an address of service `{other_service}`");
                     faults.push(at.fault(codes::ENDPOINT_TAKEN, text));
                 }
                 Err(index) => self.endpoints.insert(index, (endpoint, service.clone())),
@@ -136,53 +137,53 @@
 
     fn upstream(
         &mut self,
-        border: &border::Upstream,
+        raw: &raw::Upstream,
         at: &Cursor<'_>,
         faults: &mut Vec<Fault>,
     ) -> UpstreamSpec {
-        let name = fields::name(&border.name, &at.field("name"), faults);
-        let zone = fields::name(&border.zone, &at.field("zone"), faults);
+        let name = fields::name(&raw.name, &at.field("name"), faults);
+        let zone = fields::name(&raw.zone, &at.field("zone"), faults);
         let mut address = |text: &str, field: &str| {
             let at = at.field(field);
             let address = fields::address(text, &at, faults);
-            self.check_machine_address(address, &at, faults);
+            self.check_process_address(address, &at, faults);
             address
         };
-        let agent_address = address(&border.agent_address, "agent_address");
-        let control_address = address(&border.control_address, "control_address");
-        let upstream_address = address(&border.address, "address");
+        let agent_address = address(&raw.agent_address, "agent_address");
+        let control_address = address(&raw.control_address, "control_address");
+        let upstream_address = address(&raw.address, "address");
         let spec = UpstreamSpec {
             name,
             zone,
-            weight: border.weight.get(),
-            max_flows: border.max_flows.get(),
+            weight: raw.weight.get(),
+            max_flows: raw.max_flows.get(),
             agent_address,
             control_address,
             address: upstream_address,
-            state: state(border.state),
-            since: Version(border.since.get()),
-            retired: border.retired.as_ref().map(|version| Version(version.get())),
+            state: state(raw.state),
+            since: Version(raw.since.get()),
+            retired: raw.retired.as_ref().map(|version| Version(version.get())),
         };
-        self.check_life(&spec, at, faults);
+        self.check_lifetime(&spec, at, faults);
         spec
     }
 
     /// Two processes behind one address would take each other's packets.
-    fn check_machine_address(
+    fn check_process_address(
         &mut self,
         address: SocketAddr,
         at: &Cursor<'_>,
         faults: &mut Vec<Fault>,
     ) {
-        let Err(index) = self.machine_addresses.binary_search(&address) else {
+        let Err(index) = self.process_addresses.binary_search(&address) else {
             let text = format!("{address} is used twice in this subtree");
             faults.push(at.fault(codes::DUPLICATE_NAME, text));
             return;
         };
-        self.machine_addresses.insert(index, address);
+        self.process_addresses.insert(index, address);
     }
 
-    fn check_life(&self, spec: &UpstreamSpec, at: &Cursor<'_>, faults: &mut Vec<Fault>) {
+    fn check_lifetime(&self, spec: &UpstreamSpec, at: &Cursor<'_>, faults: &mut Vec<Fault>) {
         if spec.since > self.version {
             let text =
                 format!("since {} but the document is version {}", spec.since.0, self.version.0);
@@ -204,23 +205,23 @@
     }
 }
 
-fn check_unique(is_taken: bool, name: &str, at: &Cursor<'_>, faults: &mut Vec<Fault>) {
-    if is_taken {
+fn check_unique(is_duplicate: bool, name: &str, at: &Cursor<'_>, faults: &mut Vec<Fault>) {
+    if is_duplicate {
         faults.push(at.fault(codes::DUPLICATE_NAME, format!("`{name}` is listed twice")));
     }
 }
 
-fn when_in_doubt(border: border::WhenInDoubt) -> WhenInDoubt {
-    match border {
-        border::WhenInDoubt::Admit => WhenInDoubt::Admit,
-        border::WhenInDoubt::Refuse => WhenInDoubt::Refuse,
+fn when_in_doubt(raw: raw::WhenInDoubt) -> WhenInDoubt {
+    match raw {
+        raw::WhenInDoubt::Admit => WhenInDoubt::Admit,
+        raw::WhenInDoubt::Refuse => WhenInDoubt::Refuse,
     }
 }
 
-fn state(border: border::UpstreamState) -> UpstreamState {
-    match border {
-        border::UpstreamState::Active => UpstreamState::Active,
-        border::UpstreamState::Draining => UpstreamState::Draining,
-        border::UpstreamState::Retired => UpstreamState::Retired,
+fn state(raw: raw::UpstreamState) -> UpstreamState {
+    match raw {
+        raw::UpstreamState::Active => UpstreamState::Active,
+        raw::UpstreamState::Draining => UpstreamState::Draining,
+        raw::UpstreamState::Retired => UpstreamState::Retired,
     }
 }
--- a/crates/settings/src/account/mod.rs
+++ b/crates/settings/src/account/mod.rs
@@ -69,8 +69,8 @@
     name: &str,
     old: Option<&AccountSpec>,
 ) -> Result<AccountSpec, Vec<Fault>> {
-    document::parse(yaml, &SCHEMA, |border, at, faults| {
-        let new = Checker::new(root, name).account(border, at, faults);
+    document::parse(yaml, &SCHEMA, |raw, at, faults| {
+        let new = Checker::new(root, name).account(raw, at, faults);
         if let Some(old) = old {
             change::check(old, &new, at, faults);
         }
--- a/crates/settings/src/document/cursor.rs
+++ b/crates/settings/src/document/cursor.rs
@@ -7,7 +7,7 @@
 use crate::fault::Fault;
 
 /// Stands for a document whose text is not at hand: every position in it is the start.
-static NO_TEXT: Node = Node { position: Position::START, value: Value::Null };
+static NULL_NODE: Node = Node { position: Position::START, value: Value::Null };
 
 /// A node of a document with its path, for reporting faults about it.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
 
     /// A whole document without its text. Faults get their path, but no position.
     pub(crate) fn without_text() -> Cursor<'static> {
-        Cursor::root(&NO_TEXT)
+        Cursor::root(&NULL_NODE)
     }
 
     /// The node itself.
--- a/crates/settings/src/document/mod.rs
+++ b/crates/settings/src/document/mod.rs
@@ -18,14 +18,14 @@
 /// Largest document, in bytes: the platform holds values up to a megabyte.
 pub const MAX_SUBTREE_BYTES: usize = 1_000_000;
 
-/// Reads a document, compares it with its schema and hands its border type and its tree to `check`.
+/// Reads a document, compares it with its schema and hands its raw type and its tree to `check`.
 ///
 /// Structural faults are all reported at once. `check` runs only without any, so that it may take
-/// the border type at its word.
-pub(crate) fn parse<Border: DeserializeOwned, Checked>(
+/// the raw type at its word.
+pub(crate) fn parse<Raw: DeserializeOwned, Checked>(
     yaml: &str,
     schema: &Schema,
-    check: impl FnOnce(&Border, &Cursor<'_>, &mut Vec<Fault>) -> Checked,
+    check: impl FnOnce(&Raw, &Cursor<'_>, &mut Vec<Fault>) -> Checked,
 ) -> Result<Checked, Vec<Fault>> {
     let tree = read::read(yaml).map_err(|fault| vec![fault])?;
     let root = Cursor::root(&tree);
@@ -34,9 +34,9 @@
     if !faults.is_empty() {
         return Err(faults);
     }
-    let border: Border = serde_json::from_value(tree.to_json())
+    let raw: Raw = serde_json::from_value(tree.to_json())
         .map_err(|error| vec![root.fault(codes::WRONG_TYPE, error.to_string())])?;
-    let checked = check(&border, &root, &mut faults);
+    let checked = check(&raw, &root, &mut faults);
     if faults.is_empty() { Ok(checked) } else { Err(faults) }
 }
 
--- a/crates/settings/src/document/shape.rs
+++ b/crates/settings/src/document/shape.rs
@@ -37,7 +37,7 @@
     #[serde(rename = "type")]
     kind: Option<Kind>,
     #[serde(rename = "additionalProperties")]
-    _additional_properties: Option<Never>,
+    _additional_properties: Option<MustBeFalse>,
     #[serde(default)]
     properties: BTreeMap<String, Rule>,
     #[serde(default)]
@@ -64,9 +64,9 @@
 /// `false`: unknown fields are refused everywhere, so no schema may say otherwise.
 #[derive(Debug, Deserialize)]
 #[serde(try_from = "bool")]
-struct Never;
+struct MustBeFalse;
 
-impl TryFrom<bool> for Never {
+impl TryFrom<bool> for MustBeFalse {
     type Error = &'static str;
 
     fn try_from(value: bool) -> Result<Self, Self::Error> {
@@ -134,8 +134,8 @@
         if count < rule.min_items {
             faults.push(at.fault(codes::EMPTY_LIST, "the list must not be empty"));
         }
-        if let Some(most) = rule.max_items.filter(|most| count > *most) {
-            let text = format!("{count} entries, at most {most} are allowed");
+        if let Some(max) = rule.max_items.filter(|max| count > *max) {
+            let text = format!("{count} entries, at most {max} are allowed");
             faults.push(at.fault(codes::TOO_MANY, text));
             return;
         }
@@ -166,12 +166,12 @@
 }
 
 fn check_integer(rule: &Rule, number: i128, at: &Cursor<'_>, faults: &mut Vec<Fault>) {
-    let least = rule.minimum.map_or(i128::MIN, i128::from);
-    let most = rule.maximum.map_or(i128::MAX, i128::from);
-    if (least..=most).contains(&number) {
+    let min = rule.minimum.map_or(i128::MIN, i128::from);
+    let max = rule.maximum.map_or(i128::MAX, i128::from);
+    if (min..=max).contains(&number) {
         return;
     }
-    let text = format!("{number} is outside {least} to {most}");
+    let text = format!("{number} is outside {min} to {max}");
     faults.push(at.fault(codes::OUT_OF_RANGE, text));
 }
 
--- a/crates/settings/src/fields/mod.rs
+++ b/crates/settings/src/fields/mod.rs
@@ -15,14 +15,14 @@
 const MAX_NAME_BYTES: usize = 63;
 
 /// Stands in for an address that could not be parsed; its document is refused.
-const NO_ADDRESS: SocketAddr =
+const PLACEHOLDER_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
 /// A name: a lower-case letter, then lower-case letters, digits and hyphens.
 pub(crate) fn name(text: &str, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> Arc<str> {
     let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
-    let starts_well = text.starts_with(|first: char| first.is_ascii_lowercase());
-    if !starts_well || text.len() > MAX_NAME_BYTES || !text.bytes().all(is_allowed) {
+    let starts_with_letter = text.starts_with(|first: char| first.is_ascii_lowercase());
+    if !starts_with_letter || text.len() > MAX_NAME_BYTES || !text.bytes().all(is_allowed) {
         let text = format!(
             "`{}` is not 1 to {MAX_NAME_BYTES} lower-case letters, digits and hyphens that begin \
              with a letter",
@@ -48,7 +48,7 @@
     let Ok(address) = text.parse::<SocketAddr>() else {
         let text = format!("`{}` is not IP:PORT, with IPv6 in brackets", shorten(text));
         faults.push(at.fault(codes::BAD_ADDRESS, text));
-        return NO_ADDRESS;
+        return PLACEHOLDER_ADDRESS;
     };
     check_port(address, at, faults);
     address
--- a/crates/settings/src/process/agent.rs
+++ b/crates/settings/src/process/agent.rs
@@ -61,14 +61,14 @@
     shared::first_fault(document::parse(yaml, &SCHEMA, check))
 }
 
-fn check(border: &AgentDocument, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> AgentSettings {
+fn check(raw: &AgentDocument, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> AgentSettings {
     let mut name = |text: &str, field: &str| fields::name(text, &at.field(field), faults);
-    let instance = name(&border.instance, "instance");
-    let account = name(&border.account, "account");
-    let service = name(&border.service, "service");
-    let upstream = name(&border.upstream, "upstream");
-    let zone = name(&border.zone, "zone");
-    let region = name(&border.region, "region");
+    let instance = name(&raw.instance, "instance");
+    let account = name(&raw.account, "account");
+    let service = name(&raw.service, "service");
+    let upstream = name(&raw.upstream, "upstream");
+    let zone = name(&raw.zone, "zone");
+    let region = name(&raw.region, "region");
     let mut address = |text: &str, field: &str| fields::address(text, &at.field(field), faults);
     AgentSettings {
         instance,
@@ -77,23 +77,20 @@
         account,
         service,
         upstream,
-        upstream_address: address(&border.upstream_address, "upstream_address"),
-        upstream_status_address: address(
-            &border.upstream_status_address,
-            "upstream_status_address",
-        ),
-        gateway_address: address(&border.gateway_address, "gateway_address"),
-        data_address: address(&border.data_address, "data_address"),
-        control_address: address(&border.control_address, "control_address"),
-        platform_address: address(&border.platform_address, "platform_address"),
-        peers: shared::peers(&border.peers, &at.field("peers"), faults),
+        upstream_address: address(&raw.upstream_address, "upstream_address"),
+        upstream_status_address: address(&raw.upstream_status_address, "upstream_status_address"),
+        gateway_address: address(&raw.gateway_address, "gateway_address"),
+        data_address: address(&raw.data_address, "data_address"),
+        control_address: address(&raw.control_address, "control_address"),
+        platform_address: address(&raw.platform_address, "platform_address"),
+        peers: shared::peers(&raw.peers, &at.field("peers"), faults),
         keys: shared::keys(
-            border.keys.iter().map(|key| (key.id, key.secret_hex.as_str())),
+            raw.keys.iter().map(|key| (key.id, key.secret_hex.as_str())),
             &at.field("keys"),
             faults,
         ),
-        flow_key: fields::hex(&border.flow_key_hex, &at.field("flow_key_hex"), faults),
-        receive_threads: border.receive_threads.get() as usize,
-        shutdown_grace_ms: border.shutdown_grace_ms.into(),
+        flow_key: fields::hex(&raw.flow_key_hex, &at.field("flow_key_hex"), faults),
+        receive_threads: raw.receive_threads.get() as usize,
+        shutdown_grace_ms: raw.shutdown_grace_ms.into(),
     }
 }
--- a/crates/settings/src/process/balancer.rs
+++ b/crates/settings/src/process/balancer.rs
@@ -49,27 +49,27 @@
     shared::first_fault(document::parse(yaml, &SCHEMA, check))
 }
 
-fn check(border: &BalancerDocument, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> BalancerSettings {
+fn check(raw: &BalancerDocument, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> BalancerSettings {
     let mut name = |text: &str, field: &str| fields::name(text, &at.field(field), faults);
-    let instance = name(&border.instance, "instance");
-    let zone = name(&border.zone, "zone");
-    let region = name(&border.region, "region");
+    let instance = name(&raw.instance, "instance");
+    let zone = name(&raw.zone, "zone");
+    let region = name(&raw.region, "region");
     let mut address = |text: &str, field: &str| fields::address(text, &at.field(field), faults);
     BalancerSettings {
         instance,
         zone,
         region,
-        data_address: address(&border.data_address, "data_address"),
-        control_address: address(&border.control_address, "control_address"),
-        platform_address: address(&border.platform_address, "platform_address"),
-        peers: shared::peers(&border.peers, &at.field("peers"), faults),
+        data_address: address(&raw.data_address, "data_address"),
+        control_address: address(&raw.control_address, "control_address"),
+        platform_address: address(&raw.platform_address, "platform_address"),
+        peers: shared::peers(&raw.peers, &at.field("peers"), faults),
         keys: shared::keys(
-            border.keys.iter().map(|key| (key.id, key.secret_hex.as_str())),
+            raw.keys.iter().map(|key| (key.id, key.secret_hex.as_str())),
             &at.field("keys"),
             faults,
         ),
-        flow_key: fields::hex(&border.flow_key_hex, &at.field("flow_key_hex"), faults),
-        receive_threads: border.receive_threads.get() as usize,
-        shutdown_grace_ms: border.shutdown_grace_ms.into(),
+        flow_key: fields::hex(&raw.flow_key_hex, &at.field("flow_key_hex"), faults),
+        receive_threads: raw.receive_threads.get() as usize,
+        shutdown_grace_ms: raw.shutdown_grace_ms.into(),
     }
 }
--- a/crates/settings/src/process/shared.rs
+++ b/crates/settings/src/process/shared.rs
@@ -25,12 +25,12 @@
 
 /// Checks a list of keys given as (number, hexadecimal secret).
 pub(super) fn keys<'k>(
-    border: impl Iterator<Item = (u8, &'k str)>,
+    raw: impl Iterator<Item = (u8, &'k str)>,
     at: &Cursor<'_>,
     faults: &mut Vec<Fault>,
 ) -> Vec<Key> {
     let mut keys: Vec<Key> = Vec::new();
-    for (index, (id, secret_hex)) in border.enumerate() {
+    for (index, (id, secret_hex)) in raw.enumerate() {
         let at = at.element(index);
         if keys.iter().any(|key| key.id == id) {
             let text = format!("key {id} is listed twice");
@@ -43,13 +43,9 @@
 }
 
 /// Checks a list of control addresses.
-pub(super) fn peers(
-    border: &[String],
-    at: &Cursor<'_>,
-    faults: &mut Vec<Fault>,
-) -> Vec<SocketAddr> {
+pub(super) fn peers(raw: &[String], at: &Cursor<'_>, faults: &mut Vec<Fault>) -> Vec<SocketAddr> {
     let check = |(index, text): (usize, &String)| fields::address(text, &at.element(index), faults);
-    border.iter().enumerate().map(check).collect()
+    raw.iter().enumerate().map(check).collect()
 }
 
 /// The fault that a process reports when it starts: the first one of its file.
--- a/crates/settings/src/root/change.rs
+++ b/crates/settings/src/root/change.rs
@@ -53,8 +53,8 @@
     let owns_part = |other: &&RootAccount| {
         other.name != account.name && other.prefixes.iter().any(|held| held.overlaps(&prefix))
     };
-    if let Some(former) = old.accounts.iter().find(owns_part) {
-        let text = format!("{prefix} was `{}`'s until now: quarantine it first", former.name);
+    if let Some(previous) = old.accounts.iter().find(owns_part) {
+        let text = format!("{prefix} was `{}`'s until now: quarantine it first", previous.name);
         faults.push(at.fault(codes::MOVED_WITHOUT_QUARANTINE, text));
     }
 }
--- a/crates/settings/src/root/mod.rs
+++ b/crates/settings/src/root/mod.rs
@@ -13,7 +13,7 @@
 use crate::document::{self, Cursor, Schema};
 use crate::fault::Fault;
 use crate::fields;
-use crate::generated::root as border;
+use crate::generated::root as raw;
 use crate::prefix::Prefix;
 
 static SCHEMA: LazyLock<Schema> =
@@ -106,18 +106,18 @@
 /// assert_eq!(faults[0].code, codes::VERSION_NOT_GROWN);
 /// ```
 pub fn parse_next(yaml: &str, old: &Root) -> Result<Root, Vec<Fault>> {
-    document::parse(yaml, &SCHEMA, |border, at, faults| {
-        let new = check(border, at, faults);
+    document::parse(yaml, &SCHEMA, |raw, at, faults| {
+        let new = check(raw, at, faults);
         change::check(old, &new, at, faults);
         new
     })
 }
 
-fn check(border: &border::RootDocument, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> Root {
+fn check(raw: &raw::RootDocument, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> Root {
     let list = at.field("accounts");
-    let mut ranges = Ranges::default();
-    let mut accounts: Vec<RootAccount> = Vec::with_capacity(border.accounts.len());
-    for (index, account) in border.accounts.iter().enumerate() {
+    let mut ranges = AssignedRanges::default();
+    let mut accounts: Vec<RootAccount> = Vec::with_capacity(raw.accounts.len());
+    for (index, account) in raw.accounts.iter().enumerate() {
         let at = list.element(index);
         let account = check_account(account, &at, &mut ranges, faults);
         if accounts.iter().any(|earlier| earlier.name == account.name) {
@@ -127,26 +127,26 @@
         accounts.push(account);
     }
     accounts.sort_by(|a, b| a.name.cmp(&b.name));
-    Root { version: Version(border.version.get()), accounts }
+    Root { version: Version(raw.version.get()), accounts }
 }
 
 fn check_account(
-    border: &border::Account,
+    raw: &raw::Account,
     at: &Cursor<'_>,
-    ranges: &mut Ranges,
+    ranges: &mut AssignedRanges,
     faults: &mut Vec<Fault>,
 ) -> RootAccount {
-    let name = fields::name(&border.name, &at.field("name"), faults);
-    let prefixes = ranges.check(&name, &border.prefixes, &at.field("prefixes"), faults);
-    let quarantine = ranges.check(&name, &border.quarantine, &at.field("quarantine"), faults);
+    let name = fields::name(&raw.name, &at.field("name"), faults);
+    let prefixes = ranges.check(&name, &raw.prefixes, &at.field("prefixes"), faults);
+    let quarantine = ranges.check(&name, &raw.quarantine, &at.field("quarantine"), faults);
     RootAccount { name, prefixes, quarantine }
 }
 
 /// Disjoint ranges seen so far, sorted, with their owners.
 #[derive(Default)]
-struct Ranges(Vec<(Prefix, Arc<str>)>);
+struct AssignedRanges(Vec<(Prefix, Arc<str>)>);
 
-impl Ranges {
+impl AssignedRanges {
     fn check(
         &mut self,
         owner: &Arc<str>,
@@ -158,8 +158,8 @@
         for (index, text) in texts.iter().enumerate() {
             let at = at.element(index);
             let Some(prefix) = fields::prefix(text, &at, faults) else { continue };
-            if let Err((other, holder)) = self.insert(prefix, owner) {
-                let text = format!("{prefix} overlaps {other} of account `{holder}`");
+            if let Err((other, other_owner)) = self.insert(prefix, owner) {
+                let text = format!("{prefix} overlaps {other} of account `{other_owner}`");
                 faults.push(at.fault(codes::PREFIX_OVERLAP, text));
             }
             prefixes.push(prefix);
