--- a/crates/settings/src/account/change.rs
+++ b/crates/settings/src/account/change.rs
@@ -15,7 +15,7 @@
 use crate::codes;
 use crate::document::Cursor;
 use crate::fault::Fault;
-use crate::step::Step;
+use crate::step::VersionStep;
 
 /// Checks a new subtree against the one that it replaces. The faults have paths, but, as the text
 /// is not at hand, no positions; [`parse_next`](super::parse_next) reports these too.
@@ -41,7 +41,7 @@
     faults: &mut Vec<Fault>,
 ) {
     let versions = (old.version, new.version);
-    let Some(step) = Step::forward(versions, old == new, at, faults) else { return };
+    let Some(step) = VersionStep::forward(versions, old == new, at, faults) else { return };
     let list = at.field("services");
     for service in &old.services {
         let successor = new.services.iter().find(|candidate| candidate.name == service.name);
@@ -62,7 +62,7 @@
 /// witnessed is granted again and runs twice. Listing it as retired first is enough, since for
 /// that one version its majority still counts.
 fn check_removals(
-    step: Step,
+    step: VersionStep,
     old: &ServiceSpec,
     new: Option<&ServiceSpec>,
     at: &Cursor<'_>,
@@ -83,7 +83,7 @@
 }
 
 fn check_upstream(
-    step: Step,
+    step: VersionStep,
     old: Option<&UpstreamSpec>,
     new: &UpstreamSpec,
     at: &Cursor<'_>,
@@ -100,7 +100,7 @@
     }
 }
 
-fn check_new(step: Step, new: &UpstreamSpec, at: &Cursor<'_>, faults: &mut Vec<Fault>) {
+fn check_new(step: VersionStep, new: &UpstreamSpec, at: &Cursor<'_>, faults: &mut Vec<Fault>) {
     if !step.covers(new.since) {
         let text = format!("`{}` is new, but says `since: {}`", new.name, new.since.0);
         faults.push(at.field("since").fault(codes::SINCE_NOT_NEW, text));
@@ -108,7 +108,7 @@
 }
 
 fn check_retirement(
-    step: Step,
+    step: VersionStep,
     old: &UpstreamSpec,
     new: &UpstreamSpec,
     at: &Cursor<'_>,
--- a/crates/settings/src/account/check.rs
+++ b/crates/settings/src/account/check.rs
@@ -35,7 +35,7 @@
     }
 
     /// Checks the whole subtree.
-    pub(super) fn account(
+    pub(super) fn check_account(
         mut self,
         raw: &raw::AccountDocument,
         at: &Cursor<'_>,
@@ -48,7 +48,7 @@
         let mut services: Vec<ServiceSpec> = Vec::with_capacity(raw.services.len());
         for (index, service) in raw.services.iter().enumerate() {
             let at = list.element(index);
-            let service = self.service(service, &at, faults);
+            let service = self.check_service(service, &at, faults);
             let is_duplicate = services.iter().any(|earlier| earlier.name == service.name);
             check_unique(is_duplicate, &service.name, &at.field("name"), faults);
             services.push(service);
@@ -67,19 +67,19 @@
         faults.push(at.fault(codes::UNKNOWN_ACCOUNT, text));
     }
 
-    fn service(
+    fn check_service(
         &mut self,
         raw: &raw::Service,
         at: &Cursor<'_>,
         faults: &mut Vec<Fault>,
     ) -> ServiceSpec {
         let name = fields::name(&raw.name, &at.field("name"), faults);
-        let endpoints = self.endpoints(&name, &raw.addresses, &at.field("addresses"), faults);
+        let endpoints = self.check_endpoints(&name, &raw.addresses, &at.field("addresses"), faults);
         let list = at.field("upstreams");
         let mut upstreams: Vec<UpstreamSpec> = Vec::with_capacity(raw.upstreams.len());
         for (index, upstream) in raw.upstreams.iter().enumerate() {
             let at = list.element(index);
-            let upstream = self.upstream(upstream, &at, faults);
+            let upstream = self.check_upstream(upstream, &at, faults);
             let is_duplicate = upstreams.iter().any(|earlier| earlier.name == upstream.name);
             check_unique(is_duplicate, &upstream.name, &at.field("name"), faults);
             upstreams.push(upstream);
@@ -93,7 +93,7 @@
         }
     }
 
-    fn endpoints(
+    fn check_endpoints(
         &mut self,
         service: &Arc<str>,
         texts: &[String],
@@ -135,7 +135,7 @@
         }
     }
 
-    fn upstream(
+    fn check_upstream(
         &mut self,
         raw: &raw::Upstream,
         at: &Cursor<'_>,
--- a/crates/settings/src/account/mod.rs
+++ b/crates/settings/src/account/mod.rs
@@ -70,7 +70,7 @@
     old: Option<&AccountSpec>,
 ) -> Result<AccountSpec, Vec<Fault>> {
     document::parse(yaml, &SCHEMA, |raw, at, faults| {
-        let new = Checker::new(root, name).account(raw, at, faults);
+        let new = Checker::new(root, name).check_account(raw, at, faults);
         if let Some(old) = old {
             change::check(old, &new, at, faults);
         }
--- a/crates/settings/src/book/pending.rs
+++ b/crates/settings/src/book/pending.rs
@@ -6,7 +6,7 @@
 
 /// Most accounts with a waiting subtree. A subtree may take a megabyte, so this bounds the memory
 /// that documents for unknown accounts can use; beyond it they are refused and read again later.
-const MAX_PENDING: usize = 64;
+const MAX_PENDING_ACCOUNTS: usize = 64;
 
 /// The newest waiting subtree of each account, sorted by name.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
         match self.find(name) {
             Ok(index) if self.0[index].version < version => self.0[index] = entry(),
             Ok(_) => {}
-            Err(_) if self.0.len() >= MAX_PENDING => return false,
+            Err(_) if self.0.len() >= MAX_PENDING_ACCOUNTS => return false,
             Err(index) => self.0.insert(index, entry()),
         }
         true
--- a/crates/settings/src/document/read.rs
+++ b/crates/settings/src/document/read.rs
@@ -23,7 +23,7 @@
         let text = format!("{} bytes, at most {MAX_SUBTREE_BYTES} are allowed", yaml.len());
         return Err(fault(Position::START, codes::TOO_LARGE, text));
     }
-    serde_saphyr::from_str_with_options(yaml, options()).map_err(|error| translate(&error))
+    serde_saphyr::from_str_with_options(yaml, options()).map_err(|error| fault_from(&error))
 }
 
 /// Duplicate keys pass through, so that each is reported with its position. Anchors are refused:
@@ -47,7 +47,7 @@
     }
 }
 
-fn translate(error: &serde_saphyr::Error) -> Fault {
+fn fault_from(error: &serde_saphyr::Error) -> Fault {
     use serde_saphyr::Error;
     let code = match error {
         Error::Budget { .. } | Error::MergeKeyNotAllowed { .. } | Error::AliasError { .. } => {
--- a/crates/settings/src/root/change.rs
+++ b/crates/settings/src/root/change.rs
@@ -5,7 +5,7 @@
 use crate::document::Cursor;
 use crate::fault::Fault;
 use crate::prefix::Prefix;
-use crate::step::Step;
+use crate::step::VersionStep;
 
 /// Checks a new root against the one that it replaces. The faults have paths, but, as the text is
 /// not at hand, no positions; [`parse_next`](super::parse_next) reports these too.
@@ -27,7 +27,7 @@
 /// Like [`check_change`], with positions from the document of `new`.
 pub(super) fn check(old: &Root, new: &Root, at: &Cursor<'_>, faults: &mut Vec<Fault>) {
     let versions = (old.version, new.version);
-    let Some(step) = Step::forward(versions, old == new, at, faults) else { return };
+    let Some(step) = VersionStep::forward(versions, old == new, at, faults) else { return };
     if step.has_gap() {
         return;
     }
--- a/crates/settings/src/step/mod.rs
+++ b/crates/settings/src/step/mod.rs
@@ -8,12 +8,12 @@
 
 /// Two versions of a document, the older one in force.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Step {
+pub(crate) struct VersionStep {
     old: Version,
     new: Version,
 }
 
-impl Step {
+impl VersionStep {
     /// A step that goes forward. Reports one that does not, unless nothing changes at all.
     pub(crate) fn forward(
         (old, new): (Version, Version),
