--- a/crates/settings/src/account/change.rs
+++ b/crates/settings/src/account/change.rs
@@ -1,14 +1,21 @@
-//! From one version of a subtree to the next.
+//! Checks of the change from one version of a subtree to the next.
 //!
 //! The upstreams of a service are the witnesses of its claims. A claim counts once a majority has
-//! recorded it, and while witnesses change, once a majority of the former *and* of the present
-//! ones has: so any two claims on one opening share a witness, whichever versions their claimants
-//! run. Each subtree must therefore tell both sets by itself. The present one are the upstreams
-//! that are not retired; the former one leaves out those with `since` equal to the version and
-//! takes in those with `retired` equal to it. The rules here keep that true: an upstream enters
-//! with `since` as its first version, leaves by being listed as retired for at least one version,
-//! never returns under the same `since`, and neither date is ever rewritten. Without them an
-//! opening could gather two disjoint majorities in successive versions and run twice.
+//! recorded it. While the set of witnesses changes, it needs a majority of the previous *and* of
+//! the current set. Any two claims on one opening then share a witness, whichever versions the
+//! claimants use.
+//!
+//! Each subtree must therefore define both sets by itself. The current set consists of the
+//! upstreams that are not retired. The previous set is the current one without the upstreams whose
+//! `since` equals the version, plus those whose `retired` equals it. The rules here make that hold:
+//!
+//! - A new upstream has the version that adds it as `since`.
+//! - An upstream is listed as retired for at least one version before it is removed.
+//! - An upstream never returns with the same `since`.
+//! - Neither `since` nor `retired` ever changes once it is set.
+//!
+//! Without these rules an opening could gain two disjoint majorities in successive versions and run
+//! twice.
 
 use decision::view::{AccountSpec, ServiceSpec, UpstreamSpec, WhenInDoubt};
 
@@ -17,8 +24,9 @@
 use crate::fault::Fault;
 use crate::step::VersionStep;
 
-/// Checks a new subtree against the one that it replaces. The faults have paths, but, as the text
-/// is not at hand, no positions; [`parse_next`](super::parse_next) reports these too.
+/// Checks a new subtree against the one that it replaces. The faults have paths but no positions,
+/// since the text is not available here; [`parse_next`](super::parse_next) reports positions as
+/// well.
 ///
 /// ```
 /// use decision::{keys::Version, view::AccountSpec};
@@ -58,9 +66,10 @@
     }
 }
 
-/// Failure: an upstream vanishes in one step, and its claims with it. Symptom: an opening that it
-/// witnessed is granted again and runs twice. Listing it as retired first is enough, since for
-/// that one version its majority still counts.
+/// Reports upstreams that are removed without having been retired. An upstream removed in one step
+/// would take its recorded claims with it, so an opening that it witnessed could be granted again
+/// and run twice. Listing it as retired for one version is enough, since in that version the
+/// majority of the previous set, which includes it, still counts.
 fn check_removals(
     step: VersionStep,
     old: &ServiceSpec,
@@ -76,7 +85,10 @@
         if new.is_some_and(|new| find(&new.upstreams, &upstream.name).is_some()) {
             continue;
         }
-        let text = format!("`{}` of `{}` was removed, but never retired", upstream.name, old.name);
+        let text = format!(
+            "`{}` of `{}` was removed without being retired first",
+            upstream.name, old.name
+        );
         let at = if new.is_some() { at.field("upstreams") } else { at.clone() };
         faults.push(at.fault(codes::REMOVED_BEFORE_RETIRED, text));
     }
@@ -102,7 +114,7 @@
 
 fn check_new(step: VersionStep, new: &UpstreamSpec, at: &Cursor<'_>, faults: &mut Vec<Fault>) {
     if !step.covers(new.since) {
-        let text = format!("`{}` is new, but says `since: {}`", new.name, new.since.0);
+        let text = format!("`{}` is new, but has `since: {}`", new.name, new.since.0);
         faults.push(at.field("since").fault(codes::SINCE_NOT_NEW, text));
     }
 }
@@ -116,10 +128,13 @@
 ) {
     let text = match (old.retired, new.retired) {
         (None, Some(retired)) if !step.covers(retired) => {
-            format!("`{}` was not retired in {}", new.name, retired.0)
+            format!("`{}` was not retired in version {}", new.name, retired.0)
         }
         (Some(previous), None) => {
-            format!("`{}` was retired in {} and cannot return so", new.name, previous.0)
+            format!(
+                "`{}` was retired in {} and cannot return with the same `since`",
+                new.name, previous.0
+            )
         }
         (Some(previous), Some(retired)) if previous != retired => {
             format!("`retired` was {} and is now {}", previous.0, retired.0)
--- a/crates/settings/src/account/check.rs
+++ b/crates/settings/src/account/check.rs
@@ -1,4 +1,4 @@
-//! What a subtree must be beyond its schema.
+//! Checks of a subtree that its schema cannot express.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,20 +15,20 @@
 use crate::generated::account as raw;
 use crate::root::{Ownership, Root};
 
-/// What was seen so far while a subtree is checked.
+/// State of the checks of one subtree.
 pub(super) struct Checker<'a> {
     root: Option<&'a Root>,
     name: &'a str,
     version: Version,
-    /// Sorted, with the service of each.
+    /// Endpoints checked so far with their services, sorted.
     endpoints: Vec<(Endpoint, Arc<str>)>,
-    /// Sorted addresses of agents and upstreams.
+    /// Addresses of agents and upstreams checked so far, sorted.
     process_addresses: Vec<SocketAddr>,
 }
 
 impl<'a> Checker<'a> {
-    /// A checker for the subtree published for the account called `name`. Without a root, every
-    /// address counts as owned.
+    /// Creates a checker for the subtree that was published for the account called `name`. Without
+    /// a root, every address counts as owned.
     pub(super) fn new(root: Option<&'a Root>, name: &'a str) -> Self {
         let version = Version(0);
         Self { root, name, version, endpoints: Vec::new(), process_addresses: Vec::new() }
@@ -168,7 +168,8 @@
         spec
     }
 
-    /// Two processes behind one address would take each other's packets.
+    /// Reports an address used twice: two processes with one address would receive each other's
+    /// packets.
     fn check_process_address(
         &mut self,
         address: SocketAddr,
@@ -185,19 +186,21 @@
 
     fn check_lifetime(&self, spec: &UpstreamSpec, at: &Cursor<'_>, faults: &mut Vec<Fault>) {
         if spec.since > self.version {
-            let text =
-                format!("since {} but the document is version {}", spec.since.0, self.version.0);
+            let text = format!(
+                "`since` is {}, but the document is version {}",
+                spec.since.0, self.version.0
+            );
             faults.push(at.field("since").fault(codes::VERSION_IN_FUTURE, text));
         }
         let is_retired = spec.state == UpstreamState::Retired;
         if is_retired != spec.retired.is_some() {
-            let text = "`state: retired` and `retired: VERSION` must come together";
+            let text = "`state: retired` and `retired: VERSION` must be given together";
             faults.push(at.field("state").fault(codes::RETIRED_MISMATCH, text));
         }
         let Some(retired) = spec.retired else { return };
         if retired <= spec.since || retired > self.version {
             let text = format!(
-                "retired in {} is not after {} and up to {}",
+                "`retired` is {}, but must be after {} and at most {}",
                 retired.0, spec.since.0, self.version.0
             );
             faults.push(at.field("retired").fault(codes::VERSION_IN_FUTURE, text));
--- a/crates/settings/src/account/mod.rs
+++ b/crates/settings/src/account/mod.rs
@@ -30,10 +30,11 @@
     parse_step(yaml, Some(root), name, None)
 }
 
-/// Like [`parse`], but also checks the step from the version `old`, with positions in `yaml`.
+/// Like [`parse`], but also checks the change from the version `old`, with positions in `yaml`.
 ///
-/// `old` may be any older version: a step over several versions is checked as far as its two ends
-/// allow. The same version with the same content is no fault, with other content it is.
+/// `old` may be any older version: if versions in between were missed, only the rules that can be
+/// checked without them apply. The same version is accepted with the same content, and a fault with
+/// different content.
 ///
 /// ```
 /// use settings::{account, codes, root};
@@ -53,7 +54,7 @@
     parse_step(yaml, root, name, Some(old))
 }
 
-/// Like [`parse`], but takes every address as owned: for looking at a subtree without its root.
+/// Like [`parse`], but treats every address as owned, for inspecting a subtree without its root.
 ///
 /// ```
 /// let yaml = "account: cascadia\nversion: 7\nservices: []\n";
--- a/crates/settings/src/book/mod.rs
+++ b/crates/settings/src/book/mod.rs
@@ -1,8 +1,8 @@
 //! The settings in force.
 //!
-//! Versions only grow: of each document the highest version wins, in whatever order documents arrive
-//! from the platform and from peers. Documents are taken whole or not at all: one with a fault leaves
-//! the older version in force.
+//! The version in force of a document never decreases: the highest version wins, in whatever order
+//! documents arrive from the platform and from peers. A document is accepted as a whole or not at
+//! all: if it has a fault, the older version stays in force.
 
 mod pending;
 
@@ -18,23 +18,23 @@
 use crate::root::{self, Ownership, Root};
 use pending::Pending;
 
-/// What became of a published document.
+/// Result of offering a published document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is in force now.
+    /// The document is now in force, with this version.
     Accepted(Version),
-    /// The same document is in force already.
+    /// The same document was already in force.
     Unchanged(Version),
-    /// A newer version, given here, is in force and stays.
+    /// The document is outdated: this newer version stays in force.
     Older(Version),
-    /// The root in force does not allow it; a newer one may. The older version stays in force and
-    /// the document is tried again with the next root.
+    /// The root in force does not allow the document, but a newer root may. The older version stays
+    /// in force, and the document is checked again with the next root.
     Deferred(Vec<Fault>),
-    /// It is refused whole; the older version stays in force.
+    /// The document is refused as a whole; the older version stays in force.
     Refused(Vec<Fault>),
 }
 
-/// All accounts in force in this process.
+/// The root and the accounts' subtrees that are in force in this process.
 ///
 /// ```
 /// use settings::{ActiveSettings, Outcome};
@@ -51,7 +51,8 @@
     /// Sorted by name.
     accounts: Vec<Installed<AccountSpec>>,
     pending: Pending,
-    /// Built on demand, since a start brings in hundreds of subtrees at once.
+    /// Built on demand: at a start, hundreds of subtrees arrive in a row, and building a view for
+    /// each would be wasted.
     view: OnceLock<Arc<View>>,
 }
 
@@ -63,12 +64,13 @@
 }
 
 impl ActiveSettings {
-    /// Takes in a root document.
+    /// Offers a root document.
     ///
-    /// Subtrees that waited for it come into force with it. Addresses that it takes from an account
-    /// leave the view at once, though the account's subtree stays in force: the address may be
-    /// somebody else's by now, and serving it would hand one account's packets to another. The
-    /// account's other addresses are served as before, and a later root may give this one back.
+    /// If it is accepted, the deferred subtrees are checked again. Addresses that the root removes
+    /// from an account leave the view at once, although the account's subtree stays in force:
+    /// another account may own such an address by now, and serving it would deliver one account's
+    /// packets to another. The account's other addresses are served as before, and a later root may
+    /// return the removed ones.
     pub fn accept_root(&mut self, yaml: &str) -> Outcome {
         let installed = self.root.as_ref();
         if installed.is_some_and(|installed| *installed.yaml == *yaml) {
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Takes in the subtree that was published for the account called `name`.
+    /// Offers the subtree that was published for the account called `name`.
     pub fn accept_account(&mut self, name: &str, yaml: &str) -> Outcome {
         let in_force = self.find(name).map(|index| &self.accounts[index]);
         if let Some(installed) = in_force.filter(|installed| *installed.yaml == *yaml) {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// The view of everything in force. It is built on the first call after a change.
+    /// The view of all settings in force, built on the first call after a change.
     pub fn view(&self) -> Arc<View> {
         let build = || {
             let specs: Vec<AccountSpec> = self
@@ -132,12 +134,13 @@
             .collect()
     }
 
-    /// The root in force with its text, to be passed on to peers.
+    /// Version and text of the root in force, for sending it to peers.
     pub fn root(&self) -> Option<(Version, Arc<str>)> {
         self.root.as_ref().map(|installed| (installed.spec.version, installed.yaml.clone()))
     }
 
-    /// The subtree in force of the account called `name` with its text, to be passed on to peers.
+    /// Version and text of the subtree in force of the account called `name`, for sending it to
+    /// peers.
     pub fn subtree(&self, name: &str) -> Option<(Version, Arc<str>)> {
         let installed = &self.accounts[self.find(name)?];
         Some((installed.spec.version, installed.yaml.clone()))
@@ -182,7 +185,7 @@
         }
     }
 
-    /// The subtree without the addresses that the root in force does not give to its account.
+    /// The subtree without the addresses that its account does not own in the root in force.
     fn without_foreign_addresses(&self, spec: &AccountSpec) -> AccountSpec {
         let mut filtered = spec.clone();
         let Some(root) = &self.root else { return filtered };
@@ -195,8 +198,8 @@
     }
 }
 
-/// An older document is no fault of its publisher, whatever else is wrong with it: a stale reader
-/// or peer sent it.
+/// The outcome for a document with faults. An outdated document comes from a stale read or peer and
+/// not from its publisher, so it counts as [`Outcome::Older`] whatever its faults are.
 fn refusal(faults: Vec<Fault>, yaml: &str, in_force: Version) -> Outcome {
     match document::stated_version(yaml) {
         Some(version) if version < in_force.0 => Outcome::Older(in_force),
@@ -204,8 +207,8 @@
     }
 }
 
-/// Whether a fault may go away with a newer root. Updates reach instances unevenly, so a subtree
-/// may arrive before the root that allows it.
+/// Whether a newer root may resolve the fault. Updates may reach an instance out of order,
+/// so a subtree may arrive before the root that allows it.
 fn depends_on_root(fault: &Fault) -> bool {
     [codes::UNKNOWN_ACCOUNT, codes::FOREIGN_ADDRESS, codes::QUARANTINED_ADDRESS]
         .contains(&fault.code)
--- a/crates/settings/src/book/pending.rs
+++ b/crates/settings/src/book/pending.rs
@@ -1,14 +1,15 @@
-//! Subtrees that wait for a newer root.
+//! Deferred subtrees, which wait for a newer root.
 
 use std::sync::Arc;
 
 use decision::keys::Version;
 
-/// Most accounts with a waiting subtree. A subtree may take a megabyte, so this bounds the memory
-/// that documents for unknown accounts can use; beyond it they are refused and read again later.
+/// Maximum number of accounts with a deferred subtree. A subtree may take a megabyte, so this
+/// limits the memory that documents for unknown accounts can use. Further ones are refused and read
+/// again later.
 const MAX_PENDING_ACCOUNTS: usize = 64;
 
-/// The newest waiting subtree of each account, sorted by name.
+/// The newest deferred subtree of each account, sorted by name.
 #[derive(Debug, Default)]
 pub(super) struct Pending(Vec<Entry>);
 
@@ -20,7 +21,8 @@
 }
 
 impl Pending {
-    /// Keeps a subtree unless a newer one waits already. False if there is no room.
+    /// Keeps a subtree unless the same or a newer version is already deferred. Returns false if
+    /// there is no room.
     pub(super) fn keep(&mut self, name: &str, version: Version, yaml: &str) -> bool {
         let entry = || Entry { name: name.into(), version, yaml: yaml.into() };
         match self.find(name) {
@@ -32,12 +34,12 @@
         true
     }
 
-    /// Takes out everything, to be tried again.
+    /// Removes and returns all deferred subtrees with their accounts' names, to be checked again.
     pub(super) fn take(&mut self) -> Vec<(Arc<str>, Arc<str>)> {
         std::mem::take(&mut self.0).into_iter().map(|entry| (entry.name, entry.yaml)).collect()
     }
 
-    /// Drops the waiting subtree of an account if `version` has overtaken it.
+    /// Drops the deferred subtree of an account unless it is newer than `version`.
     pub(super) fn remove_superseded(&mut self, name: &str, version: Version) {
         if let Ok(index) = self.find(name)
             && self.0[index].version <= version
--- a/crates/settings/src/document/cursor.rs
+++ b/crates/settings/src/document/cursor.rs
@@ -1,4 +1,4 @@
-//! A place in a document: a node and the path that leads to it.
+//! A place in a document: a node and its path.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use crate::codes::Code;
 use crate::fault::Fault;
 
-/// Stands for a document whose text is not at hand: every position in it is the start.
+/// Stands in for a document whose text is not available; every position is reported as its start.
 static NULL_NODE: Node = Node { position: Position::START, value: Value::Null };
 
 /// A node of a document with its path, for reporting faults about it.
@@ -22,7 +22,7 @@
         Self { node, path: String::new() }
     }
 
-    /// A whole document without its text. Faults get their path, but no position.
+    /// A whole document without its text. Faults have a path, but the document's start as position.
     pub(crate) fn without_text() -> Cursor<'static> {
         Cursor::root(&NULL_NODE)
     }
@@ -32,24 +32,27 @@
         self.node
     }
 
-    /// The value of a field; the cursor stays at the map where the field is absent.
+    /// The value of the first field called `key`. If the field is absent, the position stays that
+    /// of the map.
     pub(crate) fn field(&self, key: &str) -> Self {
         let node = self.node.entry(key).map_or(self.node, |entry| &entry.node);
         Self { node, path: self.join(key) }
     }
 
-    /// The value of an entry, which need not be the first one under its key.
+    /// The value of an entry. Unlike [`field`](Self::field), it also reaches duplicate keys.
     pub(crate) fn entry(&self, entry: &'a Entry) -> Self {
         Self { node: &entry.node, path: self.join(&entry.key) }
     }
 
-    /// An element of a list.
+    /// The element of a list at `index`. If it is absent, the position stays that of the list.
     pub(crate) fn element(&self, index: usize) -> Self {
         let node = self.node.element(index).unwrap_or(self.node);
         Self { node, path: format!("{}[{index}]", self.path) }
     }
 
-    /// The element of a list whose field `name` is `name`.
+    /// The element of a list whose field `name` has the value `name`. If the list has none, the
+    /// cursor stays at the list. If the text is not available, the path shows the name in place of
+    /// an index.
     pub(crate) fn named(&self, name: &str) -> Self {
         let has_name = |node: &Node| {
             let entry = node.entry("name");
--- a/crates/settings/src/document/mod.rs
+++ b/crates/settings/src/document/mod.rs
@@ -15,13 +15,14 @@
 use crate::codes;
 use crate::fault::Fault;
 
-/// Largest document, in bytes: the platform holds values up to a megabyte.
+/// Maximum size of a document in bytes. The platform stores values of up to a megabyte.
 pub const MAX_SUBTREE_BYTES: usize = 1_000_000;
 
-/// Reads a document, compares it with its schema and hands its raw type and its tree to `check`.
+/// Reads a document, validates it against its schema and passes its raw type and its tree to
+/// `check`.
 ///
-/// Structural faults are all reported at once. `check` runs only without any, so that it may take
-/// the raw type at its word.
+/// All structural faults are reported together. `check` runs only if there are none, so it can rely
+/// on the structure of the raw type.
 pub(crate) fn parse<Raw: DeserializeOwned, Checked>(
     yaml: &str,
     schema: &Schema,
@@ -40,7 +41,7 @@
     if faults.is_empty() { Ok(checked) } else { Err(faults) }
 }
 
-/// The version that a document states, even if the rest is faulty.
+/// The version that a document states, even if other parts of it have faults.
 pub(crate) fn stated_version(yaml: &str) -> Option<u64> {
     let tree = read::read(yaml).ok()?;
     match tree.entry("version")?.node.value {
--- a/crates/settings/src/document/node.rs
+++ b/crates/settings/src/document/node.rs
@@ -11,14 +11,15 @@
     pub(crate) column: u32,
 }
 
-/// A value with the position where it begins.
+/// A value and the position of its start.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Node {
     pub(crate) position: Position,
     pub(crate) value: Value,
 }
 
-/// A YAML value. Integers fit `i128`, so that no sign or size is lost before the range check.
+/// A YAML value. Integers are `i128`, so that the range check sees negative and huge numbers as
+/// written.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Value {
     Null,
@@ -30,7 +31,7 @@
     Map(Vec<Entry>),
 }
 
-/// A key with its value. Duplicate keys are kept, so that each can be reported.
+/// A key with its value. A map keeps duplicate keys, so that each can be reported.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Entry {
     pub(crate) key: Arc<str>,
@@ -39,7 +40,7 @@
 }
 
 impl Position {
-    /// Start of the document, for faults of the whole.
+    /// Start of the document, for faults of the document as a whole.
     pub(crate) const START: Self = Self { line: 1, column: 1 };
 }
 
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The same value for the border types, which are decoded through JSON's data model.
+    /// Converts the value to JSON, from which the raw types are decoded.
     pub(crate) fn to_json(&self) -> serde_json::Value {
         match &self.value {
             Value::Null => serde_json::Value::Null,
--- a/crates/settings/src/document/read.rs
+++ b/crates/settings/src/document/read.rs
@@ -1,4 +1,4 @@
-//! From YAML text to nodes.
+//! Parsing of YAML text into nodes.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,14 +10,15 @@
 use crate::codes::{self, Code};
 use crate::fault::Fault;
 
-/// Deepest nesting of a document; ours need 6 levels.
+/// Maximum nesting of a document. The documents of this crate need 6 levels.
 const MAX_DEPTH: usize = 16;
 
-/// Most nodes of a document. One upstream is about 30, so this is some 6000 upstreams, and a
-/// document of one megabyte made of tiny nodes cannot use a hundred times its size in memory.
+/// Maximum number of nodes of a document. One upstream takes about 30, so this allows some 6000
+/// upstreams. Without the limit, a document of one megabyte that consists of tiny nodes could use a
+/// hundred times its size in memory.
 const MAX_NODES: usize = 200_000;
 
-/// Reads one document. The first fault of syntax ends the reading.
+/// Reads one document. Reading stops at the first syntax error.
 pub(crate) fn read(yaml: &str) -> Result<Node, Fault> {
     if yaml.len() > MAX_SUBTREE_BYTES {
         let text = format!("{} bytes, at most {MAX_SUBTREE_BYTES} are allowed", yaml.len());
@@ -26,8 +27,9 @@
     serde_saphyr::from_str_with_options(yaml, options()).map_err(|error| fault_from(&error))
 }
 
-/// Duplicate keys pass through, so that each is reported with its position. Anchors are refused:
-/// an alias would have two positions, and nested ones multiply a small document into a huge one.
+/// Options of the YAML parser. Duplicate keys pass, so that the schema check can report each with
+/// its position. Anchors are refused: an alias would have two positions, and nested aliases expand
+/// a small document into a huge one.
 fn options() -> Options {
     serde_saphyr::options! {
         budget: serde_saphyr::budget! {
@@ -63,7 +65,7 @@
     fault(position, code, text)
 }
 
-/// The reader's messages end with the position, which a fault has already.
+/// Removes the position at the end of a parser message, since the fault states it already.
 fn without_position(mut text: String) -> String {
     if let Some(end) = text.rfind(" at line ") {
         text.truncate(end);
--- a/crates/settings/src/document/shape.rs
+++ b/crates/settings/src/document/shape.rs
@@ -1,8 +1,8 @@
-//! Comparison of a document with its JSON Schema.
+//! Validation of a document against its JSON Schema.
 //!
-//! The border types are generated from the same schema, but decoding them stops at the first
-//! fault and knows no position. This walk reports every structural fault where it is. It knows
-//! just the keywords that the files in `schema/` use, and refuses a schema with any other.
+//! The raw types are generated from the same schema, but decoding them stops at the first fault and
+//! has no positions. This validator reports every structural fault with its position. It supports
+//! only the keywords that the files in `schema/` use, and rejects a schema with any other.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 use crate::codes;
 use crate::fault::Fault;
 
-/// A schema: the rule for the whole document, with the definitions that it refers to.
+/// A schema: the rule for the whole document and the definitions that it refers to.
 #[derive(Debug)]
 pub(crate) struct Schema(Rule);
 
@@ -61,7 +61,8 @@
     Integer,
 }
 
-/// `false`: unknown fields are refused everywhere, so no schema may say otherwise.
+/// The value `false` of `additionalProperties`. Unknown fields are always refused, so a schema must
+/// not allow them.
 #[derive(Debug, Deserialize)]
 #[serde(try_from = "bool")]
 struct MustBeFalse;
@@ -77,12 +78,13 @@
 impl Schema {
     /// Reads a schema of this workspace.
     ///
-    /// Panics if the text is no schema that this walk understands; a test reads all of them.
+    /// Panics if the text is not a schema that this validator supports; the tests read every
+    /// schema.
     pub(crate) fn from_json(text: &str) -> Self {
         Self(serde_json::from_str(text).expect("the schemas of the workspace are well formed"))
     }
 
-    /// Appends every structural fault of a document.
+    /// Appends every structural fault of a document to `faults`.
     pub(crate) fn check(&self, document: &Cursor<'_>, faults: &mut Vec<Fault>) {
         self.check_rule(&self.0, document, faults);
     }
@@ -149,7 +151,7 @@
 fn unknown_field(rule: &Rule, entry: &Entry, value: &Cursor<'_>) -> Fault {
     let known = || rule.properties.keys().map(String::as_str);
     if let Some(meant) = known().find(|known| unit::differs_in_unit_only(known, &entry.key)) {
-        let text = format!("`{}` has another unit: the field is `{meant}`", entry.key);
+        let text = format!("`{}` has the wrong unit: the field is `{meant}`", entry.key);
         return value.fault_at(entry.position, codes::WRONG_UNIT, text);
     }
     let names: Vec<&str> = known().collect();
@@ -161,7 +163,7 @@
     if rule.choices.is_empty() || rule.choices.iter().any(|choice| choice == text) {
         return;
     }
-    let text = format!("`{text}` is none of {}", rule.choices.join(", "));
+    let text = format!("`{text}` is not one of {}", rule.choices.join(", "));
     faults.push(at.fault(codes::UNKNOWN_CHOICE, text));
 }
 
@@ -178,11 +180,11 @@
 fn mismatch(kind: Kind, value: &Value, at: &Cursor<'_>) -> Fault {
     match (kind, value) {
         (Kind::Integer, Value::Text(text)) if unit::is_quantity(text) => {
-            let text = format!("`{text}` carries a unit: give a bare number");
+            let text = format!("`{text}` has a unit: give a plain number");
             at.fault(codes::WRONG_UNIT, text)
         }
         (Kind::String, Value::Integer(_) | Value::Float(_) | Value::Bool(_)) => {
-            at.fault(codes::WRONG_TYPE, "expected text; put it into quotes")
+            at.fault(codes::WRONG_TYPE, "expected text; put the value in quotes")
         }
         _ => {
             let text = format!("expected {}, found {}", kind_name(kind), value_name(value));
--- a/crates/settings/src/document/unit.rs
+++ b/crates/settings/src/document/unit.rs
@@ -1,12 +1,13 @@
-//! Units in names and values: a right field in a wrong unit deserves its own message.
+//! Units in names and values, for a message of its own when a known field has the wrong unit.
 
-/// Suffixes by which fields name their units, ours and those that people try.
+/// Suffixes that name units: those of the fields in the schemas, and others that a publisher might
+/// try.
 const UNITS: &[&str] = &[
     "ns", "us", "ms", "s", "sec", "secs", "seconds", "millis", "m", "min", "minutes", "h", "hours",
     "bytes", "kb", "mb", "kib", "mib", "percent", "pct", "ratio", "fraction", "hex", "base64",
 ];
 
-/// Whether two different field names are equal but for the unit.
+/// Whether two field names differ only in the unit.
 pub(super) fn differs_in_unit_only(known: &str, given: &str) -> bool {
     known != given && stem(known) == stem(given)
 }
@@ -18,7 +19,7 @@
     }
 }
 
-/// Whether text is a number followed by a unit, as in `3s` or `25%`.
+/// Whether the text is a number followed by a unit, such as `3s` or `25%`.
 pub(super) fn is_quantity(text: &str) -> bool {
     let unit = text.trim_start_matches(|c: char| c.is_ascii_digit() || c == '.');
     let is_unit = |c: char| c.is_ascii_alphabetic() || c == '%' || c == ' ';
--- a/crates/settings/src/fault/mod.rs
+++ b/crates/settings/src/fault/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::codes::Code;
 
-/// One thing that is wrong with a settings document, and where.
+/// One fault of a settings document, with its position.
 ///
 /// ```
 /// let faults = settings::root::parse("version: 1\naccounts: []\nowner: me\n").unwrap_err();
@@ -19,9 +19,9 @@
     pub line: u32,
     /// Column in characters, counted from 1.
     pub column: u32,
-    /// Field, as in `services[0].upstreams`; empty for the whole document.
+    /// Path of the field, such as `services[0].upstreams`; empty for the whole document.
     pub path: Arc<str>,
-    /// Explanation for people.
+    /// Explanation for the reader; not meant to be parsed.
     pub text: Arc<str>,
 }
 
--- a/crates/settings/src/fields/mod.rs
+++ b/crates/settings/src/fields/mod.rs
@@ -11,20 +11,21 @@
 use crate::fault::Fault;
 use crate::prefix::Prefix;
 
-/// Longest name, in bytes: that of a DNS label, so that names fit host names and metric labels.
+/// Maximum length of a name in bytes: that of a DNS label, so that names can be used in host names
+/// and metric labels.
 const MAX_NAME_BYTES: usize = 63;
 
-/// Stands in for an address that could not be parsed; its document is refused.
+/// Stands in for an address that cannot be parsed. It is never used, since the document is refused.
 const PLACEHOLDER_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
-/// A name: a lower-case letter, then lower-case letters, digits and hyphens.
+/// Checks a name: a lower-case letter, then lower-case letters, digits and hyphens.
 pub(crate) fn name(text: &str, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> Arc<str> {
     let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
     let starts_with_letter = text.starts_with(|first: char| first.is_ascii_lowercase());
     if !starts_with_letter || text.len() > MAX_NAME_BYTES || !text.bytes().all(is_allowed) {
         let text = format!(
-            "`{}` is not 1 to {MAX_NAME_BYTES} lower-case letters, digits and hyphens that begin \
+            "`{}` is not 1 to {MAX_NAME_BYTES} lower-case letters, digits and hyphens, beginning \
              with a letter",
             shorten(text)
         );
@@ -33,7 +34,7 @@
     text.into()
 }
 
-/// An address range.
+/// Parses an address range.
 pub(crate) fn prefix(text: &str, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> Option<Prefix> {
     Prefix::from_str(text)
         .map_err(|error| {
@@ -43,7 +44,7 @@
         .ok()
 }
 
-/// An address and port of a process, `IP:PORT`.
+/// Parses the address and port of a process, `IP:PORT`.
 pub(crate) fn address(text: &str, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> SocketAddr {
     let Ok(address) = text.parse::<SocketAddr>() else {
         let text = format!("`{}` is not IP:PORT, with IPv6 in brackets", shorten(text));
@@ -54,7 +55,7 @@
     address
 }
 
-/// An address of a service, `IP:PORT/tcp` or `IP:PORT/udp`.
+/// Parses an address of a service, `IP:PORT/tcp` or `IP:PORT/udp`.
 pub(crate) fn endpoint(text: &str, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> Option<Endpoint> {
     let parsed = text.rsplit_once('/').and_then(|(address, protocol)| {
         let transport = match protocol {
@@ -73,7 +74,7 @@
     Some(Endpoint { address: address.ip(), port: address.port(), transport })
 }
 
-/// Bytes written as hexadecimal digits. The text never appears in a fault: it is a secret.
+/// Parses bytes written as hexadecimal digits. The text is a secret and must not appear in a fault.
 pub(crate) fn hex<const N: usize>(text: &str, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> [u8; N] {
     let mut bytes = [0; N];
     if text.len() != 2 * N || !text.bytes().all(|digit| digit.is_ascii_hexdigit()) {
@@ -97,7 +98,7 @@
     }
 }
 
-/// Cuts a text that is quoted in a message.
+/// Truncates a text to [`MAX_NAME_BYTES`] characters, for quoting it in a message.
 fn shorten(text: &str) -> &str {
     let end = text.char_indices().nth(MAX_NAME_BYTES).map_or(text.len(), |(index, _)| index);
     &text[..end]
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,10 @@
 //! Published settings tree and process settings: parsing, checks, versions.
 //!
-//! Every document is YAML. Text becomes a tree of nodes with positions ([`document`]), the tree is
-//! compared with its JSON Schema from `schema/`, decoded into border types generated from the same
-//! schema, and checked into plain structs. A document with any fault is refused whole; each fault
-//! has a numbered [`Code`], a line, a column and a path.
+//! Every document is YAML. Its text is parsed into a tree of nodes with positions ([`document`]).
+//! The tree is validated against the document's JSON Schema from `schema/` and decoded into raw
+//! types, which are generated from the same schema. Further checks turn the raw types into plain
+//! structs. A document with any fault is refused as a whole; each fault has a numbered [`Code`], a
+//! line, a column and a path.
 
 pub mod account;
 mod book;
--- a/crates/settings/src/prefix/mod.rs
+++ b/crates/settings/src/prefix/mod.rs
@@ -17,16 +17,16 @@
     length: u8,
 }
 
-/// Why a text is no prefix.
+/// Why a text is not a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PrefixError {
-    /// Not of the form `ADDRESS/LENGTH`.
+    /// The text is not of the form `ADDRESS/LENGTH`.
     #[error("expected ADDRESS/LENGTH")]
     Form,
-    /// More bits than the address has.
+    /// The length exceeds the number of bits of the address.
     #[error("the length exceeds the bits of the address")]
     Length,
-    /// Bits beyond the length are set, so it is unclear which range is meant.
+    /// Bits beyond the length are set, so the intended range is ambiguous.
     #[error("bits after the prefix length must be zero")]
     HostBits,
 }
--- a/crates/settings/src/process/agent.rs
+++ b/crates/settings/src/process/agent.rs
@@ -23,35 +23,35 @@
     pub service: Arc<str>,
     /// Name of the upstream.
     pub upstream: Arc<str>,
-    /// Where the upstream takes plain GUE.
+    /// Address where the upstream receives plain GUE packets.
     pub upstream_address: SocketAddr,
-    /// Where the upstream's status endpoint answers.
+    /// Address of the upstream's status endpoint.
     pub upstream_status_address: SocketAddr,
-    /// Where refusals leave for callers.
+    /// Address of the gateway through which refusals reach callers.
     pub gateway_address: SocketAddr,
-    /// Availability zone where it runs.
+    /// Availability zone of the instance.
     pub zone: Arc<str>,
     /// Region of that availability zone.
     pub region: Arc<str>,
-    /// Where encapsulated packets arrive.
+    /// Address that receives encapsulated packets.
     pub data_address: SocketAddr,
-    /// Where the HTTP endpoint listens.
+    /// Address of the HTTP endpoint.
     pub control_address: SocketAddr,
-    /// Where the platform answers.
+    /// Address of the platform.
     pub platform_address: SocketAddr,
-    /// Control addresses to ask for settings at the start.
+    /// Control addresses of the peers that are asked for settings at the start.
     pub peers: Vec<SocketAddr>,
-    /// Keys of the account. One or two; the first one signs.
+    /// Keys of the account, one or two; the first one signs.
     pub keys: Vec<Key>,
     /// Key of the flow hash.
     pub flow_key: [u8; 16],
-    /// Threads that receive packets.
+    /// Number of threads that receive packets.
     pub receive_threads: usize,
-    /// Longest time from the termination signal to the exit, in milliseconds.
+    /// Maximum time from the termination signal to the exit, in milliseconds.
     pub shutdown_grace_ms: u64,
 }
 
-/// Parses and checks the file of an agent; reports the first fault.
+/// Parses and checks the settings file of an agent; reports only the first fault.
 ///
 /// ```
 /// let fault = settings::process::agent::parse("instance: x\n").unwrap_err();
--- a/crates/settings/src/process/balancer.rs
+++ b/crates/settings/src/process/balancer.rs
@@ -17,29 +17,29 @@
 pub struct BalancerSettings {
     /// Name of the instance.
     pub instance: Arc<str>,
-    /// Availability zone where it runs.
+    /// Availability zone of the instance.
     pub zone: Arc<str>,
     /// Region of that availability zone.
     pub region: Arc<str>,
-    /// Where encapsulated packets arrive.
+    /// Address that receives encapsulated packets.
     pub data_address: SocketAddr,
-    /// Where the HTTP endpoint listens.
+    /// Address of the HTTP endpoint.
     pub control_address: SocketAddr,
-    /// Where the platform answers.
+    /// Address of the platform.
     pub platform_address: SocketAddr,
-    /// Control addresses to ask for settings at the start.
+    /// Control addresses of the peers that are asked for settings at the start.
     pub peers: Vec<SocketAddr>,
-    /// Master keys of the fleet. One or two; the first one signs.
+    /// Master keys of the fleet, one or two; the first one signs.
     pub keys: Vec<Key>,
     /// Key of the flow hash.
     pub flow_key: [u8; 16],
-    /// Threads that receive packets.
+    /// Number of threads that receive packets.
     pub receive_threads: usize,
-    /// Longest time from the termination signal to the exit, in milliseconds.
+    /// Maximum time from the termination signal to the exit, in milliseconds.
     pub shutdown_grace_ms: u64,
 }
 
-/// Parses and checks the file of a balancer; reports the first fault.
+/// Parses and checks the settings file of a balancer; reports only the first fault.
 ///
 /// ```
 /// let fault = settings::process::balancer::parse("instance: x\n").unwrap_err();
--- a/crates/settings/src/process/mod.rs
+++ b/crates/settings/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of a single process, read from its own file at the start.
+//! Settings of a single process, read from the process's own file at the start.
 
 pub mod agent;
 pub mod balancer;
--- a/crates/settings/src/process/shared.rs
+++ b/crates/settings/src/process/shared.rs
@@ -1,4 +1,4 @@
-//! What balancers and agents have in common.
+//! Settings that balancers and agents have in common.
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,16 @@
 use crate::fault::Fault;
 use crate::fields;
 
-/// A secret with its number. The number travels with every packet.
+/// A secret key and its number. Every packet carries the number of the key that signed it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Key {
-    /// Number.
+    /// Number of the key.
     pub id: u8,
-    /// Secret.
+    /// Secret bytes.
     pub secret: [u8; 32],
 }
 
-/// Shows the number only: a secret must not reach a log.
+/// Prints only the number, so that the secret cannot reach a log.
 impl std::fmt::Debug for Key {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Key").field("id", &self.id).finish_non_exhaustive()
@@ -48,7 +48,7 @@
     raw.iter().enumerate().map(check).collect()
 }
 
-/// The fault that a process reports when it starts: the first one of its file.
+/// Reduces the faults of a settings file to the first one, which the process reports.
 pub(super) fn first_fault<T>(result: Result<T, Vec<Fault>>) -> Result<T, Fault> {
     result
         .map_err(|faults| faults.into_iter().min_by_key(|fault| (fault.line, fault.column)))
--- a/crates/settings/src/root/change.rs
+++ b/crates/settings/src/root/change.rs
@@ -1,4 +1,4 @@
-//! From one root to the next.
+//! Checks of the change from one root to the next.
 
 use super::{Root, RootAccount};
 use crate::codes;
@@ -7,8 +7,9 @@
 use crate::prefix::Prefix;
 use crate::step::VersionStep;
 
-/// Checks a new root against the one that it replaces. The faults have paths, but, as the text is
-/// not at hand, no positions; [`parse_next`](super::parse_next) reports these too.
+/// Checks a new root against the one that it replaces. The faults have paths but no positions,
+/// since the text is not available here; [`parse_next`](super::parse_next) reports positions as
+/// well.
 ///
 /// ```
 /// use settings::root;
@@ -39,10 +40,10 @@
     }
 }
 
-/// Failure: a range moves in one step, while some instances still run the old root. Symptom: a
-/// caller's packet reaches the former owner. A version in which nobody may use the range is
-/// enough: the step after it is published only once every instance runs that version, and
-/// packets of older views are refused from then on.
+/// Reports a range that moves to another account without quarantine. If it moved in one step, a
+/// caller's packet could reach the previous owner while some instances still use the old root. One
+/// version in which nobody may use the range is enough: the next version is published only once
+/// every instance uses this one, and from then on packets sent with older views are refused.
 fn check_prefix(
     old: &Root,
     account: &RootAccount,
@@ -54,7 +55,8 @@
         other.name != account.name && other.prefixes.iter().any(|held| held.overlaps(&prefix))
     };
     if let Some(previous) = old.accounts.iter().find(owns_part) {
-        let text = format!("{prefix} was `{}`'s until now: quarantine it first", previous.name);
+        let text =
+            format!("{prefix} belonged to `{}` until now: quarantine it first", previous.name);
         faults.push(at.fault(codes::MOVED_WITHOUT_QUARANTINE, text));
     }
 }
--- a/crates/settings/src/root/mod.rs
+++ b/crates/settings/src/root/mod.rs
@@ -22,7 +22,7 @@
 /// The checked root.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Root {
-    /// Version; only grows.
+    /// Version of the document, which only increases.
     pub version: Version,
     /// Accounts sorted by name.
     pub accounts: Vec<RootAccount>,
@@ -33,20 +33,20 @@
 pub struct RootAccount {
     /// Name of the client account.
     pub name: Arc<str>,
-    /// Ranges that it may use.
+    /// Ranges that the account may use.
     pub prefixes: Vec<Prefix>,
-    /// Ranges that it will own, which nobody may use yet.
+    /// Ranges that the account will own, but that nobody may use yet.
     pub quarantine: Vec<Prefix>,
 }
 
 /// Whether an account may use an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ownership {
-    /// The account owns it.
+    /// The account owns the address.
     Owned,
-    /// Some account will own it, nobody may use it yet.
+    /// An account will own the address, but nobody may use it yet.
     Quarantined,
-    /// It belongs to somebody else or nobody.
+    /// The address belongs to another account or to none.
     Foreign,
 }
 
@@ -94,10 +94,11 @@
     document::parse(yaml, &SCHEMA, check)
 }
 
-/// Like [`parse`], but also checks the step from the root `old`, with positions in `yaml`.
+/// Like [`parse`], but also checks the change from the root `old`, with positions in `yaml`.
 ///
-/// `old` may be any older root: a step over several versions is checked as far as its two ends
-/// allow. The same version with the same content is no fault, with other content it is.
+/// `old` may be any older root: if versions in between were missed, only the rules that can be
+/// checked without them apply. The same version is accepted with the same content, and a fault with
+/// different content.
 ///
 /// ```
 /// use settings::{codes, root};
@@ -142,7 +143,7 @@
     RootAccount { name, prefixes, quarantine }
 }
 
-/// Disjoint ranges seen so far, sorted, with their owners.
+/// Disjoint ranges checked so far with their owners, sorted.
 #[derive(Default)]
 struct AssignedRanges(Vec<(Prefix, Arc<str>)>);
 
@@ -167,8 +168,8 @@
         prefixes
     }
 
-    /// Inserts a range, or gives the one that it overlaps. Two prefixes overlap only if one holds
-    /// the other, so among sorted disjoint ones it is enough to look at both neighbours.
+    /// Inserts a range, or returns the one that it overlaps. Two prefixes overlap only if one
+    /// contains the other, so among sorted disjoint prefixes only both neighbours need a check.
     fn insert(&mut self, prefix: Prefix, owner: &Arc<str>) -> Result<(), (Prefix, Arc<str>)> {
         let index = self.0.partition_point(|(known, _)| *known < prefix);
         let neighbours = &self.0[index.saturating_sub(1)..self.0.len().min(index + 1)];
--- a/crates/settings/src/step/mod.rs
+++ b/crates/settings/src/step/mod.rs
@@ -1,4 +1,4 @@
-//! The step from one version of a document to a later one.
+//! The change from one version of a document to a later one.
 
 use decision::keys::Version;
 
@@ -6,7 +6,7 @@
 use crate::document::Cursor;
 use crate::fault::Fault;
 
-/// Two versions of a document, the older one in force.
+/// The versions before and after a change of a document. The old one is in force.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct VersionStep {
     old: Version,
@@ -14,7 +14,8 @@
 }
 
 impl VersionStep {
-    /// A step that goes forward. Reports one that does not, unless nothing changes at all.
+    /// The step from version `old` to a larger version `new`. Otherwise there is no step, and a
+    /// fault is reported unless the document is the same as the one in force.
     pub(crate) fn forward(
         (old, new): (Version, Version),
         is_same: bool,
@@ -35,16 +36,17 @@
         None
     }
 
-    /// Whether versions were published in between that this reader has not seen.
+    /// Whether versions may have been published in between that this reader has not seen.
     ///
-    /// Nobody may refuse a document for what happened in versions that it missed: a process that
-    /// was paused or cut off would keep its old settings for ever. The full rules are checked
-    /// before publication by `goosectl check --against`, and here by whoever saw every version.
+    /// A reader must not refuse a document because of changes in versions that it missed: otherwise
+    /// a process that was paused or disconnected would keep its old settings forever. All rules are
+    /// checked before publication by `goosectl check --against`, and here by every reader that has
+    /// seen all versions.
     pub(crate) fn has_gap(self) -> bool {
         self.new.0 - self.old.0 > 1
     }
 
-    /// Whether something dated `version` may have happened in this step.
+    /// Whether a change with the given `version` may be part of this step.
     pub(crate) fn covers(self, version: Version) -> bool {
         version == self.new || (self.has_gap() && version > self.old && version < self.new)
     }
