--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! Published settings tree and process settings: parsing, checks, versions.
 //!
-//! Every document is YAML. Its text is parsed into a tree of nodes with positions ([`document`]).
+//! Every document is YAML. Its text is parsed into a tree of nodes with positions (`document`).
 //! The tree is validated against the document's JSON Schema from `schema/` and decoded into raw
 //! types, which are generated from the same schema. Further checks turn the raw types into plain
 //! structs. A document with any fault is refused as a whole; each fault has a numbered [`Code`], a
--- a/crates/settings/src/root/change.rs
+++ b/crates/settings/src/root/change.rs
@@ -52,7 +52,7 @@
     faults: &mut Vec<Fault>,
 ) {
     let owns_part = |other: &&RootAccount| {
-        other.name != account.name && other.prefixes.iter().any(|held| held.overlaps(&prefix))
+        other.name != account.name && other.prefixes.iter().any(|owned| owned.overlaps(&prefix))
     };
     if let Some(previous) = old.accounts.iter().find(owns_part) {
         let text =
