--- a/crates/settings/src/book/mod.rs
+++ b/crates/settings/src/book/mod.rs
@@ -1,8 +1,8 @@
 //! The settings in force.
 //!
-//! A book never goes back: the highest version of each document wins, whatever the order in which
-//! documents arrive from platform and peers. It never takes half a document: one with a fault
-//! leaves the older version in force.
+//! The version in force of a document never decreases: the highest version wins, in whatever order
+//! documents arrive from the platform and from peers. A document is accepted as a whole or not at
+//! all: if it has a fault, the older version stays in force.
 
 mod pending;
 
@@ -18,64 +18,66 @@
 use crate::root::{self, Ownership, Root};
 use pending::Pending;
 
-/// What became of a published document.
+/// Result of offering a published document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is in force now.
+    /// The document is now in force, with this version.
     Accepted(Version),
-    /// The same document is in force already.
+    /// The same document was already in force.
     Unchanged(Version),
-    /// A newer version, given here, is in force and stays.
+    /// The document is outdated: this newer version stays in force.
     Older(Version),
-    /// The root in force does not allow it; a newer one may. The older version stays in force and
-    /// the document is tried again with the next root.
+    /// The root in force does not allow the document, but a newer root may. The older version stays
+    /// in force, and the document is checked again with the next root.
     Deferred(Vec<Fault>),
-    /// It is refused whole; the older version stays in force.
+    /// The document is refused as a whole; the older version stays in force.
     Refused(Vec<Fault>),
 }
 
-/// All accounts in force in this process.
+/// The root and the accounts' subtrees that are in force in this process.
 ///
 /// ```
-/// use settings::{Book, Outcome};
-/// let mut book = Book::default();
-/// book.accept_root("version: 1\naccounts: [{name: cascadia, prefixes: []}]\n");
+/// use settings::{ActiveSettings, Outcome};
+/// let mut active = ActiveSettings::default();
+/// active.accept_root("version: 1\naccounts: [{name: cascadia, prefixes: []}]\n");
 /// let yaml = "account: cascadia\nversion: 7\nservices: []\n";
-/// assert!(matches!(book.accept_account("cascadia", yaml), Outcome::Accepted(_)));
-/// assert_eq!(book.versions().len(), 1);
-/// assert_eq!(book.view().accounts().len(), 1);
+/// assert!(matches!(active.accept_account("cascadia", yaml), Outcome::Accepted(_)));
+/// assert_eq!(active.versions().len(), 1);
+/// assert_eq!(active.view().accounts().len(), 1);
 /// ```
 #[derive(Debug, Default)]
-pub struct Book {
-    root: Option<Held<Root>>,
+pub struct ActiveSettings {
+    root: Option<Installed<Root>>,
     /// Sorted by name.
-    accounts: Vec<Held<AccountSpec>>,
+    accounts: Vec<Installed<AccountSpec>>,
     pending: Pending,
-    /// Built on demand, since a start brings in hundreds of subtrees at once.
+    /// Built on demand: at a start, hundreds of subtrees arrive in a row, and building a view for
+    /// each would be wasted.
     view: OnceLock<Arc<View>>,
 }
 
 /// A document in force with the text that it came from.
 #[derive(Clone, Debug)]
-struct Held<T> {
+struct Installed<T> {
     spec: T,
     yaml: Arc<str>,
 }
 
-impl Book {
-    /// Takes in a root document.
+impl ActiveSettings {
+    /// Offers a root document.
     ///
-    /// Subtrees that waited for it come into force with it. Addresses that it takes from an account
-    /// leave the view at once, though the account's subtree stays in force: the address may be
-    /// somebody else's by now, and serving it would hand one account's packets to another. The
-    /// account's other addresses are served as before, and a later root may give this one back.
+    /// If it is accepted, the deferred subtrees are checked again. Addresses that the root removes
+    /// from an account leave the view at once, although the account's subtree stays in force:
+    /// another account may own such an address by now, and serving it would deliver one account's
+    /// packets to another. The account's other addresses are served as before, and a later root may
+    /// return the removed ones.
     pub fn accept_root(&mut self, yaml: &str) -> Outcome {
-        let held = self.root.as_ref();
-        if held.is_some_and(|held| *held.yaml == *yaml) {
+        let installed = self.root.as_ref();
+        if installed.is_some_and(|installed| *installed.yaml == *yaml) {
             return Outcome::Unchanged(self.root_version());
         }
-        let parsed = match held {
-            Some(held) => root::parse_next(yaml, &held.spec),
+        let parsed = match installed {
+            Some(installed) => root::parse_next(yaml, &installed.spec),
             None => root::parse(yaml),
         };
         match parsed {
@@ -85,18 +87,18 @@
         }
     }
 
-    /// Takes in the subtree that was published for the account called `name`.
+    /// Offers the subtree that was published for the account called `name`.
     pub fn accept_account(&mut self, name: &str, yaml: &str) -> Outcome {
         let in_force = self.find(name).map(|index| &self.accounts[index]);
-        if let Some(held) = in_force.filter(|held| *held.yaml == *yaml) {
-            return Outcome::Unchanged(held.spec.version);
+        if let Some(installed) = in_force.filter(|installed| *installed.yaml == *yaml) {
+            return Outcome::Unchanged(installed.spec.version);
         }
-        let version = in_force.map_or(Version(0), |held| held.spec.version);
-        let Some(root) = self.root.as_ref().map(|held| &held.spec) else {
+        let version = in_force.map_or(Version(0), |installed| installed.spec.version);
+        let Some(root) = self.root.as_ref().map(|installed| &installed.spec) else {
             return self.defer(name, yaml, Vec::new());
         };
         let parsed = match in_force {
-            Some(held) => account::parse_next(yaml, Some(root), name, &held.spec),
+            Some(installed) => account::parse_next(yaml, Some(root), name, &installed.spec),
             None => account::parse(yaml, root, name),
         };
         match parsed {
@@ -111,11 +113,14 @@
         }
     }
 
-    /// The view of everything in force. It is built on the first call after a change.
+    /// The view of all settings in force, built on the first call after a change.
     pub fn view(&self) -> Arc<View> {
         let build = || {
-            let specs: Vec<AccountSpec> =
-                self.accounts.iter().map(|held| self.usable(&held.spec)).collect();
+            let specs: Vec<AccountSpec> = self
+                .accounts
+                .iter()
+                .map(|installed| self.without_foreign_addresses(&installed.spec))
+                .collect();
             Arc::new(view::build(&specs))
         };
         self.view.get_or_init(build).clone()
@@ -123,31 +128,35 @@
 
     /// Names and versions of the accounts in force, sorted by name.
     pub fn versions(&self) -> Vec<(Arc<str>, Version)> {
-        self.accounts.iter().map(|held| (held.spec.name.clone(), held.spec.version)).collect()
+        self.accounts
+            .iter()
+            .map(|installed| (installed.spec.name.clone(), installed.spec.version))
+            .collect()
     }
 
-    /// The root in force with its text, to be passed on to peers.
+    /// Version and text of the root in force, for sending it to peers.
     pub fn root(&self) -> Option<(Version, Arc<str>)> {
-        self.root.as_ref().map(|held| (held.spec.version, held.yaml.clone()))
+        self.root.as_ref().map(|installed| (installed.spec.version, installed.yaml.clone()))
     }
 
-    /// The subtree in force of the account called `name` with its text, to be passed on to peers.
+    /// Version and text of the subtree in force of the account called `name`, for sending it to
+    /// peers.
     pub fn subtree(&self, name: &str) -> Option<(Version, Arc<str>)> {
-        let held = &self.accounts[self.find(name)?];
-        Some((held.spec.version, held.yaml.clone()))
+        let installed = &self.accounts[self.find(name)?];
+        Some((installed.spec.version, installed.yaml.clone()))
     }
 
     fn root_version(&self) -> Version {
-        self.root.as_ref().map_or(Version(0), |held| held.spec.version)
+        self.root.as_ref().map_or(Version(0), |installed| installed.spec.version)
     }
 
     fn find(&self, name: &str) -> Option<usize> {
-        self.accounts.binary_search_by(|held| (*held.spec.name).cmp(name)).ok()
+        self.accounts.binary_search_by(|installed| (*installed.spec.name).cmp(name)).ok()
     }
 
     fn install_root(&mut self, root: Root, yaml: &str) -> Outcome {
         let version = root.version;
-        self.root = Some(Held { spec: root, yaml: yaml.into() });
+        self.root = Some(Installed { spec: root, yaml: yaml.into() });
         self.view = OnceLock::new();
         for (name, yaml) in self.pending.take() {
             self.accept_account(&name, &yaml);
@@ -157,11 +166,11 @@
 
     fn install_account(&mut self, spec: AccountSpec, yaml: &str) -> Outcome {
         let version = spec.version;
-        self.pending.forget_older(&spec.name, version);
-        let held = Held { spec, yaml: yaml.into() };
-        match self.accounts.binary_search_by(|known| known.spec.name.cmp(&held.spec.name)) {
-            Ok(index) => self.accounts[index] = held,
-            Err(index) => self.accounts.insert(index, held),
+        self.pending.remove_superseded(&spec.name, version);
+        let installed = Installed { spec, yaml: yaml.into() };
+        match self.accounts.binary_search_by(|known| known.spec.name.cmp(&installed.spec.name)) {
+            Ok(index) => self.accounts[index] = installed,
+            Err(index) => self.accounts.insert(index, installed),
         }
         self.view = OnceLock::new();
         Outcome::Accepted(version)
@@ -176,21 +185,21 @@
         }
     }
 
-    /// The subtree without the addresses that the root in force does not give to its account.
-    fn usable(&self, spec: &AccountSpec) -> AccountSpec {
-        let mut usable = spec.clone();
-        let Some(root) = &self.root else { return usable };
-        for service in &mut usable.services {
+    /// The subtree without the addresses that its account does not own in the root in force.
+    fn without_foreign_addresses(&self, spec: &AccountSpec) -> AccountSpec {
+        let mut filtered = spec.clone();
+        let Some(root) = &self.root else { return filtered };
+        for service in &mut filtered.services {
             service.endpoints.retain(|endpoint| {
                 root.spec.ownership(&spec.name, endpoint.address) == Ownership::Owned
             });
         }
-        usable
+        filtered
     }
 }
 
-/// An older document is no fault of its publisher, whatever else is wrong with it: a stale reader
-/// or peer sent it.
+/// The outcome for a document with faults. An outdated document comes from a stale read or peer and
+/// not from its publisher, so it counts as [`Outcome::Older`] whatever its faults are.
 fn refusal(faults: Vec<Fault>, yaml: &str, in_force: Version) -> Outcome {
     match document::stated_version(yaml) {
         Some(version) if version < in_force.0 => Outcome::Older(in_force),
@@ -198,8 +207,8 @@
     }
 }
 
-/// Whether a fault may go away with a newer root. Updates reach instances unevenly, so a subtree
-/// may arrive before the root that allows it.
+/// Whether a newer root may resolve the fault. Updates may reach an instance out of order,
+/// so a subtree may arrive before the root that allows it.
 fn depends_on_root(fault: &Fault) -> bool {
     [codes::UNKNOWN_ACCOUNT, codes::FOREIGN_ADDRESS, codes::QUARANTINED_ADDRESS]
         .contains(&fault.code)
--- a/crates/settings/src/process/shared.rs
+++ b/crates/settings/src/process/shared.rs
@@ -1,4 +1,4 @@
-//! What balancers and agents have in common.
+//! Settings that balancers and agents have in common.
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,16 @@
 use crate::fault::Fault;
 use crate::fields;
 
-/// A secret with its number. The number travels with every packet.
+/// A secret key and its number. Every packet carries the number of the key that signed it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Key {
-    /// Number.
+    /// Number of the key.
     pub id: u8,
-    /// Secret.
+    /// Secret bytes.
     pub secret: [u8; 32],
 }
 
-/// Shows the number only: a secret must not reach a log.
+/// Prints only the number, so that the secret cannot reach a log.
 impl std::fmt::Debug for Key {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Key").field("id", &self.id).finish_non_exhaustive()
@@ -25,12 +25,12 @@
 
 /// Checks a list of keys given as (number, hexadecimal secret).
 pub(super) fn keys<'k>(
-    border: impl Iterator<Item = (u8, &'k str)>,
+    raw: impl Iterator<Item = (u8, &'k str)>,
     at: &Cursor<'_>,
     faults: &mut Vec<Fault>,
 ) -> Vec<Key> {
     let mut keys: Vec<Key> = Vec::new();
-    for (index, (id, secret_hex)) in border.enumerate() {
+    for (index, (id, secret_hex)) in raw.enumerate() {
         let at = at.element(index);
         if keys.iter().any(|key| key.id == id) {
             let text = format!("key {id} is listed twice");
@@ -43,16 +43,12 @@
 }
 
 /// Checks a list of control addresses.
-pub(super) fn peers(
-    border: &[String],
-    at: &Cursor<'_>,
-    faults: &mut Vec<Fault>,
-) -> Vec<SocketAddr> {
+pub(super) fn peers(raw: &[String], at: &Cursor<'_>, faults: &mut Vec<Fault>) -> Vec<SocketAddr> {
     let check = |(index, text): (usize, &String)| fields::address(text, &at.element(index), faults);
-    border.iter().enumerate().map(check).collect()
+    raw.iter().enumerate().map(check).collect()
 }
 
-/// The fault that a process reports when it starts: the first one of its file.
+/// Reduces the faults of a settings file to the first one, which the process reports.
 pub(super) fn first_fault<T>(result: Result<T, Vec<Fault>>) -> Result<T, Fault> {
     result
         .map_err(|faults| faults.into_iter().min_by_key(|fault| (fault.line, fault.column)))
--- a/crates/settings/src/root/mod.rs
+++ b/crates/settings/src/root/mod.rs
@@ -13,7 +13,7 @@
 use crate::document::{self, Cursor, Schema};
 use crate::fault::Fault;
 use crate::fields;
-use crate::generated::root as border;
+use crate::generated::root as raw;
 use crate::prefix::Prefix;
 
 static SCHEMA: LazyLock<Schema> =
@@ -22,7 +22,7 @@
 /// The checked root.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Root {
-    /// Version; only grows.
+    /// Version of the document, which only increases.
     pub version: Version,
     /// Accounts sorted by name.
     pub accounts: Vec<RootAccount>,
@@ -33,20 +33,20 @@
 pub struct RootAccount {
     /// Name of the client account.
     pub name: Arc<str>,
-    /// Ranges that it may use.
+    /// Ranges that the account may use.
     pub prefixes: Vec<Prefix>,
-    /// Ranges that it will own, which nobody may use yet.
+    /// Ranges that the account will own, but that nobody may use yet.
     pub quarantine: Vec<Prefix>,
 }
 
 /// Whether an account may use an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ownership {
-    /// The account owns it.
+    /// The account owns the address.
     Owned,
-    /// Some account will own it, nobody may use it yet.
+    /// An account will own the address, but nobody may use it yet.
     Quarantined,
-    /// It belongs to somebody else or nobody.
+    /// The address belongs to another account or to none.
     Foreign,
 }
 
@@ -94,10 +94,11 @@
     document::parse(yaml, &SCHEMA, check)
 }
 
-/// Like [`parse`], but also checks the step from the root `old`, with positions in `yaml`.
+/// Like [`parse`], but also checks the change from the root `old`, with positions in `yaml`.
 ///
-/// `old` may be any older root: a step over several versions is checked as far as its two ends
-/// allow. The same version with the same content is no fault, with other content it is.
+/// `old` may be any older root: if versions in between were missed, only the rules that can be
+/// checked without them apply. The same version is accepted with the same content, and a fault with
+/// different content.
 ///
 /// ```
 /// use settings::{codes, root};
@@ -106,18 +107,18 @@
 /// assert_eq!(faults[0].code, codes::VERSION_NOT_GROWN);
 /// ```
 pub fn parse_next(yaml: &str, old: &Root) -> Result<Root, Vec<Fault>> {
-    document::parse(yaml, &SCHEMA, |border, at, faults| {
-        let new = check(border, at, faults);
+    document::parse(yaml, &SCHEMA, |raw, at, faults| {
+        let new = check(raw, at, faults);
         change::check(old, &new, at, faults);
         new
     })
 }
 
-fn check(border: &border::RootDocument, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> Root {
+fn check(raw: &raw::RootDocument, at: &Cursor<'_>, faults: &mut Vec<Fault>) -> Root {
     let list = at.field("accounts");
-    let mut ranges = Ranges::default();
-    let mut accounts: Vec<RootAccount> = Vec::with_capacity(border.accounts.len());
-    for (index, account) in border.accounts.iter().enumerate() {
+    let mut ranges = AssignedRanges::default();
+    let mut accounts: Vec<RootAccount> = Vec::with_capacity(raw.accounts.len());
+    for (index, account) in raw.accounts.iter().enumerate() {
         let at = list.element(index);
         let account = check_account(account, &at, &mut ranges, faults);
         if accounts.iter().any(|earlier| earlier.name == account.name) {
@@ -127,26 +128,26 @@
         accounts.push(account);
     }
     accounts.sort_by(|a, b| a.name.cmp(&b.name));
-    Root { version: Version(border.version.get()), accounts }
+    Root { version: Version(raw.version.get()), accounts }
 }
 
 fn check_account(
-    border: &border::Account,
+    raw: &raw::Account,
     at: &Cursor<'_>,
-    ranges: &mut Ranges,
+    ranges: &mut AssignedRanges,
     faults: &mut Vec<Fault>,
 ) -> RootAccount {
-    let name = fields::name(&border.name, &at.field("name"), faults);
-    let prefixes = ranges.check(&name, &border.prefixes, &at.field("prefixes"), faults);
-    let quarantine = ranges.check(&name, &border.quarantine, &at.field("quarantine"), faults);
+    let name = fields::name(&raw.name, &at.field("name"), faults);
+    let prefixes = ranges.check(&name, &raw.prefixes, &at.field("prefixes"), faults);
+    let quarantine = ranges.check(&name, &raw.quarantine, &at.field("quarantine"), faults);
     RootAccount { name, prefixes, quarantine }
 }
 
-/// Disjoint ranges seen so far, sorted, with their owners.
+/// Disjoint ranges checked so far with their owners, sorted.
 #[derive(Default)]
-struct Ranges(Vec<(Prefix, Arc<str>)>);
+struct AssignedRanges(Vec<(Prefix, Arc<str>)>);
 
-impl Ranges {
+impl AssignedRanges {
     fn check(
         &mut self,
         owner: &Arc<str>,
@@ -158,8 +159,8 @@
         for (index, text) in texts.iter().enumerate() {
             let at = at.element(index);
             let Some(prefix) = fields::prefix(text, &at, faults) else { continue };
-            if let Err((other, holder)) = self.insert(prefix, owner) {
-                let text = format!("{prefix} overlaps {other} of account `{holder}`");
+            if let Err((other, other_owner)) = self.insert(prefix, owner) {
+                let text = format!("{prefix} overlaps {other} of account `{other_owner}`");
                 faults.push(at.fault(codes::PREFIX_OVERLAP, text));
             }
             prefixes.push(prefix);
@@ -167,8 +168,8 @@
         prefixes
     }
 
-    /// Inserts a range, or gives the one that it overlaps. Two prefixes overlap only if one holds
-    /// the other, so among sorted disjoint ones it is enough to look at both neighbours.
+    /// Inserts a range, or returns the one that it overlaps. Two prefixes overlap only if one
+    /// contains the other, so among sorted disjoint prefixes only both neighbours need a check.
     fn insert(&mut self, prefix: Prefix, owner: &Arc<str>) -> Result<(), (Prefix, Arc<str>)> {
         let index = self.0.partition_point(|(known, _)| *known < prefix);
         let neighbours = &self.0[index.saturating_sub(1)..self.0.len().min(index + 1)];
