--- a/xtask/src/ablate/mod.rs
+++ b/xtask/src/ablate/mod.rs
@@ -1,7 +1,7 @@
-//! What each mechanism is worth: the users' days with one after the other switched off.
+//! `cargo xtask ablate`: scores the users' standard days with each mechanism disabled in turn.
 //!
-//! Works on a clone of the last commit under `target/`, so that the tree stays as it is. The bench is
-//! named by its path; it builds and plays the days, and its table is read.
+//! Works on a clone of the last commit under `target/`, so that the working tree does not change.
+//! The users' bench, given by its path, builds the programs and runs the days; its table is parsed.
 
 mod report;
 
@@ -19,18 +19,18 @@
 
 Options:
   --bench PATH   the users' bench
-  --site FILE    a site whose standard days are played; may be given several times
-  --seeds N      plays of each site and mechanism, 1 unless given
-  --only NAME    only this mechanism, beside the whole; may be given several times
-  --jobs N       days that are played at the same time, 4 unless given
-  --out FOLDER   where ablation.json and ablation.svg go, docs/results unless given
+  --site FILE    a site whose standard days are run; may be given several times
+  --seeds N      runs of each site and mechanism, default 1
+  --only NAME    disable only this mechanism, beside the complete policy; may be given several times
+  --jobs N       days that run at the same time, default 4
+  --out FOLDER   folder for ablation.json and ablation.svg, default docs/results
 ";
 
-/// Where the clone lies.
+/// Folder of the clone.
 const CLONE_FOLDER: &str = "target/ablate";
-/// The file that says how the programs are started.
+/// File of the clone that defines how the bench starts the programs.
 const DEPLOY_FILE: &str = "deploy/system.toml";
-/// Marks the lines of it that start a program.
+/// Prefix of the lines of `DEPLOY_FILE` that start a program.
 const RUN_PREFIX: &str = "run = \"";
 
 struct Options {
@@ -42,7 +42,7 @@
     out: PathBuf,
 }
 
-/// Plays all sites with the whole policy and without each mechanism, and writes the report.
+/// Runs all sites with the complete policy and without each mechanism, and writes the report.
 pub(crate) fn run(parser: &mut lexopt::Parser) -> anyhow::Result<()> {
     let Some(options) = parse(parser)? else {
         print!("{HELP}");
@@ -90,7 +90,7 @@
     Ok(Some(Options { bench, sites, seeds, only, jobs, out }))
 }
 
-/// The deploy file with programs that run without this mechanism.
+/// The deploy file, changed so that all programs run without this mechanism.
 fn deploy_file_without(deploy: &str, without: Option<&str>) -> String {
     let Some(name) = without else { return deploy.to_owned() };
     let line = |line: &str| match line.starts_with(RUN_PREFIX) {
--- a/xtask/src/ablate/report.rs
+++ b/xtask/src/ablate/report.rs
@@ -1,4 +1,4 @@
-//! The report: every play as JSON, and a plot of what each mechanism is worth.
+//! The report: every run as JSON, and a plot of the loss of worth without each mechanism.
 
 use std::fmt;
 use std::fmt::Write as _;
@@ -8,28 +8,29 @@
 
 use crate::days::{Day, mean};
 
-/// Height of a bar with its label, and width of one hundredth of worth.
+/// Height of a bar with its label.
 const ROW_HEIGHT_PX: usize = 22;
+/// Width of a bar for each hundredth of worth.
 const PX_PER_HUNDREDTH: f64 = 60.0;
-/// Where the bars begin.
+/// Horizontal position of a loss of zero, where the bars begin.
 const ZERO_X_PX: f64 = 420.0;
 const WIDTH_PX: f64 = 900.0;
 
-/// One play of a site's standard days.
+/// One run of a site's standard days.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Row {
-    /// The site.
+    /// Name of the site.
     pub(super) site: String,
-    /// The mechanism that was off.
+    /// The disabled mechanism, or none for the complete policy.
     pub(super) without: Option<String>,
-    /// Which play it was.
+    /// Number of the run, from 1.
     pub(super) play: u32,
-    /// Its days.
+    /// Scores of the days.
     pub(super) days: Vec<Day>,
 }
 
 impl Row {
-    /// Mean worth of the days with trouble.
+    /// Mean worth of the days with a disturbance.
     fn mean(&self) -> f64 {
         mean(self.days.iter().filter(|day| day.has_disturbance()).map(|day| day.worth))
     }
@@ -45,10 +46,10 @@
     }
 }
 
-/// All plays.
+/// All runs.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Report {
-    /// In the order of their playing.
+    /// The runs in the order in which they took place.
     pub(super) rows: Vec<Row>,
 }
 
@@ -62,7 +63,7 @@
         Ok(())
     }
 
-    /// Loss of mean worth without each mechanism, by site, in the order of the rows.
+    /// Label and loss of mean worth for each site and disabled mechanism, in the order of the rows.
     fn losses(&self) -> Vec<(String, f64)> {
         let means = |site: &str, without: Option<&str>| {
             let rows =
--- a/xtask/src/bench/documents.rs
+++ b/xtask/src/bench/documents.rs
@@ -1,4 +1,5 @@
-//! Settings of the bench: the target's tree, one account more for the agent, and the daemons' own.
+//! Settings of the bench: the settings tree of target size, one more account for the agent, and the
+//! settings files of the two daemons.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -12,9 +13,11 @@
 pub(super) const MASTER_KEY: [u8; 32] = [0x5a; 32];
 pub(super) const FLOW_KEY: [u8; 16] = [0x42; 16];
 pub(super) const KEY_ID: KeyId = KeyId(1);
-/// Account, service and upstream of the agent.
+/// Client account of the agent.
 pub(super) const ACCOUNT: &str = "bench";
+/// Service of the agent.
 pub(super) const SERVICE: &str = "feed";
+/// Upstream of the agent.
 const UPSTREAM: &str = "feed-1";
 /// Address of the agent's service.
 pub(super) const SERVICE_ADDRESS: SocketAddrV4 =
@@ -37,12 +40,12 @@
     SocketAddr::new(data.ip(), CONTROL_PORT)
 }
 
-/// The root of the target with one account more.
+/// Root document of target size, with the bench's account added.
 pub(super) fn root() -> String {
     root_yaml(TARGET_SIZE.accounts) + "  - name: bench\n    prefixes: [\"10.200.0.0/24\"]\n"
 }
 
-/// The agent's account.
+/// Specification of the agent's account.
 pub(super) fn account() -> AccountSpec {
     let endpoint = Endpoint {
         address: (*SERVICE_ADDRESS.ip()).into(),
@@ -71,12 +74,12 @@
     AccountSpec { name: ACCOUNT.into(), version: Version(1), services: vec![service] }
 }
 
-/// Settings of the balancer's process.
+/// Settings file of the balancer.
 pub(super) fn balancer() -> String {
     format!("instance: bal-1\n{}{}", common_settings(BALANCER_ADDRESS), keys_yaml(&MASTER_KEY))
 }
 
-/// Settings of the agent's process.
+/// Settings file of the agent.
 pub(super) fn agent() -> String {
     let secret = derive_account_key(&MASTER_KEY, KEY_ID, AccountId::of(ACCOUNT));
     let own = format!(
--- a/xtask/src/bench/mod.rs
+++ b/xtask/src/bench/mod.rs
@@ -1,5 +1,5 @@
-//! `cargo xtask bench`: packets a second per core of balancer and agent against a bare relay, the
-//! real release binaries on loopback, in one run.
+//! `cargo xtask bench`: compares the packets per second and core of balancer and agent with a bare
+//! relay. The release binaries run on loopback, all at the same time.
 
 mod documents;
 mod plot;
@@ -23,21 +23,21 @@
 use subject::{Kind, Subject};
 use world::World;
 
-/// Runs of each subject.
+/// Number of runs; each yields one sample per subject.
 const RUNS: usize = 5;
-/// Turns in one run. The machine is shared: subjects take short turns, so that a busy moment of
-/// somebody else hits all of them alike.
+/// Turns of each subject in one run. The subjects alternate in short turns, so that other load on a
+/// shared machine affects all of them alike.
 const TURNS: usize = 8;
-/// Length of one turn.
+/// Measured time of one turn.
 const TURN_DURATION: Duration = Duration::from_millis(200);
-/// Time before the first count of a turn, in which queues and caches fill.
+/// Time before the first reading of a turn, in which queues and caches fill.
 const WARM_UP_DURATION: Duration = Duration::from_millis(60);
-/// The flood goes on for this long after the count.
+/// Time for which packets are still sent after the second reading is due.
 const SEND_OVERLAP: Duration = Duration::from_millis(40);
-/// Threads that send. One alone does not always keep a subject busy, and a subject that waits
-/// gets small batches, which cost more for each packet.
+/// Threads that send packets. One thread does not always saturate a subject, and a subject that
+/// waits for packets receives smaller batches, which cost more per packet.
 const SENDER_THREADS: usize = 2;
-/// Time over which the idle daemons are watched.
+/// Time over which the CPU usage of the idle daemons is measured.
 const IDLE_DURATION: Duration = Duration::from_secs(3);
 
 /// Runs the bench.
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// The command line.
+/// Options of the command line.
 #[derive(Debug)]
 struct Options {
     out: PathBuf,
@@ -96,7 +96,7 @@
     Ok(options)
 }
 
-/// Runs an experiment against the processes of the bench.
+/// Runs an experiment against the running processes and writes its results.
 fn run_experiment(experiment: &Experiment, out: &Path) -> anyhow::Result<()> {
     let results = loadgen::flows::run(experiment)?;
     let file = out.join(format!("{}.json", experiment.name));
@@ -120,7 +120,8 @@
     Path::new("target/release")
 }
 
-/// Floods one subject and adds what its fast path moved in how much processor time.
+/// Floods one subject for a turn, and adds the packets that its fast path moved and the CPU time
+/// that it used to `totals`.
 fn measure(subject: &Subject, totals: &mut Totals) -> anyhow::Result<()> {
     let run = Flood {
         to: subject.address(),
@@ -137,12 +138,12 @@
         let after = subject.reading()?;
         for sender in senders {
             let sent = sender.join().ok().context("a sender panicked")??;
-            ensure!(sent > 0, "nothing was sent to the {}", subject.kind().name());
+            ensure!(sent > 0, "no packets were sent to the {}", subject.kind().name());
         }
         totals.add(before, after);
         Ok(())
     })
 }
 
-/// What is compared, in the order of the runs.
+/// Kinds of subjects that are compared, in the order of their turns.
 const KINDS: [Kind; 3] = [Kind::Relay, Kind::Balancer, Kind::Agent];
--- a/xtask/src/bench/plot.rs
+++ b/xtask/src/bench/plot.rs
@@ -1,11 +1,11 @@
-//! A plot of the runs.
+//! Plots the samples of the runs.
 
 use std::path::Path;
 
 use super::KINDS;
 use super::report::{Sample, rates};
 
-/// Writes packets a second per core by run, a line for each kind.
+/// Writes a plot of packets per second and core by run, with one line for each kind of subject.
 pub(super) fn write(samples: &[Sample], path: &Path) -> anyhow::Result<()> {
     let lines: Vec<loadgen::plot::Line> = KINDS
         .iter()
--- a/xtask/src/bench/process.rs
+++ b/xtask/src/bench/process.rs
@@ -1,4 +1,4 @@
-//! Processes of a bench, and what the kernel says about them.
+//! Child processes of the bench, with their CPU time and memory as the kernel reports them.
 
 use std::fs::{self, File};
 use std::io::{BufRead as _, BufReader, Write as _};
@@ -9,7 +9,7 @@
 
 use anyhow::Context as _;
 
-/// A running process. Dropping it kills it and waits until it is gone.
+/// A child process. Dropping it kills the process and waits for its exit.
 pub(super) struct Process {
     child: Child,
     pipes: Option<Mutex<(ChildStdin, BufReader<ChildStdout>)>>,
@@ -25,7 +25,7 @@
         Ok(Self { child, pipes: None })
     }
 
-    /// Starts a program that answers each line of its input by one line.
+    /// Starts a program that answers each line of its standard input with one line.
     pub(super) fn interactive(program: &Path, arguments: &[String]) -> anyhow::Result<Self> {
         let mut command = Command::new(program);
         command.args(arguments).stdin(Stdio::piped()).stdout(Stdio::piped());
@@ -35,9 +35,9 @@
         Ok(Self { child, pipes: Some(Mutex::new((input, BufReader::new(output)))) })
     }
 
-    /// Asks for one line.
+    /// Sends an empty line to an interactive process and returns its answer.
     pub(super) fn query(&self) -> anyhow::Result<String> {
-        let pipes = self.pipes.as_ref().context("this process is not asked")?;
+        let pipes = self.pipes.as_ref().context("the process is not interactive")?;
         let mut pipes = pipes.lock().unwrap_or_else(PoisonError::into_inner);
         writeln!(pipes.0)?;
         let mut line = String::new();
@@ -45,12 +45,12 @@
         Ok(line.trim().to_owned())
     }
 
-    /// Processor time of the threads called `name`, or of all.
+    /// CPU time of the threads called `name`, or of all threads.
     pub(super) fn cpu_time(&self, name: Option<&str>) -> anyhow::Result<Duration> {
         let mut nanoseconds = 0;
         for task in fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
             let folder = task?.path();
-            // A thread may end between the listing and the reading.
+            // A thread may exit between the listing of the folder and the reading of its files.
             let Ok(comm) = fs::read_to_string(folder.join("comm")) else { continue };
             if name.is_some_and(|name| comm.trim() != name) {
                 continue;
@@ -62,7 +62,7 @@
         Ok(Duration::from_nanos(nanoseconds))
     }
 
-    /// Memory in use (VmRSS), in bytes.
+    /// Resident memory (VmRSS), in bytes.
     pub(super) fn resident_bytes(&self) -> anyhow::Result<u64> {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find(|line| line.starts_with("VmRSS:")).context("no VmRSS")?;
@@ -73,7 +73,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself; nothing is left to do then.
+        // Both calls fail if the process has already exited, and then nothing is left to do.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/xtask/src/bench/report.rs
+++ b/xtask/src/bench/report.rs
@@ -1,4 +1,4 @@
-//! Samples, results and what is printed.
+//! Samples, result series and the printed summary.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Sample {
     pub(super) kind: Kind,
-    /// Packets moved for each second of processor time of the moving thread.
+    /// Packets moved per second of CPU time of the packet thread.
     pub(super) packets_per_core_s: f64,
 }
 
-/// What the daemons use with nothing to move.
+/// Resource usage of the daemons without traffic.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Idle {
     balancer: Usage,
@@ -31,7 +31,7 @@
     memory_bytes: f64,
 }
 
-/// What one subject moved in the turns of a run.
+/// Packets and CPU time of one subject, summed over the turns of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Totals {
     packets: u64,
@@ -39,7 +39,7 @@
 }
 
 impl Totals {
-    /// Adds what was moved between two readings.
+    /// Adds the difference between two readings.
     pub(super) fn add(&mut self, before: Reading, after: Reading) {
         self.packets += after.packets - before.packets;
         self.cpu_time += after.cpu_time - before.cpu_time;
@@ -47,10 +47,10 @@
 }
 
 impl Sample {
-    /// The sample of a run.
+    /// The sample of a run, from its totals.
     pub(super) fn of(kind: Kind, totals: Totals) -> anyhow::Result<Self> {
         let cpu_time = totals.cpu_time.as_secs_f64();
-        ensure!(totals.packets > 0 && cpu_time > 0.0, "the {} moved nothing", kind.name());
+        ensure!(totals.packets > 0 && cpu_time > 0.0, "the {} moved no packets", kind.name());
         Ok(Self { kind, packets_per_core_s: totals.packets as f64 / cpu_time })
     }
 
@@ -60,7 +60,7 @@
 }
 
 impl Idle {
-    /// Watches the daemons for a while.
+    /// Measures the daemons over `duration`.
     pub(super) fn measure(subjects: &[Subject], duration: Duration) -> anyhow::Result<Self> {
         let times = |subjects: &[Subject]| -> anyhow::Result<Vec<Duration>> {
             subjects.iter().map(|subject| subject.process.cpu_time(None)).collect()
@@ -85,7 +85,7 @@
     }
 }
 
-/// All results: a point for each run, and one for each idle daemon.
+/// All result series: one point for each run, and one for each idle daemon.
 pub(super) fn results(samples: &[Sample], idle: &Idle) -> Results {
     let mut series = Vec::new();
     for kind in KINDS {
@@ -111,7 +111,7 @@
     Results { command: "cargo xtask bench".into(), series }
 }
 
-/// Prints medians and spreads.
+/// Prints the median, minimum and maximum of each series.
 pub(super) fn print(results: &Results) {
     for series in &results.series {
         let mut values: Vec<f64> = series.points.iter().map(|point| point.y).collect();
@@ -122,13 +122,13 @@
     }
 }
 
-/// Rates of one kind by run.
+/// Rates of one kind of subject, in the order of the runs.
 pub(super) fn rates(samples: &[Sample], kind: Kind) -> Vec<f64> {
     let of_kind = samples.iter().filter(|sample| sample.kind == kind);
     of_kind.map(|sample| sample.packets_per_core_s).collect()
 }
 
-/// Each run against the relay's turns in the same run.
+/// Rate of one kind of subject relative to the relay's rate in the same run.
 fn ratios(samples: &[Sample], kind: Kind) -> Vec<f64> {
     let relay = rates(samples, Kind::Relay);
     rates(samples, kind).iter().zip(relay).map(|(rate, relay)| rate / relay).collect()
--- a/xtask/src/bench/subject.rs
+++ b/xtask/src/bench/subject.rs
@@ -1,4 +1,4 @@
-//! What is measured: the relay, a balancer, an agent.
+//! The measured processes: the relay, a balancer and an agent.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 
 use super::process::Process;
 
-/// Longest wait for a daemon to become ready.
+/// Time within which a daemon must become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -34,17 +34,17 @@
     pub(super) frames: Frames,
 }
 
-/// Counts at one moment.
+/// Counters of a subject at one moment.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Reading {
     /// Packets moved since the start.
     pub(super) packets: u64,
-    /// Processor time of the thread that moves them.
+    /// CPU time of the thread that moves them.
     pub(super) cpu_time: Duration,
 }
 
 impl Kind {
-    /// Name in results.
+    /// Name in results and messages.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Relay => "relay",
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Thread that moves packets.
+    /// Name of the thread that moves packets.
     fn packet_thread(self) -> &'static str {
         match self {
             Self::Relay => "relay",
@@ -62,6 +62,7 @@
         }
     }
 
+    /// Status counter of moved packets; the relay has no status.
     fn packet_counter(self) -> &'static str {
         match self {
             Self::Relay => "",
@@ -84,7 +85,8 @@
         &self.frames
     }
 
-    /// Counts now. The processor time is read first for all kinds alike.
+    /// Reads the current counters. The CPU time is read first for all kinds, so that the readings
+    /// are comparable.
     pub(super) fn reading(&self) -> anyhow::Result<Reading> {
         let cpu_time = self.process.cpu_time(Some(self.kind.packet_thread()))?;
         let packets = match self.kind {
@@ -94,13 +96,13 @@
         Ok(Reading { packets, cpu_time })
     }
 
-    /// A counter of the daemon's status.
+    /// Reads a counter from the daemon's status.
     pub(super) fn counter(&self, name: &str) -> anyhow::Result<u64> {
         let status = self.status()?;
         status["counters"][name].as_u64().with_context(|| format!("no counter {name}"))
     }
 
-    /// Waits until the daemon is ready and `done` holds for its status.
+    /// Waits until the daemon is ready and its status satisfies `condition`.
     pub(super) fn wait_until_ready(
         &self,
         condition: impl Fn(&serde_json::Value) -> bool,
--- a/xtask/src/bench/world.rs
+++ b/xtask/src/bench/world.rs
@@ -1,4 +1,4 @@
-//! Everything that runs during a bench.
+//! The processes and sinks that run during a bench.
 
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -18,26 +18,27 @@
 use super::release_folder;
 use super::subject::{Kind, Subject};
 
-/// Flows of the load on each subject, and open flows of the agent.
+/// Number of flows in the load on each subject, and of open flows at the agent.
 pub(super) const FLOWS: usize = 50_000;
-/// Accounts whose services the balancer's load goes to; each upstream of them has a sink.
+/// Number of accounts whose services receive the balancer's load. Each of their upstreams has a
+/// sink.
 const LOADED_ACCOUNTS: usize = 10;
-/// Openings a second while the agent's flows are opened.
+/// Openings sent per second while the agent's flows are opened.
 const OPENINGS_PER_S: u64 = 25_000;
-/// Attempts to open all flows; openings may be lost in a burst.
+/// Attempts to open all flows. More than one is needed because openings may be lost in a burst.
 const OPEN_ATTEMPTS: usize = 8;
 
 /// Running processes and sinks.
 pub(super) struct World {
-    /// Subjects in the order of the runs.
+    /// Subjects, in the order of their turns.
     pub(super) subjects: Vec<Subject>,
     _platform: Process,
     _sinks: Vec<UdpSocket>,
 }
 
 impl World {
-    /// Starts everything, publishes the target's settings and opens the agent's flows. At the
-    /// addresses in `listening` there will be somebody who reads.
+    /// Starts all processes, publishes settings of target size and opens the agent's flows. Binds a
+    /// sink to each upstream's address except those in `receivers`, which the experiment binds.
     pub(super) fn start(receivers: &[SocketAddr]) -> anyhow::Result<Self> {
         let folder = PathBuf::from("target/bench");
         std::fs::create_dir_all(&folder)?;
@@ -89,7 +90,7 @@
 fn relay(receivers: &[SocketAddr]) -> anyhow::Result<Subject> {
     let addresses = [RELAY_ADDRESS].iter().chain(receivers).map(SocketAddr::to_string);
     let arguments: Vec<String> = ["relay".to_owned()].into_iter().chain(addresses).collect();
-    // The relay gets what the balancer gets.
+    // The relay receives frames of the same kind as the balancer.
     let frames = balancer_frames(&[documents::SERVICE_ADDRESS], FLOWS, Opening::No)?;
     let process = Process::interactive(&release_folder().join("gooseberrysill-load"), &arguments)?;
     Ok(Subject { kind: Kind::Relay, process, data: RELAY_ADDRESS, control: RELAY_ADDRESS, frames })
--- a/xtask/src/capacity/budget.rs
+++ b/xtask/src/capacity/budget.rs
@@ -1,26 +1,26 @@
-//! What a node may spend on control, in the users' numbers.
+//! Limits on a node's resource usage for control, as the users set them.
 
-/// A limited quantity.
+/// A quantity of the capacity page, most of them limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Quantity {
-    /// Bytes a second, sent and received together.
+    /// Bytes per second, sent and received together.
     Bytes,
-    /// Microseconds of processor time a second.
+    /// Microseconds of CPU time per second.
     CpuTime,
     /// Bytes of memory.
     Memory,
-    /// Messages a second, sent and received together; not limited.
+    /// Messages per second, sent and received together. Not limited.
     Messages,
-    /// Reads of the platform a second, by the whole fleet.
+    /// Reads of the platform per second by the whole fleet.
     Reads,
-    /// Milliseconds until a change is in force everywhere.
+    /// Milliseconds until a settings change is in force everywhere.
     Propagation,
-    /// Milliseconds of something that is not limited.
+    /// Milliseconds of an operation whose duration is not limited.
     Elapsed,
 }
 
 impl Quantity {
-    /// The most that may be spent.
+    /// The limit, or none if the quantity is not limited.
     pub(super) fn budget(self) -> Option<f64> {
         match self {
             Self::Bytes => Some(10_000.0),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A value with its unit.
+    /// Formats a value with its unit.
     pub(super) fn show(self, value: f64) -> String {
         match self {
             Self::Bytes => format!("{:.2} KB/s", value / 1e3),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// How many times the value fits into the budget, or that it does not.
+    /// Formats how many times the value fits into the budget, or by how much it exceeds it.
     pub(super) fn headroom(self, value: f64) -> String {
         match self.budget() {
             None => "no limit set".into(),
--- a/xtask/src/capacity/failure.rs
+++ b/xtask/src/capacity/failure.rs
@@ -1,8 +1,8 @@
-//! What breaks first, worked out from the lines of the roles.
+//! Orders the lines of all roles by their headroom, to find the limit that is reached first.
 
 use super::budget::Quantity;
 
-/// A line as it came out.
+/// A line of the page with its computed value.
 #[derive(Clone, Debug)]
 pub(super) struct CapacityLine {
     /// Role.
@@ -16,13 +16,13 @@
 }
 
 impl CapacityLine {
-    /// Budget over value; below one it does not fit today's target.
+    /// Budget divided by value. Below one, the target exceeds the budget.
     pub(super) fn headroom(&self) -> Option<f64> {
         self.quantity.budget().map(|budget| budget / self.value)
     }
 }
 
-/// Limited lines, the tightest first.
+/// Lines with a limit, those with the least headroom first.
 pub(super) fn by_headroom(mut lines: Vec<CapacityLine>) -> Vec<CapacityLine> {
     lines.retain(|line| line.headroom().is_some());
     lines.sort_by(|a, b| {
--- a/xtask/src/capacity/figure.rs
+++ b/xtask/src/capacity/figure.rs
@@ -1,11 +1,11 @@
-//! Figures worked out from result files.
+//! Figures computed from result files.
 
 use std::path::Path;
 
 use anyhow::{Context as _, ensure};
 use loadgen::results::{Results, Series};
 
-/// Files that the page draws on.
+/// Names of the result files that the page uses.
 const NAMES: [&str; 6] = ["agent", "bench", "control", "memory", "sweep", "tree"];
 
 /// All result files.
@@ -14,12 +14,12 @@
     files: Vec<(&'static str, Results)>,
 }
 
-/// How a value is taken from a series.
+/// How a value is derived from a series.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Lookup {
     /// The fitted line at x.
     Line(f64),
-    /// The fitted slope times x, without the intercept.
+    /// The fitted slope multiplied by x, without the intercept.
     Slope(f64),
     /// The measured point at x.
     Point(f64),
@@ -34,16 +34,16 @@
         file: &'static str,
         /// Series in it.
         series: &'static str,
-        /// How the value is taken.
+        /// How the value is derived from the series.
         lookup: Lookup,
-        /// How often it occurs a second, or one.
+        /// Factor of the value: occurrences per second, or one.
         per_second: f64,
     },
-    /// Not measured: counted or assumed, with the reason.
+    /// Not measured, but counted or assumed.
     Computed {
         /// Value.
         value: f64,
-        /// Where it comes from.
+        /// Derivation of the value, shown as its source.
         reason: &'static str,
     },
 }
@@ -53,18 +53,18 @@
 pub(super) struct Figure {
     /// The sum.
     pub(super) value: f64,
-    /// Where each term comes from.
+    /// Source of each term.
     pub(super) sources: Vec<String>,
-    /// Largest residual of the lines used, in percent.
+    /// Largest residual of the fitted lines used, in percent.
     pub(super) residual_percent: Option<f64>,
 }
 
-/// A term from a measured series, once.
+/// A term from a measured series, with the factor one.
 pub(super) const fn measured(file: &'static str, series: &'static str, lookup: Lookup) -> Term {
     Term::Measured { file, series, lookup, per_second: 1.0 }
 }
 
-/// A term from a measured series that occurs `times` a second.
+/// A term from a measured series, multiplied by its occurrences per second.
 pub(super) const fn scaled(
     file: &'static str,
     series: &'static str,
@@ -88,18 +88,18 @@
         Ok(Self { files: NAMES.into_iter().map(read).collect::<anyhow::Result<_>>()? })
     }
 
-    /// Files made in a test.
+    /// Result files constructed by a test.
     #[cfg(test)]
     pub(super) fn from_results(files: Vec<(&'static str, Results)>) -> Self {
         Self { files }
     }
 
-    /// Command that made a file.
+    /// Name of each file with the command that produced it.
     pub(super) fn commands(&self) -> impl Iterator<Item = (&'static str, &str)> {
         self.files.iter().map(|(name, results)| (*name, &*results.command))
     }
 
-    /// Adds terms up.
+    /// Sums up terms.
     pub(super) fn figure(&self, terms: &[Term]) -> anyhow::Result<Figure> {
         let mut figure = Figure { value: 0.0, sources: Vec::new(), residual_percent: None };
         for term in terms {
@@ -147,7 +147,7 @@
 }
 
 fn value_of(series: &Series, lookup: Lookup) -> anyhow::Result<f64> {
-    let fit = || series.fit.with_context(|| format!("{} has no line", series.name));
+    let fit = || series.fit.with_context(|| format!("{} has no fitted line", series.name));
     match lookup {
         Lookup::Line(x) => Ok(fit()?.at(x)),
         Lookup::Slope(x) => Ok(fit()?.slope * x),
--- a/xtask/src/capacity/measure.rs
+++ b/xtask/src/capacity/measure.rs
@@ -1,5 +1,5 @@
-//! Measuring all slopes anew. Memory is taken by a process for each size, since an allocator
-//! rarely gives memory back.
+//! Repeats all measurements that need no daemon. Memory is measured in a separate process for each
+//! size, because an allocator rarely returns memory to the system.
 
 use std::path::Path;
 use std::process::Command;
@@ -8,7 +8,7 @@
 use loadgen::results::{Results, Series};
 
 const PROGRAM: &str = "target/release/gooseberrysill-load";
-/// Each size is measured so many times; the median counts.
+/// Number of memory measurements for each size, of which the median is used.
 const RUNS: usize = 3;
 
 /// Runs every measurement that needs no daemon and writes its result file.
--- a/xtask/src/capacity/mod.rs
+++ b/xtask/src/capacity/mod.rs
@@ -1,5 +1,5 @@
-//! `cargo xtask capacity`: writes `docs/CAPACITY.md` from the committed result files, and nothing
-//! else, so that the page cannot drift from what was measured.
+//! `cargo xtask capacity`: generates `docs/CAPACITY.md` from the committed result files only, so
+//! that the page cannot deviate from the measurements.
 
 mod budget;
 mod failure;
@@ -24,13 +24,13 @@
 /// What to do with the page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// Measure all slopes anew, then write the page.
+    /// Repeat all measurements, then write the page.
     Measure,
-    /// Take over what the users' sweep has printed, then write the page.
+    /// Import the output of the users' sweep from this file, then write the page.
     Sweep(PathBuf),
     /// Write the page.
     Write,
-    /// Compare the page.
+    /// Fail if the committed page differs from the generated one.
     Check,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Writes or compares the page.
+/// Updates the result files if the mode asks for it, then writes or compares the page.
 pub(crate) fn run(mode: Mode) -> anyhow::Result<()> {
     match &mode {
         Mode::Measure => measure::run(Path::new(RESULTS))?,
--- a/xtask/src/capacity/page.rs
+++ b/xtask/src/capacity/page.rs
@@ -1,4 +1,4 @@
-//! The page's text.
+//! Renders the text of the page.
 
 use std::fmt::Write as _;
 
@@ -7,7 +7,7 @@
 use super::roles::{self, Role};
 use super::storms;
 
-/// Lines shown as the first to break.
+/// Number of lines shown in the section on what breaks first.
 const TIGHTEST_COUNT: usize = 10;
 
 const HEADER: &str = "\
--- a/xtask/src/capacity/roles/agent.rs
+++ b/xtask/src/capacity/roles/agent.rs
@@ -1,15 +1,15 @@
-//! The agent, by the decision core and the real messages.
+//! The agent, measured with the decision core and real messages.
 
 use super::super::budget::Quantity::{Bytes, CpuTime, Memory, Messages};
 use super::super::figure::Lookup::{Line, Point, Slope};
 use super::super::figure::{Term, measured, scaled};
 use super::{MEAN_FLOWS, MEAN_OPENINGS_PER_S, Role, SINGLE_POINT, row};
 
-/// Comparisons of settings a second: one asked and one answered every 2 s.
+/// Comparisons of settings per second: one requested and one answered every 2 s.
 const COMPARISONS_PER_S: f64 = 1.0;
-/// Flows of the fullest agent.
+/// Open flows of the agent with the most flows.
 const MAX_FLOWS: f64 = 50_000.0;
-/// Agents of the largest service that was measured.
+/// Number of agents of the largest measured service.
 const LARGEST_SERVICE_AGENTS: f64 = 64.0;
 
 pub(super) fn role() -> Role {
--- a/xtask/src/capacity/roles/balancer.rs
+++ b/xtask/src/capacity/roles/balancer.rs
@@ -5,9 +5,9 @@
 use super::super::figure::{computed, measured, scaled};
 use super::{BALANCERS, CHANGES_PER_S, Role, SERVICES, SINGLE_POINT, US_PER_MS, row};
 
-/// Reads of the list a second: a list of 2.4 MB at 2,000 bytes a second.
+/// Reads of the instance list per second: 2.4 MB at a limit of 2,000 bytes per second.
 const LIST_READS_PER_S: f64 = 1.0 / 1_200.0;
-/// Full comparisons a second over HTTP: one asked and one answered every 30 s.
+/// Full comparisons of settings per second over HTTP: one requested and one answered every 30 s.
 const COMPARISONS_PER_S: f64 = 2.0 / 30.0;
 
 pub(super) fn role() -> Role {
--- a/xtask/src/capacity/roles/direct.rs
+++ b/xtask/src/capacity/roles/direct.rs
@@ -1,13 +1,13 @@
-//! The processes of the direct-return path, from the users' sweep over 30 to 300 instances.
+//! The processes of the direct-return path, measured by the users' sweep over 30 to 300 instances.
 
 use super::super::budget::Quantity::{Bytes, CpuTime, Memory};
 use super::super::figure::Lookup::{Line, Point};
 use super::super::figure::measured;
 use super::{Role, row};
 
-/// Instances of the users' target deployment, to which the lines are carried on.
+/// Instances of the users' target deployment, to which the fitted lines are extrapolated.
 const TARGET_INSTANCES: f64 = 1_644.0;
-/// Largest number of instances that was played.
+/// Largest number of instances in the sweep.
 const MAX_MEASURED_INSTANCES: f64 = 300.0;
 
 pub(super) fn roles() -> Vec<Role> {
--- a/xtask/src/capacity/roles/mod.rs
+++ b/xtask/src/capacity/roles/mod.rs
@@ -1,4 +1,4 @@
-//! What each role spends at the target size, term by term.
+//! Resource usage of each role at the target size, term by term.
 
 mod agent;
 mod balancer;
@@ -8,19 +8,19 @@
 use super::budget::Quantity;
 use super::figure::{Lookup, Term};
 
-/// Changes of settings a second: 3,800 a day.
+/// Settings changes per second: 3,800 a day.
 const CHANGES_PER_S: f64 = 3_800.0 / 86_400.0;
-/// Services, over which the tree's slopes are taken.
+/// Services at the target size; the series of the settings tree are fitted over their number.
 const SERVICES: f64 = 1_900.0;
-/// Balancers.
+/// Balancers at the target size.
 const BALANCERS: f64 = 1_600.0;
-/// Open flows of the mean agent: 37 million on 10,000.
+/// Open flows of the mean agent: 37 million flows on 10,000 agents.
 const MEAN_FLOWS: f64 = 3_700.0;
-/// New flows a second of the mean agent: 120,000 on 10,000.
+/// New flows per second of the mean agent: 120,000 on 10,000 agents.
 const MEAN_OPENINGS_PER_S: f64 = 12.0;
 /// Microseconds in a millisecond.
 const US_PER_MS: f64 = 1_000.0;
-/// The only point of a series that has one.
+/// Lookup in a series that has a single point.
 const SINGLE_POINT: Lookup = Lookup::Point(1.0);
 
 /// One line of a role's table.
@@ -28,22 +28,22 @@
 pub(super) struct Row {
     /// Limited quantity.
     pub(super) quantity: Quantity,
-    /// What is spent on what, with the mechanism that carries it.
+    /// Activity that uses the quantity, with its mechanism.
     pub(super) mechanism: &'static str,
-    /// Sum that gives the value.
+    /// Terms whose sum is the value.
     pub(super) terms: Vec<Term>,
 }
 
-/// A role with its state and its lines.
+/// A role, with its state and the rows of its table.
 #[derive(Clone, Debug)]
 pub(super) struct Role {
     /// Name.
     pub(super) name: &'static str,
-    /// State that it keeps, and what carries it.
+    /// State that the role keeps.
     pub(super) state: &'static str,
-    /// Lines of its table.
+    /// Rows of its table.
     pub(super) rows: Vec<Row>,
-    /// What is to be done about the lines that miss the budget.
+    /// Proposal for the rows that exceed the budget.
     pub(super) proposal: &'static str,
 }
 
--- a/xtask/src/capacity/roles/others.rs
+++ b/xtask/src/capacity/roles/others.rs
@@ -1,22 +1,23 @@
-//! Readers of settings, the platform's reads, and goosectl.
+//! Settings readers, the reads that the platform serves, and goosectl.
 
 use super::super::budget::Quantity::{Bytes, Elapsed, Propagation, Reads};
 use super::super::figure::Lookup::{Line, Point};
 use super::super::figure::{computed, measured, scaled};
 use super::{BALANCERS, CHANGES_PER_S, Role, SERVICES, SINGLE_POINT, row};
 
-/// Readers in the fleet: two in each of 17 zones.
+/// Settings readers in the fleet: two in each of 17 zones.
 const READERS: f64 = 34.0;
-/// Reads of the list a second by a balancer: 2.4 MB at 2,000 bytes a second.
+/// Reads of the instance list per second by a balancer: 2.4 MB at a limit of 2,000 bytes per
+/// second.
 const LIST_READS_PER_S: f64 = 1.0 / 1_200.0;
-/// A watch waits for 10 s at most.
+/// Watches per second of a reader: a watch waits for at most 10 s.
 const WATCHES_PER_S: f64 = 0.1;
-/// Services of a mean account.
+/// Services of the mean account.
 const MEAN_ACCOUNT_SERVICES: f64 = 6.0;
-/// Instances that start in a second: 68 failed and 910 replaced ones a day.
+/// Instance starts per second: 68 failed and 910 replaced instances a day.
 const STARTS_PER_S: f64 = 978.0 / 86_400.0;
-/// Reads of a starting instance at most: watch, root, list and its account; a balancer asks peers
-/// for the accounts first.
+/// Upper bound of the reads of a starting instance: watch, root, list and its account. A balancer
+/// requests the accounts from its peers first.
 const READS_PER_START: f64 = 4.0;
 
 pub(super) fn roles() -> [Role; 3] {
--- a/xtask/src/capacity/storms.rs
+++ b/xtask/src/capacity/storms.rs
@@ -1,4 +1,5 @@
-//! Storms: peak and time until calm, and why the extrapolation is sound.
+//! Storms (bursts of control traffic): their peak, the time until traffic is back to normal, and
+//! why the extrapolation to the target is sound.
 
 use super::figure::Lookup::{Line, Point};
 use super::figure::{Term, measured, scaled};
@@ -6,13 +7,13 @@
 /// One storm.
 #[derive(Clone, Debug)]
 pub(super) struct Storm {
-    /// What happens.
+    /// The event that causes the storm.
     pub(super) name: &'static str,
-    /// Peak of control bytes of a node in one second.
+    /// Peak control bytes of a node in one second.
     pub(super) peak: Term,
-    /// Milliseconds until calm.
+    /// Milliseconds until traffic is back to normal.
     pub(super) recovery: Term,
-    /// Why the figure holds at the target.
+    /// Why the figures hold at the target size.
     pub(super) rationale: &'static str,
 }
 
@@ -51,7 +52,7 @@
     ]
 }
 
-/// Times that follow from other figures: what, its terms in milliseconds, and what it means.
+/// Times computed from other figures: name, term in milliseconds, and meaning.
 pub(super) const DERIVED: &[(&str, Term, &str)] = &[(
     "Processor time of a balancer for 200 changes, each built on its own",
     scaled("tree", "change_ms", Line(1_900.0), 200.0),
@@ -60,7 +61,7 @@
      was not measured. A view that keeps the rankings of unchanged accounts would end the matter.",
 )];
 
-/// Storms that were not measured, with the reason.
+/// Storms that were not measured, each with its name and an explanation.
 pub(super) const NOT_MEASURED: &[(&str, &str)] = &[
     (
         "The configuration service is back after an hour",
--- a/xtask/src/capacity/sweep.rs
+++ b/xtask/src/capacity/sweep.rs
@@ -1,7 +1,7 @@
-//! The table of the users' sweep, as a result file.
+//! Converts the table of the users' sweep to a result file.
 //!
-//! The bench prints a line for each role and quantity, with the middle and the busiest process at
-//! each number of instances. Whole lines are read; what is no such line is passed over.
+//! The users' bench prints a line for each role and quantity, with the values of the middle and the
+//! busiest process at each number of instances. Other lines are ignored.
 
 use std::path::Path;
 
@@ -10,10 +10,11 @@
 
 /// Name of the result file.
 pub(super) const RESULT_FILE: &str = "sweep.json";
-/// Marks the line that names the numbers of instances.
+/// Start of the table's title; the numbers of instances are on the next line.
 const HEADER: &str = "middle / busiest";
 
-/// Quantities that are taken, by the bench's words: name of the series, unit, and factor to that unit.
+/// Imported quantities: label in the bench's table, name of the series, unit, and factor to that
+/// unit.
 const QUANTITIES: [(&str, &str, &str, f64); 6] = [
     ("agent: processor %", "agent_processor", "us/s", 1e4),
     ("agent: memory MB", "agent_memory", "B", 1_048_576.0),
@@ -23,13 +24,13 @@
     ("balancer: kB a second", "balancer_bytes", "B/s", 1e3),
 ];
 
-/// Reads what the bench has printed into `text`, and writes the result file.
+/// Reads the bench's output from the file `text` and writes the result file.
 pub(super) fn import(text: &Path, folder: &Path) -> anyhow::Result<()> {
     let text = std::fs::read_to_string(text).with_context(|| text.display().to_string())?;
     results(&text)?.write(&folder.join(RESULT_FILE))
 }
 
-/// The series of both the middle and the busiest process.
+/// Returns the series of each quantity for the middle and the busiest process.
 pub(super) fn results(text: &str) -> anyhow::Result<Results> {
     let table = text.split(HEADER).nth(1).context("no table of a sweep")?;
     let mut lines = table.lines().skip(1);
@@ -47,16 +48,16 @@
             series.push(Series::new(&format!("{name}_{suffix}"), "instances", unit, &points));
         }
     }
-    ensure!(series.len() == 2 * QUANTITIES.len(), "{} of the quantities are there", series.len());
+    ensure!(series.len() == 2 * QUANTITIES.len(), "found {} series", series.len());
     Ok(Results { command: "fleetbench sweep SITE --most 300".into(), series })
 }
 
-/// Numbers of instances, up to the first word that is no number.
+/// Parses the numbers of instances, up to the first word that is not a number.
 fn sizes(line: &str) -> Vec<f64> {
     line.split_whitespace().map_while(|word| word.parse().ok()).collect()
 }
 
-/// Values before and after each slash.
+/// Parses the pairs of values around each slash.
 fn pairs(line: &str) -> Vec<[f64; 2]> {
     let words: Vec<&str> = line.split_whitespace().collect();
     let value = |word: Option<&&str>| word.and_then(|word| word.parse::<f64>().ok());
--- a/xtask/src/capacity/tests.rs
+++ b/xtask/src/capacity/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the figures behind the page.
+//! Tests of the figures, the budgets and the import of the sweep.
 
 use loadgen::results::{Results, Series};
 
--- a/xtask/src/codegen.rs
+++ b/xtask/src/codegen.rs
@@ -1,5 +1,5 @@
-//! Writes the files that derive from others: border types from `schema/`, and the page of result
-//! codes from the table in `settings::codes`.
+//! Writes the generated files: Rust types of the settings documents from `schema/`, and the page of
+//! result codes from the table in `settings::codes`.
 
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 use settings::codes::{self, Entry};
 use typify::{TypeSpace, TypeSpaceSettings};
 
-/// Documents whose border types are generated: `schema/NAME.json` becomes `generated/NAME.rs`.
+/// Documents whose Rust types are generated: `schema/NAME.json` becomes `generated/NAME.rs`.
 const SCHEMAS: &[&str] = &["account", "agent", "balancer", "root"];
 
 const RESULT_CODES_HEADER: &str = "\
@@ -34,7 +34,7 @@
     text: String,
 }
 
-/// Generates everything and writes or compares it.
+/// Generates all files and writes or compares them.
 pub(crate) fn run(mode: Mode) -> anyhow::Result<()> {
     let root = workspace_root();
     let outputs = generate(&root)?;
@@ -60,7 +60,7 @@
     Ok(outputs)
 }
 
-/// The page of result codes: one table for each class.
+/// Text of the page of result codes, with one table for each class.
 fn result_codes() -> String {
     let mut text = String::from(RESULT_CODES_HEADER);
     let mut class = None;
@@ -86,7 +86,7 @@
     Ok(strip_schema_listings(&text))
 }
 
-/// Drops the copies of the schema that typify puts into doc comments: `schema/` has the original.
+/// Removes the copies of the schema that typify puts into doc comments; `schema/` has the original.
 fn strip_schema_listings(text: &str) -> String {
     let mut is_listing = false;
     let mut kept = String::with_capacity(text.len());
@@ -101,7 +101,7 @@
     kept
 }
 
-/// Formats by the toolchain's own formatter, so that the result passes `cargo fmt --check`.
+/// Formats with the toolchain's rustfmt, so that the result passes `cargo fmt --check`.
 fn format_rust(text: &str) -> anyhow::Result<String> {
     let mut child = Command::new("rustfmt")
         .args(["--edition", "2024", "--config-path"])
@@ -110,7 +110,7 @@
         .stdout(Stdio::piped())
         .spawn()
         .context("rustfmt")?;
-    child.stdin.take().context("rustfmt: no input")?.write_all(text.as_bytes())?;
+    child.stdin.take().context("rustfmt: no standard input")?.write_all(text.as_bytes())?;
     let output = child.wait_with_output()?;
     ensure!(output.status.success(), "rustfmt: {}", output.status);
     Ok(String::from_utf8(output.stdout)?)
--- a/xtask/src/days/mod.rs
+++ b/xtask/src/days/mod.rs
@@ -1,4 +1,5 @@
-//! Standard days of the users' sites, played by their bench on a clone of the last commit.
+//! Runs the standard days (scripted scenarios) of the users' sites with the users' bench, on a
+//! clone of the last commit.
 
 mod table;
 
@@ -11,13 +12,13 @@
 pub(crate) use table::Day;
 use table::parse_standard_days;
 
-/// The bench runs in the clone: paths must not depend on where this command runs.
+/// Makes a path absolute. The bench runs in the clone, so relative paths would not resolve there.
 pub(crate) fn canonical_path(path: OsString) -> anyhow::Result<PathBuf> {
     let path = PathBuf::from(path);
     std::fs::canonicalize(&path).with_context(|| path.display().to_string())
 }
 
-/// Lays the last commit at `copy`, whatever was there.
+/// Clones the last commit to `copy`, replacing what was there.
 pub(crate) fn clone_to(copy: &Path) -> anyhow::Result<()> {
     if copy.exists() {
         std::fs::remove_dir_all(copy)?;
@@ -28,7 +29,7 @@
     Ok(())
 }
 
-/// Plays the standard days of a site, and returns them.
+/// Runs the standard days of a site and returns their scores.
 pub(crate) fn score(
     bench: &Path,
     copy: &Path,
@@ -45,11 +46,11 @@
         .output()?;
     let text = String::from_utf8_lossy(&output.stdout);
     let days = parse_standard_days(&text);
-    ensure!(!days.is_empty(), "the bench has played no day: {text}");
+    ensure!(!days.is_empty(), "the bench printed no standard day: {text}");
     Ok(days)
 }
 
-/// Mean of some values; nothing for none.
+/// Mean of some values; zero if there are none.
 pub(crate) fn mean(values: impl Iterator<Item = f64>) -> f64 {
     let (sum, count) = values.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
     if count == 0.0 { 0.0 } else { sum / count }
--- a/xtask/src/days/table.rs
+++ b/xtask/src/days/table.rs
@@ -1,33 +1,33 @@
-//! The bench's table of days.
+//! Parses the table of days that the bench prints.
 
 use serde::Serialize;
 
-/// Days that were drawn just now differ from play to play.
+/// Prefix of randomly generated days. They differ from run to run and are ignored.
 const RANDOM_DAY_PREFIX: &str = "fresh";
-/// Marks a day on which a rule was broken.
+/// Marks a day on which a rule was violated.
 const VIOLATION_MARK: &str = "BROKEN";
-/// First words of the table's head; the days follow.
+/// First columns of the table's header line. The lines after it are the days.
 const HEADER: [&str; 4] = ["day", "own/srv", "score", "worth"];
 
-/// A standard day.
+/// Score of a standard day.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub(crate) struct Day {
-    /// Its name.
+    /// Name of the day.
     pub(crate) name: String,
-    /// Worth, from 0 to 1.
+    /// Worth that the bench assigned, from 0 to 1.
     pub(crate) worth: f64,
-    /// Whether a rule was broken.
+    /// Whether a rule was violated.
     pub(crate) broken: bool,
 }
 
 impl Day {
-    /// Whether the day has trouble.
+    /// Whether the day contains a disturbance, which all but the quiet days do.
     pub(crate) fn has_disturbance(&self) -> bool {
         !self.name.starts_with("quiet")
     }
 }
 
-/// The standard days in what the bench has printed.
+/// Returns the standard days in the output of the bench.
 pub(crate) fn parse_standard_days(text: &str) -> Vec<Day> {
     let is_header = |line: &&str| line.split_whitespace().take(HEADER.len()).eq(HEADER);
     let after_header = text.lines().skip_while(|line| !is_header(line)).skip(1);
--- a/xtask/src/days/tests.rs
+++ b/xtask/src/days/tests.rs
@@ -1,4 +1,4 @@
-//! Reading the bench's table.
+//! Tests of parsing the bench's table.
 
 use super::{Day, parse_standard_days};
 
--- a/xtask/src/direct/fleet.rs
+++ b/xtask/src/direct/fleet.rs
@@ -18,20 +18,24 @@
 use crate::process::Process;
 
 const BALANCERS: usize = 3;
-/// Services of the upstreams at the start.
+/// Service of each upstream at the start.
 const SERVICES: [&str; 7] = ["shelf", "shelf", "shelf", "shelf", "shelf", "manifest", "manifest"];
-/// Availability zones; upstreams are spread over them in turn.
+/// Availability zones. Upstreams are assigned to them round-robin.
 const ZONES: [&str; 3] = ["a", "b", "c"];
+/// Region of each availability zone.
 const REGIONS: [&str; 3] = ["north", "north", "south"];
-/// The service that stays in one region, and that region.
+/// The service that is restricted to one region, and that region.
 const REGION_BOUND: (&str, &str) = ("manifest", "north");
-/// The service whose cold upstreams are limited, and the openings a second that they bear.
+/// The service whose upstreams are rate-limited while they warm up, and the limit in openings per
+/// second.
 const WARMUP_LIMITED: (&str, f64) = ("shelf", 20.0);
-/// Time for which an upstream is cold that starts after the callers.
+/// Warm-up time of an upstream that starts after the callers.
 const WARMUP: Duration = Duration::from_secs(2);
+/// Requests that an upstream serves at the same time.
 const UPSTREAM_SLOTS: usize = 7;
+/// Time that an upstream works on a request.
 const WORK_DURATION: Duration = Duration::from_millis(20);
-/// Ports, the same on all addresses.
+// Ports, the same on all addresses.
 const DATAGRAM_PORT: u16 = 18_172;
 const READY_PORT: u16 = 18_167;
 const OUTBOUND_PORT: u16 = 18_301;
@@ -40,7 +44,7 @@
 const STORE_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(127, 0, 3, 1), 18_169);
 const CALLERS_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(127, 0, 4, 1), DATAGRAM_PORT);
 
-/// Everything that runs. Dropping it ends it.
+/// All processes and stand-ins of a run. Dropping it ends them.
 pub(super) struct Fleet {
     programs: PathBuf,
     out: PathBuf,
@@ -58,10 +62,10 @@
 }
 
 impl Fleet {
-    /// Starts everything but the callers.
+    /// Starts all processes and stand-ins except the callers.
     pub(super) fn start(programs: &Path, out: &Path) -> anyhow::Result<Self> {
         let store = Store::default();
-        store.serve(STORE_ADDRESS).context("is another lab at work?")?;
+        store.serve(STORE_ADDRESS).context("is another lab running?")?;
         store.put("op/config", &configuration());
         let ready = |index| SocketAddrV4::new(balancer_ip(index), READY_PORT);
         let packets = |index| SocketAddrV4::new(balancer_ip(index), DATAGRAM_PORT);
@@ -112,12 +116,12 @@
         BALANCERS
     }
 
-    /// Balancers in rotation.
+    /// Number of balancers that the fabric considers ready.
     pub(super) fn ready_balancers(&self) -> usize {
         self.fabric.ready()
     }
 
-    /// Starts balancers again that have ended.
+    /// Starts balancers again that have exited.
     pub(super) fn restart_exited(&mut self) -> anyhow::Result<()> {
         for index in 0..BALANCERS {
             let Some(process) = &mut self.balancers[index] else { continue };
@@ -129,7 +133,7 @@
         Ok(())
     }
 
-    /// Does what a step says.
+    /// Applies a change or fault.
     pub(super) fn apply(&mut self, action: Action) -> anyhow::Result<()> {
         match action {
             Action::RollBalancer(index) => self.signal(index, Signal::SIGTERM),
@@ -176,7 +180,7 @@
         Ok(())
     }
 
-    /// Ends the run and says how it went.
+    /// Ends the run and returns its verdict.
     pub(super) fn end(self) -> Verdict {
         Verdict::of(&self.ledger, self.store.calls())
     }
@@ -246,7 +250,8 @@
         Ok(())
     }
 
-    /// Until when an upstream that starts now is cold, and what it bears if that is limited.
+    /// Sets the end of the warm-up of an upstream that starts now. Returns it with the limit in
+    /// openings per second, if the upstream's service has one.
     fn warmup(&mut self, index: usize) -> Option<(Instant, f64)> {
         let until = self.callers.as_ref().map(|_| Instant::now() + WARMUP);
         self.warmup_ends[index] = until;
--- a/xtask/src/direct/mod.rs
+++ b/xtask/src/direct/mod.rs
@@ -1,5 +1,5 @@
-//! `cargo xtask lab --direct`: the two programs of the direct-return path on loopback, over stand-ins of
-//! the users' platform, while processes die and upstreams change.
+//! `cargo xtask lab --direct`: runs the two programs of the direct-return path on loopback, against
+//! stand-ins of the users' platform, while processes are killed and upstreams change.
 
 mod fleet;
 mod scenario;
@@ -14,12 +14,12 @@
 
 use crate::process;
 
-/// Time within which all balancers must be ready at the start.
+/// Time after the start within which all balancers must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause between two looks at what is waited for.
+/// Pause between two checks of a condition that is waited for.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Builds and runs the lab; an error says which promise was broken.
+/// Builds the programs and runs the lab. The error lists the violated guarantees.
 pub(crate) fn run(seed: u64, out: Option<PathBuf>) -> anyhow::Result<()> {
     let programs = process::build(&["--package", "platform", "--bins"])?.join("debug");
     let folder = || std::env::temp_dir().join(format!("gooseberrysill-{}", std::process::id()));
@@ -51,6 +51,6 @@
     } else {
         std::fs::remove_dir_all(&out)?;
     }
-    ensure!(!has_failed, "a promise was broken: {}", failures.join("; "));
+    ensure!(!has_failed, "guarantees violated: {}", failures.join("; "));
     Ok(())
 }
--- a/xtask/src/direct/scenario.rs
+++ b/xtask/src/direct/scenario.rs
@@ -1,50 +1,51 @@
-//! What happens in a run, and when.
+//! The schedule of changes and faults in a run.
 
 use std::time::Duration;
 
-/// Something that happens to a part of the fleet, by its number.
+/// A change or fault. Numbers are indices of balancers, upstreams or availability zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Action {
-    /// A balancer is told to end, and starts again once it has.
+    /// Tells a balancer to shut down; it is started again once it has exited.
     RollBalancer(usize),
-    /// A balancer dies and starts again.
+    /// Kills a balancer and starts it again.
     KillBalancer(usize),
-    /// A balancer stops without a sign.
+    /// Suspends a balancer, which becomes unresponsive without closing its sockets.
     FreezeBalancer(usize),
-    /// It goes on.
+    /// Resumes a suspended balancer.
     WakeBalancer(usize),
-    /// An agent dies and starts again.
+    /// Kills an agent and starts it again.
     KillAgent(usize),
-    /// An upstream says that it leaves.
+    /// Marks an upstream as draining, before it leaves.
     Drain(usize),
-    /// It ends with its agent and its entry.
+    /// Ends an upstream together with its agent, and removes its entry.
     Retire(usize),
-    /// Another service's upstream starts at its address.
+    /// Starts an upstream of another service at the address of a retired one.
     Reuse(usize),
-    /// An upstream dies; its agent lives, and its entry stays for a while.
+    /// Kills an upstream; its agent keeps running, and its entry stays until `Forget`.
     Crash(usize),
-    /// The entry goes; the upstream may live all the same.
+    /// Removes the entry of an upstream, which may still be running.
     Forget(usize),
-    /// The entry of an upstream that lives is back.
+    /// Restores the entry of a running upstream.
     Relist(usize),
-    /// It starts again, with another life.
+    /// Starts an upstream again, as a new incarnation.
     Restart(usize),
-    /// An availability zone, by its number, is closed to new flows.
+    /// Closes an availability zone to new flows.
     CloseZone(usize),
-    /// It takes new flows again.
+    /// Opens an availability zone to new flows again.
     OpenZone(usize),
-    /// The configuration service falls silent, or refuses.
+    /// The configuration service stops answering.
     StoreSilent,
+    /// The configuration service refuses requests.
     StoreRefuses,
-    /// It answers again.
+    /// The configuration service answers again.
     StoreWell,
-    /// All balancers and agents die, and start again.
+    /// Kills all balancers and agents and starts them again.
     KillAll,
-    /// From now on nothing is broken.
+    /// Begins the final phase, in which no faults are injected.
     Calm,
-    /// Callers begin nothing more.
+    /// Callers start no new requests.
     Finish,
-    /// The run is over: what was begun has had its time.
+    /// Stops the callers; requests in progress have had time to complete.
     End,
 }
 
@@ -53,7 +54,7 @@
 pub(super) struct Step {
     /// Time since the callers started.
     pub(super) at: Duration,
-    /// What happens.
+    /// The change or fault.
     pub(super) action: Action,
 }
 
@@ -61,7 +62,7 @@
     Step { at: Duration::from_millis(ms), action }
 }
 
-/// Planned change and faults, some of them together, and a calm end.
+/// Planned changes and faults, some of them overlapping, and a final phase without faults.
 pub(super) const STEPS: &[Step] = &[
     at(500, Action::CloseZone(1)),
     at(3_000, Action::RollBalancer(0)),
@@ -70,21 +71,23 @@
     at(7_000, Action::OpenZone(1)),
     at(7_500, Action::KillAgent(4)),
     at(8_500, Action::Retire(1)),
-    // An address goes to another service while no balancer can learn of it.
+    // An address is reassigned to another service during an outage of the configuration service, so
+    // no balancer can learn of it.
     at(10_000, Action::StoreSilent),
     at(10_300, Action::Retire(0)),
     at(10_500, Action::Reuse(0)),
     at(11_000, Action::FreezeBalancer(2)),
     at(12_200, Action::WakeBalancer(2)),
     at(13_000, Action::StoreWell),
-    // Closed as soon as the outage is over.
+    // A zone is closed as soon as the outage is over.
     at(13_050, Action::CloseZone(2)),
     at(15_000, Action::Crash(2)),
     at(16_000, Action::RollBalancer(1)),
     at(18_000, Action::OpenZone(2)),
     at(18_600, Action::Forget(2)),
     at(19_000, Action::Restart(2)),
-    // An entry expires during an outage, and a balancer without memory reads the list before it is back.
+    // An entry expires during an outage, and a freshly started balancer reads the list before the
+    // entry is restored.
     at(20_000, Action::StoreRefuses),
     at(20_200, Action::Forget(3)),
     at(21_500, Action::StoreWell),
--- a/xtask/src/direct/verdict.rs
+++ b/xtask/src/direct/verdict.rs
@@ -1,16 +1,17 @@
-//! Whether a run has kept the promises.
+//! Checks whether a run has met its guarantees.
 
 use platform_standins::ledger::{Counts, Ledger};
 
-/// Least share of requests that are served over a run with faults, in percent. Runs of the seeds 1 to
-/// 10 served over 99.
+/// Smallest accepted share of served requests over the whole run, faults included, in percent. Runs
+/// with the seeds 1 to 10 served over 99.
 const SERVED_MIN_PERCENT: u64 = 95;
-/// The same for the calm end, in tenths of a percent: a datagram may get lost on a busy machine.
+/// The same for the final phase without faults, in permille. It is below 1,000 because a datagram
+/// may be lost on a busy machine.
 const SERVED_CALM_MIN_PERMILLE: u64 = 995;
-/// Requests without which a run says nothing.
+/// Smallest number of requests for a meaningful result.
 const REQUESTS_MIN: u64 = 1_000;
 
-/// The books of a run, held against the promises.
+/// Request counts of a run and the violations that its ledger recorded.
 pub(super) struct Verdict {
     counts: Counts,
     violations: Vec<String>,
@@ -23,7 +24,7 @@
         Self { counts, violations: ledger.broken() }
     }
 
-    /// One line for programs.
+    /// The counts and violations as one JSON object, for tools.
     pub(super) fn to_json(&self) -> serde_json::Value {
         let mut line: serde_json::Map<String, serde_json::Value> =
             self.counts.iter().map(|(name, count)| ((*name).to_owned(), (*count).into())).collect();
@@ -31,19 +32,21 @@
         line.into()
     }
 
-    /// What is wrong, for people.
+    /// Describes everything that makes the run fail.
     pub(super) fn failures(&self) -> Vec<String> {
         let mut failures = self.violations.clone();
         let (asked, served) = (self.count("asked"), self.count("served"));
         if asked < REQUESTS_MIN {
-            failures.push(format!("only {asked} requests"));
+            failures.push(format!("only {asked} requests sent"));
         }
         if served * 100 < asked * SERVED_MIN_PERCENT {
             failures.push(format!("{served} of {asked} requests served"));
         }
         let (asked, served) = (self.count("asked_calm"), self.count("served_calm"));
         if served * 1_000 < asked * SERVED_CALM_MIN_PERMILLE {
-            failures.push(format!("{served} of {asked} requests served in calm"));
+            failures.push(format!(
+                "{served} of {asked} requests served in the final phase without faults"
+            ));
         }
         failures
     }
--- a/xtask/src/fuzz.rs
+++ b/xtask/src/fuzz.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context as _, ensure};
 
-/// Runs the fuzzing program with `arguments`, with the mutants built in only where asked for.
+/// Runs the fuzzing program with `arguments`. The mutants are compiled in only with `--mutants`.
 pub(crate) fn run(arguments: &[OsString]) -> anyhow::Result<()> {
     let mut command = Command::new(env!("CARGO"));
     command.args(["run", "--locked", "--release", "--quiet", "-p", "fuzzing"]);
--- a/xtask/src/gate.rs
+++ b/xtask/src/gate.rs
@@ -1,4 +1,4 @@
-//! The gate that CI and developers share: one verdict from one command.
+//! `cargo xtask test`: all checks that must pass, for CI and developers alike.
 
 use std::fs;
 use std::path::Path;
@@ -8,16 +8,17 @@
 
 use crate::{capacity, codegen};
 
-/// Each step is a `cargo` call; the first failing one decides the verdict.
+/// The `cargo` calls, in order. The first one that fails ends the run.
 const STEPS: &[&[&str]] = &[
     &["fmt", "--all", "--check"],
     &["clippy", "--locked", "--workspace", "--all-targets", "--", "-D", "warnings"],
     &["test", "--locked", "--workspace"],
-    // A build of its own: together with the workspace, the mutants would be in every binary.
+    // A separate build: in a workspace build, feature unification would compile the mutants into
+    // every binary.
     &["test", "--locked", "-p", "fuzzing", "--features", "mutants", "--test", "mutants"],
 ];
 
-/// Runs every step in order and fails on the first that does.
+/// Runs all checks in order and fails at the first failing one.
 pub(crate) fn run() -> anyhow::Result<()> {
     eprintln!("xtask: codegen --check");
     codegen::run(codegen::Mode::Check)?;
@@ -30,8 +31,8 @@
     })
 }
 
-/// Names of the tests that fail for a real fault which is not mended yet. They are printed, so that
-/// nobody takes the verdict for more than it is; every other test still decides it.
+/// Names of the tests that fail because of a known fault that is not fixed yet. They are skipped,
+/// and their entries are printed so that the skipped tests are visible; all other tests must pass.
 fn known_red() -> anyhow::Result<Vec<String>> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join("KNOWN-RED.txt");
     if !path.exists() {
@@ -40,13 +41,17 @@
     let text = fs::read_to_string(&path).context("KNOWN-RED.txt")?;
     let lines: Vec<&str> = text.lines().filter(|line| !line.trim().is_empty()).collect();
     for line in &lines {
-        ensure!(is_complete(line), "KNOWN-RED.txt: no test, issue, command or sight in: {line}");
+        ensure!(
+            is_complete(line),
+            "KNOWN-RED.txt: test, issue, command or observation missing in: {line}"
+        );
         eprintln!("xtask: known red: {line}");
     }
     Ok(lines.iter().filter_map(|line| line.split_whitespace().next()).map(str::to_owned).collect())
 }
 
-/// Whether an entry gives its test or name, an open issue, a command with its seed, and what was seen.
+/// Whether an entry states its test or name, an open issue, a command with its seed, and what was
+/// observed.
 fn is_complete(line: &str) -> bool {
     let command = line.split('`').nth(1).is_some_and(|command| !command.trim().is_empty());
     command && line.contains("  issue ") && line.contains("seen: ") && !line.starts_with(' ')
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -18,20 +18,22 @@
 Usage: cargo xtask COMMAND [OPTIONS]
 
 Commands:
-  ablate  what each mechanism is worth on the users' days; `cargo xtask ablate --help`
+  ablate  score the users' standard days with each mechanism disabled in turn;
+          `cargo xtask ablate --help`
   bench [--experiment FILE] [--out FOLDER]
-          packets a second per core of balancer and agent against a bare relay, on loopback; or
-          an experiment of experiments/ against the same processes
+          compare the packets per second and core of balancer and agent with a bare relay, on
+          loopback; or run an experiment of experiments/ against the same processes
   capacity [--check | --measure | --sweep FILE]
-          write docs/CAPACITY.md from docs/results; with --check only compare it, with
-          --measure take all slopes anew first
+          write docs/CAPACITY.md from docs/results; --check only compares it, --measure repeats
+          all measurements first, --sweep first imports the output of the users' sweep
   codegen [--check]
-          write the files generated from schema/ and from the result codes; with --check only
-          compare them
+          write the files generated from schema/ and from the result codes; --check only
+          compares them
   fuzz    stateful fuzzing of the decision core; `cargo xtask fuzz --help`
-  lab     build and start everything on loopback, replace things under load, report;
-          with --direct the two programs of the direct-return path
-  regress whether the users' deployments are served as well as before; `cargo xtask regress --help`
+  lab     build and start all processes on loopback, replace some under load, and report;
+          with --direct, run the two programs of the direct-return path instead
+  regress compare the scores of the users' deployments with their baselines;
+          `cargo xtask regress --help`
   test    formatter check, linter, all tests and doc examples
 ";
 
--- a/xtask/src/process.rs
+++ b/xtask/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that the lab starts. Each is ended with the value that stands for it.
+//! Child processes of the lab. Each is killed when its `Process` is dropped.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -8,7 +8,7 @@
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 
-/// Builds with cargo and returns the folder that has one folder of binaries for each profile.
+/// Builds with cargo and returns the target folder, which has a folder of binaries per profile.
 pub(crate) fn build(arguments: &[&str]) -> anyhow::Result<PathBuf> {
     let mut command = Command::new(env!("CARGO"));
     command.args(["build", "--locked"]).args(arguments);
@@ -19,15 +19,15 @@
     Ok(target.to_owned())
 }
 
-/// A running process. Dropping it kills it and waits until it is gone.
+/// A child process. Dropping it kills the process and waits for its exit.
 pub(crate) struct Process {
     name: String,
     child: Child,
 }
 
 impl Process {
-    /// Starts `program` with a variable more in its environment, if one is given; its output goes to
-    /// `log`.
+    /// Starts `program`, with an additional environment variable if one is given. Its output goes
+    /// to the file `log`.
     pub(crate) fn start(
         name: &str,
         program: &Path,
@@ -52,13 +52,13 @@
         &self.name
     }
 
-    /// Sends a signal; a process that has just ended doesn't mind.
+    /// Sends a signal. Does nothing if the process has already exited.
     pub(crate) fn signal(&self, signal: Signal) {
-        // The child is not reaped before `exited` says so, so the id can't be another process's.
+        // Only `exit_status` reaps the child, so until then its id can't be another process's.
         let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
     }
 
-    /// The exit status, once it has ended.
+    /// The exit status, or none while the process is running.
     pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
@@ -69,7 +69,7 @@
         if self.exit_status().is_some() {
             return;
         }
-        // A stopped process takes SIGKILL all the same.
+        // SIGKILL also ends a process that is stopped by SIGSTOP.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/xtask/src/regress/mod.rs
+++ b/xtask/src/regress/mod.rs
@@ -1,8 +1,8 @@
-//! Whether the users' deployments are served as well as before.
+//! `cargo xtask regress`: compares the scores of the users' deployments with committed baselines.
 //!
-//! A committed file names the sites and the means that they have reached. Each is played once on a clone of
-//! the last commit; a site whose mean has fallen by more than plays of the same code differ, or on
-//! which a rule is broken, fails the command.
+//! The baseline file names the sites and the mean that each has reached. Each site is run once on a
+//! clone of the last commit. The command fails if the mean of a site has fallen by more than runs
+//! of the same code differ, or if a rule is violated on one of its days.
 
 #[cfg(test)]
 mod tests;
@@ -20,21 +20,21 @@
 
 Options:
   --bench PATH    the users' bench
-  --sites FOLDER  where the site files lie that docs/results/regress.json names
+  --sites FOLDER  folder of the site files that docs/results/regress.json names
   --only TEXT     only sites whose name contains this
-  --jobs N        days that are played at the same time, 4 unless given
-  --write         write what was reached into docs/results/regress.json
+  --jobs N        days that run at the same time, default 4
+  --write         write the new means to docs/results/regress.json
 ";
 
-/// File with the means that the sites have reached.
+/// File with the baseline of each site.
 const BASELINE_FILE: &str = "docs/results/regress.json";
-/// Where the clone lies.
+/// Folder of the clone.
 const CLONE_FOLDER: &str = "target/regress";
-/// A mean may fall by this much: plays of the same code differ by up to 0.005, and the users call
-/// less than 0.03 noise.
+/// Largest accepted drop of a site's mean. Runs of the same code differ by up to 0.005, and the
+/// users treat differences below 0.03 as noise.
 const MEAN_DROP_MAX: f64 = 0.03;
 
-/// A site and the mean worth of its standard days with trouble.
+/// A site and the mean worth of its standard days with a disturbance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Baseline {
     site: String,
@@ -50,7 +50,7 @@
     write: bool,
 }
 
-/// Plays all sites and compares.
+/// Runs all selected sites and compares their means with the baselines.
 pub(crate) fn run(parser: &mut lexopt::Parser) -> anyhow::Result<()> {
     let Some(options) = parse(parser)? else {
         print!("{HELP}");
@@ -94,14 +94,16 @@
     Ok(Some(options))
 }
 
-/// What is wrong with these days, in words.
+/// Describes each regression of these days from the baseline.
 fn compare(baseline: &Baseline, days: &[Day]) -> Vec<String> {
     let broken = days.iter().filter(|day| day.broken);
-    let mut regressions: Vec<String> =
-        broken.map(|day| format!("{}: a rule is broken on {}", baseline.site, day.name)).collect();
+    let mut regressions: Vec<String> = broken
+        .map(|day| format!("{}: a rule was violated on {}", baseline.site, day.name))
+        .collect();
     let mean = mean_worth(days);
     if baseline.mean - mean > MEAN_DROP_MAX {
-        regressions.push(format!("{}: mean {mean:.4}, {:.4} before", baseline.site, baseline.mean));
+        regressions
+            .push(format!("{}: mean {mean:.4}, baseline {:.4}", baseline.site, baseline.mean));
     }
     regressions
 }
--- a/xtask/src/regress/tests.rs
+++ b/xtask/src/regress/tests.rs
@@ -1,4 +1,4 @@
-//! What counts as a fall.
+//! Tests of what counts as a regression.
 
 use rstest::rstest;
 
