--- a/crates/agent/src/plane/leave.rs
+++ b/crates/agent/src/plane/leave.rs
@@ -100,7 +100,7 @@
         self.send_notice(Notice::Leaving, &due);
     }
 
-    /// Notifies some balancers whether a peer is up. They spread it to the other balancers.
+    /// Notifies some balancers whether a peer is up. They pass it on to the others by gossip.
     pub(super) fn report_peer(&mut self, member: Member) {
         let Member { upstream, beat, up } = member;
         let to = self.leave.random_balancers(BALANCERS_PER_REPORT);
--- a/crates/agent/src/plane/mod.rs
+++ b/crates/agent/src/plane/mod.rs
@@ -49,8 +49,8 @@
     pub(crate) counters: Counters,
     /// Requests to the fetching thread for at least this version of the account's settings.
     pub(crate) fetch: mpsc::Sender<Version>,
-    /// Set once the agent is leaving, its peers have acknowledged everything that it knows,
-    /// balancers have stopped sending to it and it holds no packet that waits for a verdict.
+    /// Set once the agent is leaving, its peers have acknowledged all its announcements, balancers
+    /// have stopped sending to it and it holds no packet that waits for a verdict.
     pub(crate) handed_over: Arc<AtomicBool>,
     /// Whether the agent is fully operational, updated on each tick.
     pub(crate) ready: Arc<AtomicBool>,
--- a/crates/agent/src/plane/requests.rs
+++ b/crates/agent/src/plane/requests.rs
@@ -16,7 +16,7 @@
 pub(crate) enum Request {
     /// An event for the decision core.
     Event(Event),
-    /// Lists flows. The reply is dropped if nobody waits for it any more.
+    /// Lists flows. The reply is dropped if the requester no longer waits for it.
     Flows(FlowQuery, mpsc::SyncSender<FlowList>),
     /// Explains how packets of a flow are routed. The reply is dropped likewise.
     Explain(FlowId, mpsc::SyncSender<(Version, Explanation)>),
@@ -31,7 +31,7 @@
     ById(FlowId),
 }
 
-/// Flows as the decision core knows them.
+/// Reply to [`Request::Flows`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct FlowList {
     /// Total number of open flows.
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -237,8 +237,7 @@
         }
     }
 
-    /// Keeps serving until the peers have acknowledged everything that this agent knows, or until
-    /// the grace time has elapsed.
+    /// Keeps serving until the hand-over to the peers is complete or the grace time has elapsed.
     fn hand_over(&self, requests: &mpsc::Sender<Request>, handed_over: &AtomicBool) {
         self.timeline.record(self.settings.account.clone(), "leaving", Fields::default());
         log::info!("shutting down");
--- a/crates/balancer/src/forward.rs
+++ b/crates/balancer/src/forward.rs
@@ -51,8 +51,8 @@
     if matches!(frame.content, Content::Control(_)) {
         return Err(DropReason::UnsupportedProtocol);
     }
-    // The fabric sends no private data. A frame that carries some can only be an attempt to pose as
-    // a balancer.
+    // The fabric sends no private data. A frame that carries some can only be an attempt to
+    // impersonate a balancer.
     if !frame.private.is_empty() {
         return Err(DropReason::Malformed);
     }
--- a/crates/balancer/src/http.rs
+++ b/crates/balancer/src/http.rs
@@ -11,7 +11,7 @@
 
 use crate::snapshot::PublishedSnapshot;
 
-/// Reply of `/explain?service=ID&flow=ID`.
+/// Response to `/explain?service=ID&flow=ID`.
 #[derive(Debug, Serialize)]
 struct ExplainResponse {
     instance: Arc<str>,
--- a/crates/balancer/src/liveness.rs
+++ b/crates/balancer/src/liveness.rs
@@ -1,4 +1,4 @@
-//! Finds the agents that presumably cannot take packets.
+//! Finds the agents that are presumably down, from changes of the platform's list of instances.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 impl Liveness {
     /// Agents of `view` that an earlier list named and this one does not.
     ///
-    /// The list lags. An agent that no list has named yet therefore counts as alive: it may have
+    /// The list lags. An agent that no list has named yet therefore counts as up: it may have
     /// just started, and as long as all balancers send it the packets of its buckets, they agree on
     /// the home. An empty list is ignored, since a platform that has lost its list must not take
     /// down the fleet.
--- a/crates/balancer/src/notices.rs
+++ b/crates/balancer/src/notices.rs
@@ -13,7 +13,7 @@
 /// that its next incarnation soon becomes a home again. An agent that is still leaving repeats the
 /// notice.
 pub const LEAVING_TTL_MS: u64 = 3_000;
-/// Largest number of leaving agents kept. Even if all agents of an availability zone leave
+/// Maximum number of leaving agents kept. Even if all agents of an availability zone leave
 /// together, there are fewer.
 const LEAVING_AGENTS_MAX: usize = 4_096;
 
--- a/crates/balancer/src/publish.rs
+++ b/crates/balancer/src/publish.rs
@@ -27,7 +27,7 @@
     pub spreading_status: Arc<SpreadingStatus>,
     /// Notices in which agents report on themselves and their peers.
     pub notices: mpsc::Receiver<AgentNotice>,
-    /// Takes agents' reports on their peers to the spreading thread.
+    /// Passes agents' reports on their peers to the gossip thread.
     pub members: mpsc::Sender<Member>,
 }
 
@@ -104,7 +104,7 @@
                     if received.is_authorized_for(view, UpstreamId(upstream)) =>
                 {
                     let member = Member { upstream: UpstreamId(upstream), beat, up };
-                    // Fails only during a shutdown, after the spreading thread has ended.
+                    // Fails only during a shutdown, after the gossip thread has ended.
                     let _ = self.sources.members.send(member);
                 }
                 // The agent is not one of the sealing account, or the notice is not meant for a
--- a/crates/balancer/src/spreading/mod.rs
+++ b/crates/balancer/src/spreading/mod.rs
@@ -28,7 +28,7 @@
 use link::Link;
 pub(crate) use tell::AgentNotifier;
 
-/// State of the spreading thread that other threads read.
+/// State of the gossip thread that other threads read.
 #[derive(Debug)]
 pub struct SpreadingStatus {
     is_reader: AtomicBool,
@@ -36,7 +36,7 @@
     down: Mutex<Vec<UpstreamId>>,
 }
 
-/// Configuration and channels of the spreading thread.
+/// Configuration and channels of the gossip thread.
 pub(crate) struct SpreadingConfig {
     pub(crate) own: Peer,
     pub(crate) link: Link,
@@ -48,7 +48,7 @@
     pub(crate) status: Arc<SpreadingStatus>,
 }
 
-/// The spreading thread's state.
+/// The gossip thread's state.
 pub(crate) struct Spreading {
     config: SpreadingConfig,
     spread: Spread,
@@ -79,7 +79,7 @@
         self.generation.load(Ordering::Acquire)
     }
 
-    /// Sorted ids of the agents believed down.
+    /// Sorted ids of the agents presumed down.
     pub fn down(&self) -> Vec<UpstreamId> {
         self.down.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -97,7 +97,7 @@
         Self { config, spread, addresses, seen_generations: (None, None), actions }
     }
 
-    /// Takes part in the gossip until the shutdown.
+    /// Exchanges gossip with the other balancers until the shutdown.
     pub(crate) fn run(mut self, shutdown: &Shutdown) {
         while !shutdown.is_requested() {
             let received = self.config.link.receive();
--- a/crates/balancer/src/spreading/tell.rs
+++ b/crates/balancer/src/spreading/tell.rs
@@ -17,7 +17,7 @@
 impl AgentNotifier {
     /// Notifies those agents of the account for which `is_notifier` holds. If a notice is lost, the
     /// agent learns of the version from its other notifier, from a packet or from its next
-    /// comparison.
+    /// comparison with a peer.
     pub(crate) fn notify(
         &self,
         view: &View,
--- a/crates/balancer/src/worker.rs
+++ b/crates/balancer/src/worker.rs
@@ -22,7 +22,7 @@
     pub(crate) identity: Identity,
     pub(crate) published: Arc<PublishedSnapshot>,
     pub(crate) counters: Counters,
-    /// Takes agents' notices to the thread that publishes snapshots.
+    /// Passes agents' notices to the thread that publishes snapshots.
     pub(crate) notices: mpsc::Sender<AgentNotice>,
     pub(crate) stop: Arc<AtomicBool>,
 }
--- a/crates/balancer/tests/forward.rs
+++ b/crates/balancer/tests/forward.rs
@@ -142,7 +142,7 @@
 }
 
 /// Two balancers with the same settings and liveness send a flow to the same agent. They pass over
-/// its home only if that is believed down.
+/// its home only if that is presumed down.
 #[test]
 fn forward_same_home_on_all_balancers() {
     let datagram = frame(Content::Ipv4, &[], &tcp(8_443));
--- a/crates/balancer/tests/liveness.rs
+++ b/crates/balancer/tests/liveness.rs
@@ -49,7 +49,7 @@
 }
 
 /// `lists` arrive one after the other, each with the names of its live agents. `expected` are the
-/// agents believed down after the last one.
+/// agents presumed down after the last one.
 #[rstest]
 #[case::no_list(&[], &[])]
 #[case::never_listed(&["a"], &[])]
@@ -69,7 +69,7 @@
     assert_eq!(down, expected);
 }
 
-/// An agent listed as leaving still knows its flows and passes openings on, so it does not count as
+/// An agent listed as leaving still holds its flows and passes openings on, so it does not count as
 /// down.
 #[test]
 fn down_leaving_agent() {
--- a/crates/settings/src/document/unit.rs
+++ b/crates/settings/src/document/unit.rs
@@ -1,4 +1,5 @@
-//! Units in names and values, for a message of its own when a known field has the wrong unit.
+//! Recognizes units in names and values, so that a known field with the wrong unit gets a specific
+//! message.
 
 /// Suffixes that name units: those of the fields in the schemas, and others that a publisher might
 /// try.
--- a/crates/settings/src/root/change.rs
+++ b/crates/settings/src/root/change.rs
@@ -42,7 +42,7 @@
 
 /// Reports a range that moves to another account without quarantine. If it moved in one step, a
 /// caller's packet could reach the previous owner while some instances still use the old root. One
-/// version in which nobody may use the range is enough: the next version is published only once
+/// version in which no account may use the range is enough: the next version is published only once
 /// every instance uses this one, and from then on packets sent with older views are refused.
 fn check_prefix(
     old: &Root,
--- a/crates/settings/src/root/mod.rs
+++ b/crates/settings/src/root/mod.rs
@@ -35,7 +35,7 @@
     pub name: Arc<str>,
     /// Ranges that the account may use.
     pub prefixes: Vec<Prefix>,
-    /// Ranges that the account will own, but that nobody may use yet.
+    /// Ranges that the account will own, but that no account may use yet.
     pub quarantine: Vec<Prefix>,
 }
 
@@ -44,7 +44,7 @@
 pub enum Ownership {
     /// The account owns the address.
     Owned,
-    /// An account will own the address, but nobody may use it yet.
+    /// An account will own the address, but no account may use it yet.
     Quarantined,
     /// The address belongs to another account or to none.
     Foreign,
--- a/crates/shell/src/http/client.rs
+++ b/crates/shell/src/http/client.rs
@@ -13,7 +13,7 @@
 /// The reason why a request failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
-    /// The server is temporarily unable to serve the request and may say when to retry.
+    /// The server is temporarily unable to serve the request and may state when to retry.
     #[error("refused with status {status}, retry after {retry_after_ms} ms")]
     Busy {
         /// 429 or 5xx.
--- a/crates/shell/src/settings_sync/mod.rs
+++ b/crates/shell/src/settings_sync/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Store`] holds the settings in force. It has two sources, and the highest version wins:
 //! [`platform`] watches the configuration service, and [`peers`] compares digests with other
-//! instances, so that settings spread even while the platform is down or overloaded. [`serve`]
+//! instances, so that settings propagate even while the platform is down or overloaded. [`serve`]
 //! handles the requests of such peers.
 
 pub mod instances;
--- a/crates/shell/src/settings_sync/peers.rs
+++ b/crates/shell/src/settings_sync/peers.rs
@@ -24,7 +24,7 @@
 /// Mean pause between two comparisons of an agent whose settings are current.
 pub const AGENT_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Mean pause between two comparisons of a balancer whose settings are current. Balancers learn of
-/// changes by spreading, so the comparison only has to find what that missed.
+/// changes by gossip, so the comparison only has to find changes that gossip missed.
 pub const BALANCER_INTERVAL: Duration = Duration::from_millis(30_000);
 /// Mean pause while the settings are not current. The process cannot serve until they are.
 const INITIAL_INTERVAL: Duration = Duration::from_millis(200);
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,4 +1,4 @@
-//! JSON lines on standard error.
+//! The log of a process, written as JSON lines to standard error.
 
 use logforth::append;
 use logforth::diagnostic::StaticDiagnostic;
--- a/crates/wire/src/control/mod.rs
+++ b/crates/wire/src/control/mod.rs
@@ -9,10 +9,12 @@
 
 /// GUE control type of the agents' messages.
 pub const CONTROL_TYPE: u8 = 1;
-/// Most bytes of an encoded message. With GUE header, private data and IPv6 header it stays below
-/// the smallest MTU of current clouds (1,460 bytes), so that a message is never fragmented.
+/// Maximum size of an encoded message in bytes. With GUE header, private data and IPv6 header it
+/// stays below the smallest MTU of current clouds (1,460 bytes), so that a message is never
+/// fragmented.
 pub const MESSAGE_BYTES_MAX: usize = 1_300;
-/// Longest list in one message; the core sends at most 48 notes and 72 openings.
+/// Maximum number of entries in a list of a message. The core sends at most 48 notes and 72
+/// openings.
 pub const LIST_MAX: usize = 128;
 
 /// A message and the hybrid logical clock of its sender.
@@ -33,7 +35,7 @@
     /// A list is longer than its bound.
     #[error("control message has a list of {0} entries, which is too long")]
     ListTooLong(usize),
-    /// Not a message that this release knows.
+    /// The bytes are not a message that this release defines.
     #[error("malformed or unknown control message")]
     Malformed,
 }
--- a/crates/wire/src/delta.rs
+++ b/crates/wire/src/delta.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 use similar::{Algorithm, DiffOp, capture_diff_slices};
 
-/// Most bytes of the text that a delta may produce: the limit of a value in the configuration
-/// service.
+/// Maximum size in bytes of the text that a delta may produce: the limit of a value in the
+/// configuration service.
 const TEXT_BYTES_MAX: usize = 1 << 20;
 
 /// Turns the text of one version into that of a later one.
--- a/crates/wire/src/exchange/mod.rs
+++ b/crates/wire/src/exchange/mod.rs
@@ -16,7 +16,8 @@
 
 pub use question::{FLEET, Kind, Question};
 
-/// Most accounts in one digest: several times the number targeted for the next two years.
+/// Maximum number of accounts in one digest: several times the number targeted for the next two
+/// years.
 pub const ACCOUNTS_MAX: usize = 4_096;
 
 /// Versions in force at an instance.
@@ -89,7 +90,7 @@
     }
 }
 
-/// Most accounts in one question.
+/// Maximum number of accounts in one question.
 pub const SUBTREES_MAX: usize = 32;
 
 /// Subtrees of several accounts, each with its name.
--- a/crates/wire/src/gue.rs
+++ b/crates/wire/src/gue.rs
@@ -9,7 +9,7 @@
 pub const PORT: u16 = 6080;
 /// Length of the header in bytes, without private data.
 pub const HEADER_BYTES: usize = 4;
-/// Most bytes of private data that the five-bit length field can express.
+/// Maximum size of the private data in bytes that the five-bit length field can express.
 pub const PRIVATE_BYTES_MAX: usize = 31 * 4;
 
 const CONTROL_BIT: u8 = 0x20;
@@ -42,7 +42,7 @@
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GueError {
-    /// Shorter than its header says.
+    /// Shorter than its header states.
     #[error("datagram of {0} bytes is shorter than its header")]
     Truncated(usize),
     /// Variant other than 0.
--- a/crates/wire/src/inner.rs
+++ b/crates/wire/src/inner.rs
@@ -10,7 +10,7 @@
 use etherparse::{IpSlice, TcpSlice, UdpSlice, ip_number};
 use siphasher::sip::SipHasher13;
 
-/// Longest input of the flow hash: protocol, two IPv6 addresses and two ports.
+/// Maximum length of the input of the flow hash: protocol, two IPv6 addresses and two ports.
 const FLOW_HASH_INPUT_BYTES_MAX: usize = 1 + 2 * (16 + 2);
 
 /// Flags of a TCP segment that change the state of a flow.
@@ -173,7 +173,7 @@
 pub const FLOW_NONCE: u32 = 0;
 
 /// Nonce of a datagram that is a request of its own. A copy has the same nonce; another request of
-/// the same caller has the same one with a probability of one in four thousand million.
+/// the same caller has the same one with a probability of 1 in 2^32.
 ///
 /// ```
 /// use wire::inner;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,6 @@
-//! Formats of what the processes send each other: GUE frames, the sealed private data between
-//! balancers and agents, and control messages. Types that exist only for encoding stay in this
-//! crate; the cores work with their own types.
+//! Formats of the messages between processes: GUE frames, the sealed private data between
+//! balancers and agents, control messages, gossip and the exchange of settings. Types that exist
+//! only for encoding stay in this crate; the cores work with their own types.
 
 mod bounded;
 pub mod control;
--- a/crates/wire/src/notice.rs
+++ b/crates/wire/src/notice.rs
@@ -2,12 +2,12 @@
 //!
 //! *Leaving.* A balancer learns only seconds later from the instance list that an agent is leaving.
 //! Until then it keeps sending, and a datagram that arrives between the end of the process and the
-//! start of its successor is lost, since nobody retransmits it. The agent therefore notifies the
+//! start of its successor is lost, since it is not retransmitted. The agent therefore notifies the
 //! balancers itself and keeps running until they have stopped sending.
 //!
 //! *Peer.* The agents of a service receive each other's heartbeats and thus detect a failure long
-//! before the instance list changes. An agent that detects one notifies a balancer, and the
-//! balancers spread the report.
+//! before the instance list changes. An agent that detects one notifies two balancers, which
+//! pass the report on to the others by gossip.
 //!
 //! *Settings.* An agent of an idle service receives no packets, from whose headers it would learn
 //! of a newer version of its settings. Two balancers notify it.
@@ -49,7 +49,7 @@
     rmp_serde::to_vec(&notice).expect("a plain enumeration always encodes")
 }
 
-/// Decodes a notice; `None` if it is malformed or of a kind that this release does not know.
+/// Decodes a notice; `None` if it is malformed or of a kind that this release does not define.
 pub fn decode(bytes: &[u8]) -> Option<Notice> {
     rmp_serde::from_slice(bytes).ok()
 }
--- a/crates/wire/src/peers/body.rs
+++ b/crates/wire/src/peers/body.rs
@@ -7,19 +7,19 @@
 use super::{CHANGES_MAX, PEERS_MAX};
 use crate::bounded;
 
-/// Most routes of a view.
+/// Maximum number of routes of a view.
 const ROUTES_MAX: usize = 16_384;
-/// Most upstreams of a view.
+/// Maximum number of upstreams of a view.
 const UPSTREAMS_MAX: usize = 65_536;
-/// Most services of a view.
+/// Maximum number of services of a view.
 const SERVICES_MAX: usize = 16_384;
-/// Most shares of a route.
+/// Maximum number of shares of a route.
 const SHARES_MAX: usize = 64;
-/// Most former services of routes in a view.
+/// Maximum number of former services of routes in a view.
 const FORMER_SERVICES_MAX: usize = 65_536;
-/// Most availability zones that are closed at once.
+/// Maximum number of availability zones that are closed at the same time.
 const ZONES_MAX: usize = 1_024;
-/// Most regions of a route.
+/// Maximum number of regions of a route.
 const REGIONS_MAX: usize = 64;
 
 #[derive(Serialize, Deserialize)]
--- a/crates/wire/src/peers/mod.rs
+++ b/crates/wire/src/peers/mod.rs
@@ -18,12 +18,13 @@
     route_from, state_summary_body, state_summary_from, upstream_body,
 };
 
-/// Most balancers named in one message: they fit into a datagram of 1,300 bytes.
+/// Maximum number of balancers named in one message: they fit into a datagram of 1,300 bytes.
 pub const PEERS_MAX: usize = PEERS_PER_REPLY_MAX;
-/// Most changes in one message: at 45 bytes each they fit into a datagram and leave room for long
-/// names.
+/// Maximum number of changes in one message: at 45 bytes each they fit into a datagram and leave
+/// room for long names.
 pub const CHANGES_MAX: usize = 24;
-/// Most bytes of a message, so that it fits into an Ethernet frame without fragmentation.
+/// Maximum size of a message in bytes, so that it fits into an Ethernet frame without
+/// fragmentation.
 pub const MESSAGE_BYTES_MAX: usize = 1_400;
 /// A message between balancers.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,7 +45,7 @@
     Changes(StateSummary, Delta),
 }
 
-/// Summary of what a balancer knows, and for how long that may be incomplete.
+/// Summary of a balancer's state, and for how long that may be incomplete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateSummary {
     /// Revision, version of the routes, and digests of routes and upstreams.
@@ -97,7 +98,7 @@
     rmp_serde::to_vec(&body).expect("a plain enumeration always encodes")
 }
 
-/// Decodes a message; `None` if it is malformed or of a kind that this release does not know.
+/// Decodes a message; `None` if it is malformed or of a kind that this release does not define.
 pub fn decode(bytes: &[u8]) -> Option<Message> {
     Some(match rmp_serde::from_slice(bytes).ok()? {
         MessageBody::Hello { revision } => Message::Hello { revision },
--- a/crates/wire/src/sealed/mod.rs
+++ b/crates/wire/src/sealed/mod.rs
@@ -1,8 +1,8 @@
 //! Private data of GUE frames from balancer to agent and from agent to agent, sealed with a MAC.
 //!
 //! ```text
-//!  0        1        2        3        4        5..8
-//! | format | key id | hops   | passed | covered | zero  |
+//!  0        1        2        3            4         5..8
+//! | format | key id | hops   | forwarding | covered | zero  |
 //! | account 8 | service 8 | flow 8 | settings version 8 | sender 8 | MAC 16 |
 //! ```
 //!
@@ -61,8 +61,7 @@
 /// GUE header cannot turn a packet into a control message or the reverse.
 const FORMAT_CONTROL: u8 = 2;
 
-/// Id of an account's key. It tells a receiver that holds both keys of a rotation which one was
-/// used.
+/// Id of an account's key. During a rotation, a receiver holds two keys and selects one by this id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u8);
 
@@ -171,7 +170,8 @@
     keys: [Option<MacKey>; KEYS_MAX],
 }
 
-/// Most keys of one account that are valid at the same time: the old and the new one of a rotation.
+/// Maximum number of keys of one account that are valid at the same time: the old and the new one
+/// of a rotation.
 pub const KEYS_MAX: usize = 2;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
--- a/crates/wire/src/spread.rs
+++ b/crates/wire/src/spread.rs
@@ -1,4 +1,4 @@
-//! Encoding of spreading messages in MessagePack.
+//! Encoding of the gossip messages between balancers in MessagePack.
 //!
 //! Structs are encoded as arrays, so the order of fields is part of the format: new fields are only
 //! ever appended.
@@ -9,18 +9,18 @@
 
 /// GUE control type of these messages.
 pub const CONTROL_TYPE: u8 = 3;
-/// Most notices accepted in one message. A correct node sends at most
+/// Maximum number of notices accepted in one message. A correct node sends at most
 /// [`decision::spread::DIFFERENCES_MAX`].
 pub const NOTICES_MAX: usize = 256;
 
-/// Why a body is not a spreading message.
+/// Why a body is not a gossip message.
 #[derive(Debug, thiserror::Error)]
 pub enum SpreadWireError {
     /// Not MessagePack of the expected shape.
-    #[error("malformed spreading message: {0}")]
+    #[error("malformed gossip message: {0}")]
     Malformed(#[from] rmp_serde::decode::Error),
     /// More than [`NOTICES_MAX`] notices.
-    #[error("spreading message with too many notices: {0}")]
+    #[error("gossip message with too many notices: {0}")]
     TooMany(usize),
 }
 
--- a/crates/wire/tests/control.rs
+++ b/crates/wire/tests/control.rs
@@ -172,14 +172,14 @@
     assert_eq!(bytes, expected);
 }
 
-/// A message of a kind that only a newer release knows is rejected by itself, as malformed.
+/// A message of a kind that only a newer release defines is rejected as malformed.
 #[test]
 fn decode_unknown_kind() {
     assert_eq!(decode(b"\x92\x01\x81\xa5Newer\x91\x07"), Err(ControlError::Malformed));
 }
 
-/// A list that announces four thousand million entries is rejected because of that number, before
-/// any entry is read.
+/// A list that announces 2^32 - 1 entries is rejected because of that number, before any entry is
+/// read.
 #[rstest]
 #[case::not_message_pack(b"\xc1".to_vec(), ControlError::Malformed)]
 #[case::empty(vec![], ControlError::Malformed)]
--- a/crates/wire/tests/spread.rs
+++ b/crates/wire/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Tests of the encoding of spreading messages.
+//! Tests of the encoding of gossip messages.
 
 use decision::keys::{AccountId, UpstreamId, Version};
 use decision::spread::{Digest, Member, Notice, SHARES, SpreadMessage};
